--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,6 +5,7 @@
 //! - Relays that cut single directions between real processes ([`relay`]).
 //! - A model of whole clusters on simulated time: the production code of several controllers, with all of
 //!   its threads, in one process ([`world`], [`sched`], [`net`], [`machines`], [`cloud`], [`users`]).
+//! - A digest of all that crosses the network of a model ([`transcript`]).
 //! - An independent checker of the protocol's rules ([`checker`]), which knows only what users were
 //!   told and what is on machines.
 
@@ -25,6 +26,7 @@
 pub mod relay;
 pub mod sched;
 pub mod servers;
+pub mod transcript;
 pub mod trouble;
 pub mod users;
 pub mod worker;
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -3,6 +3,7 @@
 use crate::cuts::End;
 use crate::keys::Watch;
 use crate::sched::{Time, lock};
+use crate::transcript::Channel;
 use crate::world::World;
 use aspenreel::http::client::CallError;
 use aspenreel::http::server::{Handler, Request, Response};
@@ -193,6 +194,7 @@
                 let to = slot.clone();
                 self.world.after(there, move |w| {
                     let answer = w.cloud_asked(&request);
+                    w.note_call(Channel::Cloud, &request, &answer);
                     to.arrive(w, 20 * w.latency(), answer);
                 });
                 slot.wait(&self.world, timeout)
@@ -216,6 +218,7 @@
         let there = self.world.latency();
         let (to, n, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
         self.world.after(there, move |w| {
+            w.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
             w.commands_sent(n, addr, body, move |w, answer| {
                 to.arrive(w, w.latency(), answer);
             });
@@ -289,12 +292,20 @@
             let keys = &mut state.keys;
             keys.call(&request.method, &request.path, &request.body, now)
         };
+        self.note_call(Channel::Store, request, &answer);
         if request.method != "GET" {
             self.state_changed();
         }
         answer
     }
 
+    fn note_call(&self, channel: Channel, request: &Request, answer: &(u16, Vec<u8>)) {
+        let Request { method, path, body } = request;
+        let status = answer.0.to_le_bytes();
+        let parts = [method.as_bytes(), path.as_bytes(), body, &status, &answer.1];
+        self.note_message(channel, &parts);
+    }
+
     fn watch(self: &Arc<Self>, n: usize, watch: Watch, timeout: Time) -> Option<(u16, Vec<u8>)> {
         let opened = self.now();
         let deadline = opened + watch.hold.as_micros() as Time;
@@ -358,9 +369,16 @@
             let world = w.clone();
             let work = move || {
                 let os = node.os.clone();
+                let asked = Request {
+                    method: request.method.clone(),
+                    path: request.path.clone(),
+                    body: request.body.clone(),
+                };
                 let response = node.at_once(request).unwrap_or_else(|r| node.handle(r));
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
+                let answer = (response.status, response.body.clone());
+                world.note_call(Channel::Controller, &asked, &answer);
                 let back = world.latency();
                 world.after(back, move |w| then(w, Some(response)));
             };
@@ -407,7 +425,10 @@
             let seed = w.state().rng.u64(..);
             let world = w.clone();
             let work = move || {
+                let asked = borsh::to_vec(&request).unwrap();
                 let reply = node.answer_peer(request);
+                let replied = borsh::to_vec(&reply).unwrap();
+                world.note_message(Channel::Peer, &[&[from as u8, to as u8], &asked, &replied]);
                 let back = world.latency();
                 let lost = world
                     .state()
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -8,6 +8,7 @@
 use crate::machines::Machine;
 use crate::net::SimOs;
 use crate::sched::{Sched, Time, lock, secs};
+use crate::transcript::{Channel, Transcript};
 use crate::users::UserJob;
 use aspenreel::cli::{Cli, Command};
 use aspenreel::http::cbor::encode;
@@ -124,6 +125,8 @@
     pub starts_by_term: Vec<(Time, u64)>,
     /// When the last trouble is over, as far as it was said.
     pub trouble_until: Time,
+    /// All messages so far.
+    pub transcript: Transcript,
 }
 
 pub struct World {
@@ -160,6 +163,7 @@
                 terms: Vec::new(),
                 starts_by_term: Vec::new(),
                 trouble_until: 0,
+                transcript: Transcript::default(),
             }),
             setup,
         });
@@ -211,6 +215,12 @@
         self.state().rng.u64(range)
     }
 
+    /// Adds a message to the transcript.
+    pub fn note_message(&self, channel: Channel, parts: &[&[u8]]) {
+        let now = self.now();
+        self.state().transcript.add(now, channel, parts);
+    }
+
     /// One way through the network.
     pub fn latency(&self) -> Time {
         let mut state = self.state();
@@ -550,6 +560,7 @@
             turnaround_s: state.checker.turnaround_s(),
             seconds: self.now() / 1_000_000,
             orders: order_counters(&state.nodes),
+            transcript: state.transcript.summary(),
         };
         drop(state);
         self.sched.end();
@@ -614,6 +625,8 @@
     pub seconds: u64,
     /// What the last leader counted of its orders.
     pub orders: OrderCounters,
+    /// The digest of all messages.
+    pub transcript: String,
 }
 
 impl Summary {
--- /dev/null
+++ b/tests/model/behavior.rs
@@ -0,0 +1,69 @@
+//! What the controllers do, message by message, as digests that are kept: a change that is only about the form
+//! of the code reproduces all of them.
+//!
+//! A change of behavior changes them too. Then the kept file is written anew, in the commit that says what else
+//! the controllers do now.
+
+use aspenreel_testbed::plans::*;
+use aspenreel_testbed::play::play;
+use aspenreel_testbed::trouble;
+use aspenreel_testbed::world::{CANCEL_S, Setup, Summary};
+use std::fmt::Write;
+
+const SEEDS_OF_EACH: u64 = 3;
+
+/// The digests of one kind of day, a line for each seed.
+fn lines(name: &str, ends: &[Summary]) -> String {
+    let mut text = String::new();
+    for (seed, end) in (1..).zip(ends) {
+        let (starts, done, leaders) = (end.starts, end.done, end.leaders);
+        writeln!(
+            text,
+            "{name}, seed {seed}: {starts} starts, {done} jobs done, {leaders} leaders, {}",
+            end.transcript
+        )
+        .unwrap();
+    }
+    text
+}
+
+fn drawn_troubles() -> String {
+    let ends = play(SEEDS_OF_EACH, &setup(), trouble::draw);
+    lines("drawn troubles", &ends)
+}
+
+fn link_health() -> String {
+    let site = Setup {
+        nodes: 4,
+        flags: |_| &["--half-cut-links"],
+        ..setup()
+    };
+    let ends = play(SEEDS_OF_EACH, &site, trouble::draw);
+    lines("drawn troubles with watched links", &ends)
+}
+
+fn unconfirmed_starts() -> String {
+    let ends = play(SEEDS_OF_EACH, &setup(), |w, rng| {
+        let ids = jobs(w, 4.0, 70.0, 60, |i, p| {
+            p.run_s = 6.0 + f64::from(i % 4) * 6.0;
+            p.rank = ["low", "normal", "high", "production"][i as usize % 4];
+            p.standing = i % 20 == 0;
+        });
+        w.at(6.0, move |w| {
+            w.hold_commands(0.5, 10.0..CANCEL_S + 50.0, 70.0)
+        });
+        w.at(30.0, move |w| w.crash(w.leader_or_any(), 2.0));
+        cancel_soon(w, &every_other(&ids, 2), 8.0, rng);
+        // Standing jobs run until somebody cancels them.
+        for id in every_other(&ids, 20) {
+            w.at(110.0, move |w| w.user_cancels(&id));
+        }
+    });
+    lines("unconfirmed starts", &ends)
+}
+
+#[test]
+fn the_same_messages_for_the_same_seeds() {
+    let kept = [drawn_troubles(), link_health(), unconfirmed_starts()].concat();
+    insta::assert_snapshot!(kept);
+}
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,5 +1,6 @@
 //! Meetings of troubles, brought about in a model of several controllers (`docs/meetings.md`).
 
+mod behavior;
 mod large;
 mod links;
 mod meetings;
