--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -1,12 +1,12 @@
 //! What a fleet of some size costs its leader: memory, and time for a heartbeat and a placement pass.
 
-use aspenreel::cluster::{Cluster, ClusterConfig};
-use aspenreel::fleet::wire::Catalog;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::spec::Submission;
+use aspenreel::provisioning::wire::Catalog;
+use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::wire::{Report, TaskReport, TaskStatus};
+use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
 use aspenreel_testbed::checker::JobPlan;
 use aspenreel_testbed::users::body_of;
 use ciborium::cbor;
@@ -37,7 +37,7 @@
 /// Builds a leader with so many machines, all with room, and work for every CPU.
 pub fn measure(machines: u32) -> FleetCost {
     let before = resident_bytes();
-    let mut cluster = Cluster::new(config(machines), TERM, at(0), 1);
+    let mut cluster = SchedulerState::new(config(machines), TERM, at(0), 1);
     cluster.fleet.catalog = catalog().types();
     for number in 0..machines {
         cluster.heartbeat(&report(number, 1, Vec::new()), at(1));
@@ -58,7 +58,7 @@
     let full = Instant::now();
     cluster.place(at(62));
     let full_pass = full.elapsed();
-    let reports: Vec<Report> = (0..machines)
+    let reports: Vec<Heartbeat> = (0..machines)
         .map(|number| report(number, 3, running(&cluster, number)))
         .collect();
     let beating = Instant::now();
@@ -85,9 +85,9 @@
     format!("n-{number:06}")
 }
 
-fn config(machines: u32) -> ClusterConfig {
+fn config(machines: u32) -> SchedulerConfig {
     let cpus = f64::from(machines) * CPUS_A_TASK * f64::from(TASKS_A_MACHINE);
-    ClusterConfig {
+    SchedulerConfig {
         teams: vec![TeamSettings {
             name: "a".into(),
             cpus,
@@ -118,8 +118,8 @@
     decode(&encode(&wire.expect("it is CBOR"))).expect("it is a catalog")
 }
 
-fn report(number: u32, tick: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(number: u32, tick: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
+    Heartbeat {
         machine: name(number),
         addr: "10.1.0.1:9000".into(),
         type_name: "small".into(),
@@ -134,9 +134,9 @@
 }
 
 /// A machine's tasks as its worker would report them.
-fn running(cluster: &Cluster, number: u32) -> Vec<TaskReport> {
+fn running(cluster: &SchedulerState, number: u32) -> Vec<ReportedTask> {
     let machine = &cluster.machines[&name(number)];
-    let task = |key: &(aspenreel::jobs::JobId, u32, u64)| TaskReport {
+    let task = |key: &(aspenreel::jobs::JobId, u32, u64)| ReportedTask {
         piece: format!("run-1/{}", key.1),
         attempt: key.2,
         status: TaskStatus::Running,
@@ -146,7 +146,7 @@
     machine.attempts.keys().map(task).collect()
 }
 
-fn add_job(cluster: &mut Cluster, id: u32, tasks: u32, seconds: u64) {
+fn add_job(cluster: &mut SchedulerState, id: u32, tasks: u32, seconds: u64) {
     let plan = JobPlan::new(id, tasks, CPUS_A_TASK, 60.0);
     let submission = Submission::decode(&body_of(&plan));
     let submission = submission.expect("it is a submission");
--- a/crates/testbed/src/loopback.rs
+++ b/crates/testbed/src/loopback.rs
@@ -30,7 +30,7 @@
 }
 
 /// Three processes, the stand-ins that they talk to, and a relay on each way between them.
-pub struct Cluster {
+pub struct SchedulerState {
     pub state: Arc<State>,
     pub cloud: Arc<Cloud>,
     pub nodes: Nodes,
@@ -40,9 +40,9 @@
     to_workers: Arc<Mutex<WorkerRelays>>,
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Starts everything; `spawn` starts the process of a controller.
-    pub fn start(tag: &str, site: &Site, spawn: impl Fn(&Path) -> Child) -> Cluster {
+    pub fn start(tag: &str, site: &Site, spawn: impl Fn(&Path) -> Child) -> SchedulerState {
         let (state, state_addr) = State::start();
         let (cloud, cloud_addr) = Cloud::start();
         let addresses = Addresses::free();
@@ -69,7 +69,7 @@
         for n in 0..NODES {
             nodes.until(n, "GET", "/up", &[], |s, _| s == 200);
         }
-        Cluster {
+        SchedulerState {
             state,
             cloud,
             nodes,
--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -6,7 +6,9 @@
 use crate::world::{LEASE_S, REPORT_S, State, World};
 use aspenreel::http::cbor::{Decimal, decode, encode};
 use aspenreel::http::server::{Handler, Request};
-use aspenreel::workers::wire::{Cause, Order, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
+};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct Task {
     status: TaskStatus,
-    cause: Option<Cause>,
+    cause: Option<ExitReason>,
     /// When what it does now ends, and a count that tells its timers apart.
     ends: Time,
     timer: u64,
@@ -79,9 +81,9 @@
         self.cpus - held.map(|((piece, _), _)| plans(piece)).sum::<f64>()
     }
 
-    fn report(&mut self, now: Time) -> Report {
+    fn report(&mut self, now: Time) -> Heartbeat {
         self.tick += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
             type_name: self.type_name.clone(),
@@ -96,7 +98,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((piece, attempt), t)| TaskReport {
+                .map(|((piece, attempt), t)| ReportedTask {
                     piece: piece.clone(),
                     attempt: *attempt,
                     status: t.status,
@@ -333,7 +335,7 @@
     fn by_heartbeat(
         self: &Arc<Self>,
         n: usize,
-        report: &Report,
+        report: &Heartbeat,
     ) -> Result<(u16, Vec<u8>), Option<Time>> {
         let (process, node) = {
             let state = self.state();
@@ -355,7 +357,7 @@
         Ok((if late { 503 } else { response.status }, response.body))
     }
 
-    fn report_arrives(self: &Arc<Self>, n: usize, report: Report, flight: u64, sent: Time) {
+    fn report_arrives(self: &Arc<Self>, n: usize, report: Heartbeat, flight: u64, sent: Time) {
         let zone = report.zone.clone();
         let lost = self.state().is_cut(End::Workers, End::Node(n), self.now());
         if lost || !self.reaches(n, &zone) {
@@ -397,7 +399,7 @@
     }
 
     /// A report that nobody waits for an answer to any more.
-    pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Report) {
+    pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Heartbeat) {
         if let Err(Some(until)) = self.by_heartbeat(n, report) {
             let report = report.clone();
             self.at_time(until, move |w| w.copy_arrives(n, &report));
@@ -436,7 +438,7 @@
         let mut orders = Vec::new();
         match answer {
             Some((200, body)) => {
-                let answer: aspenreel::workers::wire::Orders = decode(&body).unwrap();
+                let answer: aspenreel::workers::wire::HeartbeatReplyBody = decode(&body).unwrap();
                 if answer.token >= m.token && session == m.session {
                     if answer.token > m.token {
                         next = now + 500_000;
@@ -507,12 +509,12 @@
             return;
         }
         #[derive(Deserialize)]
-        struct Commands {
+        struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<Order>,
+            orders: Vec<WorkerCommand>,
         }
-        let commands: Commands = decode(&body).unwrap();
+        let commands: DirectCommands = decode(&body).unwrap();
         let name = {
             let mut state = self.state();
             let Some(m) = state.machine_at(addr) else {
@@ -536,7 +538,7 @@
         }
     }
 
-    fn execute(self: &Arc<Self>, name: &str, orders: &[Order]) {
+    fn execute(self: &Arc<Self>, name: &str, orders: &[WorkerCommand]) {
         let now = self.now();
         let fetch = secs(self.setup.fetch_s);
         let mut changed = false;
@@ -556,7 +558,7 @@
             };
             let plan_of = |piece: &str| users.get(split(piece).0).map(|u| &u.plan);
             match o.verb {
-                Verb::Run if !m.tasks.contains_key(&key) => {
+                CommandKind::Run if !m.tasks.contains_key(&key) => {
                     starts_by_term.push((now, o.attempt >> 32));
                     changed = true;
                     let here = |(p, _): &(String, u64)| *p == o.piece;
@@ -564,9 +566,9 @@
                     let busy = other.any(|(_, t)| t.status != TaskStatus::Exited);
                     let cpus = |p: &str| plan_of(p).map_or(0.0, |p| p.cpus);
                     let refused = match plan_of(&o.piece) {
-                        None => Some(Cause::NoSuch),
-                        Some(_) if busy => Some(Cause::Busy),
-                        Some(plan) if plan.cpus > m.free(cpus) => Some(Cause::Full),
+                        None => Some(ExitReason::NoSuch),
+                        Some(_) if busy => Some(ExitReason::Busy),
+                        Some(plan) if plan.cpus > m.free(cpus) => Some(ExitReason::Full),
                         Some(_) => None,
                     };
                     m.timers += 1;
@@ -592,7 +594,7 @@
                         self.at_time(at, move |w| w.moves_on(&name, &key, timer));
                     }
                 }
-                Verb::Stop => {
+                CommandKind::Stop => {
                     let save = plan_of(&o.piece).map_or(0.0, |p| p.save_s);
                     let Some(t) = m.tasks.get_mut(&key) else {
                         continue;
@@ -617,20 +619,20 @@
                     } else {
                         let left = on_machine(t);
                         t.status = TaskStatus::Exited;
-                        t.cause = Some(Cause::Stopped);
+                        t.cause = Some(ExitReason::Stopped);
                         if left {
                             let (id, n) = split(&o.piece);
                             checker.leaves(id, n, name, false);
                         }
                     }
                 }
-                Verb::Clear => {
+                CommandKind::Clear => {
                     let exited = |t: &Task| t.status == TaskStatus::Exited;
                     if m.tasks.get(&key).is_some_and(exited) {
                         m.tasks.remove(&key);
                     }
                 }
-                Verb::Run => {}
+                CommandKind::Run => {}
             }
         }
         if changed {
@@ -675,7 +677,7 @@
             }
             TaskStatus::Running => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(Cause::Done);
+                t.cause = Some(ExitReason::Done);
                 let ends = plan.is_none_or(|p| !p.standing);
                 checker.leaves(id, n, name, ends);
                 let id = id.to_string();
@@ -684,7 +686,7 @@
             }
             TaskStatus::Flushing => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(Cause::Stopped);
+                t.cause = Some(ExitReason::Stopped);
                 checker.leaves(id, n, name, false);
                 drop(state);
             }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -6,27 +6,29 @@
 use std::sync::{Arc, Condvar, Mutex};
 
 /// Room to play one model: whatever tests run at once, no more than there are processors.
-struct Room;
+struct Permit;
 
-static PLAYED: Mutex<usize> = Mutex::new(0);
-static ROOM: Condvar = Condvar::new();
+static PERMITS_TAKEN: Mutex<usize> = Mutex::new(0);
+static PERMIT_RETURNED: Condvar = Condvar::new();
 
-impl Room {
-    fn wait() -> Room {
+impl Permit {
+    fn wait() -> Permit {
         let most = std::thread::available_parallelism().map_or(2, |n| n.get());
-        let mut played = sched::lock(&PLAYED);
+        let mut played = sched::lock(&PERMITS_TAKEN);
         while *played >= most {
-            played = ROOM.wait(played).unwrap_or_else(|e| e.into_inner());
+            played = PERMIT_RETURNED
+                .wait(played)
+                .unwrap_or_else(|e| e.into_inner());
         }
         *played += 1;
-        Room
+        Permit
     }
 }
 
-impl Drop for Room {
+impl Drop for Permit {
     fn drop(&mut self) {
-        *sched::lock(&PLAYED) -= 1;
-        ROOM.notify_one();
+        *sched::lock(&PERMITS_TAKEN) -= 1;
+        PERMIT_RETURNED.notify_one();
     }
 }
 
@@ -65,7 +67,7 @@
         for _ in 0..workers.min(seeds.len()) {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let _room = Room::wait();
+                    let _room = Permit::wait();
                     let w = World::new(*seed, setup.clone());
                     plan(&w, &mut fastrand::Rng::with_seed(*seed));
                     let end = w.finish();
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -6,7 +6,9 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::Client;
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::workers::wire::{Cause, Order, Orders, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
+};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -54,7 +56,7 @@
 }
 
 struct Task {
-    report: TaskReport,
+    report: ReportedTask,
     ends: Option<Instant>,
 }
 
@@ -160,7 +162,7 @@
         let mut inner = self.inner.lock().unwrap();
         inner.gone = true;
         for task in &mut inner.tasks {
-            self.exit(task, Cause::Stopped);
+            self.exit(task, ExitReason::Stopped);
         }
         inner.tasks.clear();
     }
@@ -169,7 +171,7 @@
         self.inner.lock().unwrap().gone
     }
 
-    fn execute(&self, orders: &[Order]) {
+    fn execute(&self, orders: &[WorkerCommand]) {
         let mut inner = self.inner.lock().unwrap();
         for o in orders {
             let at = inner
@@ -177,7 +179,7 @@
                 .iter()
                 .position(|t| t.report.piece == o.piece && t.report.attempt == o.attempt);
             match (o.verb, at) {
-                (Verb::Run, None) => {
+                (CommandKind::Run, None) => {
                     let twice = self
                         .ground
                         .running
@@ -193,7 +195,7 @@
                     let job = o.piece.split('/').next().unwrap();
                     let endless = self.ground.endless.lock().unwrap().contains(job);
                     inner.tasks.push(Task {
-                        report: TaskReport {
+                        report: ReportedTask {
                             piece: o.piece.clone(),
                             attempt: o.attempt,
                             status: TaskStatus::Running,
@@ -203,8 +205,8 @@
                         ends: (!endless).then(|| Instant::now() + self.ground.task_time()),
                     });
                 }
-                (Verb::Stop, Some(i)) => self.exit(&mut inner.tasks[i], Cause::Stopped),
-                (Verb::Clear, Some(i)) => {
+                (CommandKind::Stop, Some(i)) => self.exit(&mut inner.tasks[i], ExitReason::Stopped),
+                (CommandKind::Clear, Some(i)) => {
                     inner.tasks.remove(i);
                 }
                 _ => {}
@@ -212,11 +214,11 @@
         }
     }
 
-    fn exit(&self, task: &mut Task, cause: Cause) {
+    fn exit(&self, task: &mut Task, cause: ExitReason) {
         if task.report.status != TaskStatus::Exited {
             task.report.status = TaskStatus::Exited;
             task.report.cause = Some(cause);
-            let done = cause == Cause::Done;
+            let done = cause == ExitReason::Done;
             self.ground.note_end(&task.report.piece, &self.name, done);
             self.ground
                 .running
@@ -227,15 +229,15 @@
     }
 
     /// Its report, to or from the controller with this number.
-    fn report(&self, controller: usize) -> Report {
+    fn report(&self, controller: usize) -> Heartbeat {
         let mut inner = self.inner.lock().unwrap();
         for task in &mut inner.tasks {
             if task.ends.is_some_and(|e| e <= Instant::now()) {
-                self.exit(task, Cause::Done);
+                self.exit(task, ExitReason::Done);
             }
         }
         inner.tick += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr_for(controller),
             type_name: "small".into(),
@@ -261,7 +263,7 @@
         let mut inner = self.inner.lock().unwrap();
         if inner.lease_from.elapsed() > Duration::from_secs_f64(LEASE_S) {
             for task in &mut inner.tasks {
-                self.exit(task, Cause::Stopped);
+                self.exit(task, ExitReason::Stopped);
             }
             inner.tasks.clear();
             inner.session += 1;
@@ -270,7 +272,7 @@
     }
 
     /// The answer to a heartbeat of that session.
-    fn take_answer(&self, answer: &Orders, session: u64, sent: Instant) {
+    fn take_answer(&self, answer: &HeartbeatReplyBody, session: u64, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
             let mut inner = self.inner.lock().unwrap();
@@ -311,12 +313,12 @@
 impl Handler for Worker {
     fn handle(&self, r: Request) -> Response {
         #[derive(Deserialize)]
-        struct Commands {
+        struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<Order>,
+            orders: Vec<WorkerCommand>,
         }
-        let commands: Commands = decode(&r.body).unwrap();
+        let commands: DirectCommands = decode(&r.body).unwrap();
         let controller = self.at.load(Ordering::Relaxed);
         // A lease that is over is over before anything else happens, also for an order that was held back.
         self.end_lease();
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -11,13 +11,13 @@
 use crate::transcript::{Channel, Transcript};
 use crate::users::UserJob;
 use aspenreel::cli::{Cli, Command};
+use aspenreel::controller::Controller;
 use aspenreel::http::cbor::encode;
 use aspenreel::leadership::LeaderRecord;
-use aspenreel::node::Node;
 use aspenreel::settings::Settings;
 use aspenreel::state_store::{from_value, to_value};
 use aspenreel::workers::fencing::OrderCounters;
-use aspenreel::workers::wire::Report;
+use aspenreel::workers::wire::Heartbeat;
 use ciborium::cbor;
 use clap::Parser;
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
 pub struct NodeState {
     /// Which of its processes runs, if one does.
     pub process: Option<u64>,
-    pub node: Option<Arc<Node>>,
+    pub node: Option<Arc<Controller>>,
     pub refused_until: Time,
     pub state_cut_until: Time,
     pub peers_cut_until: Time,
@@ -106,7 +106,7 @@
     pub slow_links: Time,
     pub late_writes: Option<LateWrites>,
     pub late_reports: Option<LateReports>,
-    pub kept_reports: Vec<Report>,
+    pub kept_reports: Vec<Heartbeat>,
     /// Direct commands that the network holds back.
     pub(crate) held_commands: HeldCommands,
     pub nodes: Vec<NodeState>,
@@ -296,7 +296,7 @@
             unreachable!("the words say serve");
         };
         let os = Arc::new(SimOs::new(self, n, process, drift, skew));
-        let node = Arc::new(Node::new(self.settings_of(n), options, os).unwrap());
+        let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
         for (i, (_, duty)) in node.duties().into_iter().enumerate() {
             self.sched.spawn(process, seed ^ i as u64, duty);
         }
@@ -589,7 +589,7 @@
 }
 
 fn order_counters(nodes: &[NodeState]) -> OrderCounters {
-    let counters = |node: &Arc<Node>| Some(node.core().cluster.as_ref()?.fencing.counters);
+    let counters = |node: &Arc<Controller>| Some(node.core().cluster.as_ref()?.fencing.counters);
     let running = nodes.iter().filter_map(|n| n.node.as_ref());
     running.filter_map(counters).next().unwrap_or_default()
 }
--- a/src/node.rs
+++ b/src/controller.rs
@@ -3,18 +3,18 @@
 mod finals;
 mod routes;
 
-pub use finals::Finals;
+pub use finals::TerminalStates;
 
 use crate::cli::ServeOptions;
-use crate::cluster::{Cluster, ClusterConfig};
-use crate::fleet::MachineType;
 use crate::http::server::{Limits, serve};
-use crate::jobs::Known;
+use crate::jobs::LocalStatus;
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
-use crate::leadership::{Lead, LeaderRecord};
+use crate::leadership::{LeaderLease, LeaderRecord};
 use crate::links::Links;
 use crate::os::{HttpClient, Os, Signal, System};
+use crate::provisioning::MachineType;
+use crate::scheduler::{SchedulerConfig, SchedulerState};
 use crate::settings::{Settings, SettingsError};
 use crate::state_store::Store;
 use crate::state_store::bucket::TokenBucket;
@@ -42,14 +42,14 @@
 
 /// What the main lock guards. Nobody waits for the network while holding it.
 #[derive(Debug, Default)]
-pub struct Core {
-    pub lead: Option<Lead>,
+pub struct ControllerState {
+    pub lead: Option<LeaderLease>,
     /// There only while leading, once the state was read.
-    pub cluster: Option<Cluster>,
+    pub cluster: Option<SchedulerState>,
     pub known_leader: Option<LeaderRecord>,
     /// When the state service last vouched for it.
     pub leader_seen: Moment,
-    pub finals: Finals,
+    pub finals: TerminalStates,
     /// The lead is to be given up.
     pub step_down: bool,
     /// Stood down for want of workers: others go first until then.
@@ -66,9 +66,9 @@
     pub handover: Option<HandoverRecord>,
 }
 
-impl Core {
+impl ControllerState {
     /// The cluster, if this node is entitled to act at `now`.
-    pub fn acting(&mut self, now: Moment) -> Option<(&Lead, &mut Cluster)> {
+    pub fn acting(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
         match (&self.lead, &mut self.cluster) {
             (Some(lead), Some(cluster)) if now < lead.valid_until && !self.step_down => {
                 Some((lead, cluster))
@@ -81,7 +81,7 @@
 /// What one thread does.
 pub type Duty = Box<dyn FnOnce() + Send>;
 
-pub struct Node {
+pub struct Controller {
     pub settings: Settings,
     pub options: ServeOptions,
     /// How long the leader's lease lives.
@@ -89,7 +89,7 @@
     pub os: Arc<dyn Os>,
     pub store: Store,
     pub cloud: Arc<dyn HttpClient>,
-    pub core: Mutex<Core>,
+    pub core: Mutex<ControllerState>,
     /// Signalled when records are due and when they were written.
     pub changed: Arc<dyn Signal>,
     /// Signalled when orders may go straight to workers.
@@ -109,12 +109,12 @@
     pub links: Option<Arc<Links>>,
 }
 
-impl Node {
+impl Controller {
     pub fn new(
         settings: Settings,
         options: ServeOptions,
         os: Arc<dyn Os>,
-    ) -> Result<Node, SettingsError> {
+    ) -> Result<Controller, SettingsError> {
         let asked = options.leader_lease_ms.map(Micros::from_millis);
         let lease_life = settings.leader_lease(asked)?;
         let links = options.links.settings()?;
@@ -136,14 +136,14 @@
                 (member.node.clone(), client)
             })
             .collect();
-        Ok(Node {
+        Ok(Controller {
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
                 .with_evidence(sink),
             cloud: os.http(settings.endpoints.cloud),
-            core: Mutex::new(Core {
-                finals: Finals::new(site.quota.remembered()),
-                ..Core::default()
+            core: Mutex::new(ControllerState {
+                finals: TerminalStates::new(site.quota.remembered()),
+                ..ControllerState::default()
             }),
             changed: os.signal(),
             direct_due: os.signal(),
@@ -163,7 +163,7 @@
         })
     }
 
-    pub fn core(&self) -> MutexGuard<'_, Core> {
+    pub fn core(&self) -> MutexGuard<'_, ControllerState> {
         self.core.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -178,9 +178,9 @@
             .clone()
     }
 
-    pub fn cluster_config(&self) -> ClusterConfig {
+    pub fn cluster_config(&self) -> SchedulerConfig {
         let site = &self.settings.settings;
-        ClusterConfig {
+        SchedulerConfig {
             teams: site.teams.clone(),
             lease: site.workers.lease(),
             cancel: Micros::from_secs_f64(site.workers.cancel_s),
@@ -200,7 +200,7 @@
     }
 
     /// Releases the main lock until something changed, or for so long.
-    pub fn await_change(&self, core: MutexGuard<'_, Core>, most: Duration) {
+    pub fn await_change(&self, core: MutexGuard<'_, ControllerState>, most: Duration) {
         let ticket = self.changed.ticket();
         drop(core);
         self.changed.wait(ticket, most);
@@ -208,26 +208,26 @@
 
     /// What each thread of a process does, for as long as it lives.
     pub fn duties(self: &Arc<Self>) -> Vec<(&'static str, Duty)> {
-        let duty = |run: fn(&Node)| {
+        let duty = |run: fn(&Controller)| {
             let node = self.clone();
             Box::new(move || run(&node)) as Duty
         };
         let mut duties = vec![
-            ("catalog", duty(Node::catalog_loop)),
-            ("lead", duty(Node::lead_loop)),
-            ("rounds", duty(Node::rounds_loop)),
-            ("jobs", duty(Node::jobs_loop)),
-            ("fleet", duty(Node::fleet_loop)),
-            ("tick", duty(Node::tick_loop)),
-            ("company", duty(Node::company_loop)),
-            ("level", duty(Node::level_loop)),
+            ("catalog", duty(Controller::catalog_loop)),
+            ("lead", duty(Controller::lead_loop)),
+            ("rounds", duty(Controller::rounds_loop)),
+            ("jobs", duty(Controller::jobs_loop)),
+            ("fleet", duty(Controller::fleet_loop)),
+            ("tick", duty(Controller::tick_loop)),
+            ("company", duty(Controller::company_loop)),
+            ("level", duty(Controller::level_loop)),
         ];
         if self.links.is_some() {
-            duties.push(("links", duty(Node::links_loop)));
-            duties.push(("link-exchange", duty(Node::link_exchange_loop)));
+            duties.push(("links", duty(Controller::links_loop)));
+            duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
-            duties.push(("direct", duty(Node::direct_loop)));
+            duties.push(("direct", duty(Controller::direct_loop)));
         }
         duties
     }
@@ -326,8 +326,10 @@
                 }
                 match core.acting(now) {
                     Some((_, cluster)) => match cluster.view(&id) {
-                        Known::View(view) => PeerReply::Job(view),
-                        Known::Deciding | Known::Nothing => PeerReply::Unknown,
+                        LocalStatus::View(view) => PeerReply::Job(view),
+                        LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
+                            PeerReply::Unknown
+                        }
                     },
                     None => PeerReply::NotLeading,
                 }
--- a/src/node/finals.rs
+++ b/src/controller/finals.rs
@@ -6,17 +6,17 @@
 /// Final states that were recorded: these never change, so any node may tell them from memory.
 /// Older ones are read from the state service.
 #[derive(Debug, Default)]
-pub struct Finals {
+pub struct TerminalStates {
     most: usize,
     views: HashMap<String, JobView>,
     age: VecDeque<String>,
 }
 
-impl Finals {
-    pub fn new(most: usize) -> Finals {
-        Finals {
+impl TerminalStates {
+    pub fn new(most: usize) -> TerminalStates {
+        TerminalStates {
             most,
-            ..Finals::default()
+            ..TerminalStates::default()
         }
     }
 
--- a/src/node/routes.rs
+++ b/src/controller/routes.rs
@@ -1,6 +1,6 @@
 //! Which handler a request of users, workers or health checks belongs to.
 
-use super::Node;
+use super::Controller;
 use crate::http::server::{Handler, Request, Response};
 
 /// What a request asks for.
@@ -32,7 +32,7 @@
     }
 }
 
-impl Handler for Node {
+impl Handler for Controller {
     /// Workers and health checks never wait for what users ask; a status that this node knows is
     /// told at once.
     fn at_once(&self, request: Request) -> Result<Response, Request> {
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -2,9 +2,9 @@
 
 use super::rounds::{CLAIMS_PREFIX, Write, WriteKind, affordable, pack};
 use super::{DoneRecord, FULL_KEY, FinalRecord, JobView};
-use crate::cluster::Cluster;
-use crate::fleet::FLEET_PREFIX;
-use crate::node::{Core, Node};
+use crate::controller::{Controller, ControllerState};
+use crate::provisioning::FLEET_PREFIX;
+use crate::scheduler::SchedulerState;
 use crate::state_store::bucket::TokenBucket;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -50,7 +50,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub fn rounds_loop(&self) {
         let site = self.settings.settings.state.strict();
         let rate = site.write_rps * self.options.write_budget as f64 / 100.0;
@@ -211,14 +211,14 @@
     /// Does something with what this node knows as the leader of that term. While an answer was on
     /// its way the lead may have ended and begun anew: in the new term's memory other jobs have the
     /// numbers by which the writes name theirs.
-    fn under(&self, term: u64, work: impl FnOnce(&mut Core)) {
+    fn under(&self, term: u64, work: impl FnOnce(&mut ControllerState)) {
         let mut core = self.core();
         if core.cluster.as_ref().is_some_and(|c| c.term == term) {
             work(&mut core);
         }
     }
 
-    pub(crate) fn in_cluster(&self, term: u64, work: impl FnOnce(&mut Cluster)) {
+    pub(crate) fn in_cluster(&self, term: u64, work: impl FnOnce(&mut SchedulerState)) {
         self.under(term, |core| {
             if let Some(cluster) = &mut core.cluster {
                 work(cluster);
@@ -231,7 +231,7 @@
         self.changed.notify_all();
     }
 
-    fn note_written_in(&self, core: &mut Core, pack: &[Write], revision: u64) {
+    fn note_written_in(&self, core: &mut ControllerState, pack: &[Write], revision: u64) {
         let Some(cluster) = &mut core.cluster else {
             return;
         };
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -70,10 +70,10 @@
 
 /// What is known of a final state that was sent to the record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Deciding {
+pub enum FinalWrite {
     /// None is on its way.
     #[default]
-    No,
+    Idle,
     /// It is under way.
     Sent,
     /// One got no answer: it may have been applied, or may yet be.
@@ -82,11 +82,11 @@
 
 /// What a leader can say of a job by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum LocalStatus {
     View(JobView),
     /// A final state is on its way to the record. Another node may have read it there, and told it
     /// to a user, before its writer knows: until then only the record tells.
-    Deciding,
+    FinalWriteInFlight,
     Nothing,
 }
 
@@ -160,7 +160,7 @@
     pub outcome: Option<Outcome>,
     /// When its cancellation was first asked for under this leader.
     pub cancel_asked_at: Option<Moment>,
-    pub deciding: Deciding,
+    pub deciding: FinalWrite,
     /// Attempts that may be on a machine, by task.
     bound: HashMap<u32, u16>,
     /// How many of these tasks have no outcome.
@@ -400,7 +400,7 @@
         job_revision,
         outcome: None,
         cancel_asked_at: None,
-        deciding: Deciding::No,
+        deciding: FinalWrite::Idle,
         bound: HashMap::new(),
         bound_open: 0,
         bound_attempts: 0,
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -1,9 +1,11 @@
 //! Write rounds: which records are due, most urgent first, packed into few transactions.
 
-use super::{Deciding, DoneRecord, FinalRecord, Job, JobId, Outcome, done_key, final_key, job_key};
-use crate::cluster::Cluster;
+use super::{
+    DoneRecord, FinalRecord, FinalWrite, Job, JobId, Outcome, done_key, final_key, job_key,
+};
 use crate::http::cbor::json_len;
 use crate::invariants::{self, Invariant};
+use crate::scheduler::SchedulerState;
 use crate::state_store::pages::PageImage;
 use crate::state_store::{Change, Guard, to_value};
 use crate::workers::StartDelivery;
@@ -63,7 +65,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// True if somebody waits for a record.
     pub fn records_wait(&self, txn_ops: usize) -> bool {
         !self.due_claims().is_empty()
@@ -206,7 +208,7 @@
     /// These writes are about to be sent.
     pub fn sending(&mut self, writes: &[Write]) {
         self.decide(writes, |was| match was {
-            Deciding::No => Deciding::Sent,
+            FinalWrite::Idle => FinalWrite::Sent,
             was => was,
         });
     }
@@ -214,17 +216,17 @@
     /// These writes were surely not carried out.
     pub fn not_written(&mut self, writes: &[Write]) {
         self.decide(writes, |was| match was {
-            Deciding::Sent => Deciding::No,
+            FinalWrite::Sent => FinalWrite::Idle,
             was => was,
         });
     }
 
     /// These writes got no answer: they may have been carried out, or may yet be.
     pub fn unanswered(&mut self, writes: &[Write]) {
-        self.decide(writes, |_| Deciding::Unknown);
+        self.decide(writes, |_| FinalWrite::Unknown);
     }
 
-    fn decide(&mut self, writes: &[Write], next: impl Fn(Deciding) -> Deciding) {
+    fn decide(&mut self, writes: &[Write], next: impl Fn(FinalWrite) -> FinalWrite) {
         for write in writes {
             if let WriteKind::Final(id, _) | WriteKind::Retire(id, _) = &write.kind
                 && let Some(job) = self.jobs.table.get_mut(id)
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,7 +1,7 @@
 //! What a user submits, checked; and the record of it that is kept.
 
 use crate::http::cbor::{Decimal, decode};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::settings::TeamSettings;
 use crate::time::{Micros, WallTime};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Rank {
+pub enum Priority {
     Low,
     Normal,
     High,
@@ -26,7 +26,7 @@
     pub lane: String,
     pub crew: String,
     pub shape: Shape,
-    pub rank: Rank,
+    pub rank: Priority,
     pub pieces: u64,
     pub cpus: Decimal,
     pub gpus: Decimal,
@@ -86,10 +86,10 @@
     pub id: String,
     pub class: String,
     pub team: String,
-    pub rank: Rank,
+    pub rank: Priority,
     pub tasks: u32,
     /// What one task takes of its machine.
-    pub need: Room,
+    pub need: Resources,
     pub image: String,
     pub image_gb: f64,
     pub types: Option<Vec<String>>,
@@ -154,7 +154,7 @@
             team: self.crew.clone(),
             rank: self.rank,
             tasks: self.pieces.min(MAX_TASKS) as u32,
-            need: Room::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
+            need: Resources::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
             image: self.bundle.clone(),
             image_gb: self.image_gb.0,
             types: self.builds.clone(),
@@ -175,7 +175,7 @@
     pub fn possible(
         &self,
         teams: &[TeamSettings],
-        catalog: &[crate::fleet::MachineType],
+        catalog: &[crate::provisioning::MachineType],
         zones: &[String],
     ) -> Result<(), Refusal> {
         let never = |why: &str| Err(Refusal::Impossible(why.to_string()));
@@ -187,7 +187,7 @@
         let together = if spec.standing { spec.tasks } else { 1 };
         let mut least = spec.need.by(i64::from(together));
         least.ram = 0;
-        if !least.fits(Room::have(team.cpus_max, team.gpus_max, 0.0)) {
+        if !least.fits(Resources::have(team.cpus_max, team.gpus_max, 0.0)) {
             return never("more than the team's limit");
         }
         if let Some(zone) = &spec.zone
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -2,12 +2,13 @@
 
 use super::spec::{Refusal, Shape, Submission, is_ref};
 use super::{
-    DoneRecord, FULL_KEY, FinalRecord, JobView, Known, ViewState, done_key, final_key, job_key,
+    DoneRecord, FULL_KEY, FinalRecord, JobView, LocalStatus, ViewState, done_key, final_key,
+    job_key,
 };
+use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{decode, encode, json_len};
 use crate::http::server::Response;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
-use crate::node::{Core, Node};
 use crate::os::left;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -98,7 +99,7 @@
 /// A cancellation is answered once it is recorded, or else refused after this.
 const CANCEL_TIME: Micros = Micros::from_millis(2000);
 
-impl Node {
+impl Controller {
     /// Any node that knows the machine types can take requests, leader or not.
     ///
     /// Without the state service and without any peer it can't tell a user anything. In an outage
@@ -119,7 +120,7 @@
     pub fn company_loop(&self) {
         loop {
             self.os.sleep(COMPANY_EVERY);
-            let heard = |node: &Node| node.now() - node.store.last_answer() < ALONE;
+            let heard = |node: &Controller| node.now() - node.store.last_answer() < ALONE;
             let answers = |p: &PeerClient| p.answers(PING_TIME);
             let company = heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
             self.alone.store(!company, Ordering::Relaxed);
@@ -133,14 +134,14 @@
         };
         let id = submission.id.clone();
         match self.known_here(&id) {
-            Known::View(view) => return short(200, &id, view.state),
-            Known::Deciding => {
+            LocalStatus::View(view) => return short(200, &id, view.state),
+            LocalStatus::FinalWriteInFlight => {
                 return match self.lookup(&id) {
                     Lookup::Job(view) => short(200, &id, view.state),
                     _ => Response::busy(RETRY_S),
                 };
             }
-            Known::Nothing => {}
+            LocalStatus::Nothing => {}
         }
         let Some(catalog) = self.catalog() else {
             return Response::busy(RETRY_S);
@@ -224,7 +225,7 @@
 
     /// A peer that the state service refuses asks this node to read.
     pub fn read_for_peer(&self, id: &str) -> PeerReply {
-        if let Known::View(view) = self.known_here(id) {
+        if let LocalStatus::View(view) = self.known_here(id) {
             return PeerReply::Job(view);
         }
         match self.read_job(id, self.now() + PEER_TIME) {
@@ -277,7 +278,7 @@
             guards.push(self.level().guard());
         }
         let changes = [Change::write(job_key(&id), data)];
-        let leading = |core: &Core| core.lead.as_ref().map(|lead| lead.term);
+        let leading = |core: &ControllerState| core.lead.as_ref().map(|lead| lead.term);
         let term = leading(&self.core());
         match self.store.transact(&guards, &changes, Urgency::Granted) {
             Ok(Commit::Done { revision }) => {
@@ -313,8 +314,8 @@
             return Some(Response::new(404, Vec::new()));
         }
         match self.known_here(id) {
-            Known::View(view) => Some(told(id, view)),
-            Known::Deciding | Known::Nothing => None,
+            LocalStatus::View(view) => Some(told(id, view)),
+            LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => None,
         }
     }
 
@@ -374,9 +375,9 @@
             }
             let now = self.now();
             match core.acting(now).map(|(_, c)| c.view(id)) {
-                Some(Known::View(view)) if view.is_final() => return PeerReply::Job(view),
-                Some(Known::View(_) | Known::Deciding) => {}
-                Some(Known::Nothing) | None => return PeerReply::Busy,
+                Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
+                Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
+                Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
             }
             let Some(left) = left(&*self.os, deadline) else {
                 return PeerReply::Busy;
@@ -387,27 +388,29 @@
     }
 
     /// What this node may tell by itself.
-    fn known_here(&self, id: &str) -> Known {
+    fn known_here(&self, id: &str) -> LocalStatus {
         self.known_of(&mut self.core(), id)
     }
 
-    fn known_of(&self, core: &mut Core, id: &str) -> Known {
+    fn known_of(&self, core: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
         match (core.finals.get(id), core.acting(now)) {
-            (Some(view), _) => Known::View(view),
+            (Some(view), _) => LocalStatus::View(view),
             (None, Some((_, cluster))) => cluster.view(id),
-            (None, None) => Known::Nothing,
+            (None, None) => LocalStatus::Nothing,
         }
     }
 
     /// The same, but waits for a while for what is just being decided.
-    fn decided_here(&self, id: &str) -> Known {
+    fn decided_here(&self, id: &str) -> LocalStatus {
         let deadline = self.now() + DECIDING_TIME;
         loop {
             let mut core = self.core();
             let known = self.known_of(&mut core, id);
             match left(&*self.os, deadline) {
-                Some(left) if known == Known::Deciding => self.await_change(core, left),
+                Some(left) if known == LocalStatus::FinalWriteInFlight => {
+                    self.await_change(core, left)
+                }
                 _ => return known,
             }
         }
@@ -437,7 +440,7 @@
 
     fn look_for(&self, id: &str) -> Lookup {
         let deadline = self.now() + LOOKUP_TIME;
-        if let Known::View(view) = self.decided_here(id) {
+        if let LocalStatus::View(view) = self.decided_here(id) {
             return Lookup::Job(view);
         }
         let request = PeerRequest::Status { id: id.to_string() };
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -1,8 +1,8 @@
 //! The loop that takes and keeps the lead.
 
-use super::{HINT_KEY, LEADER_KEY, Lead, LeaderRecord, Take, lease_until, take};
+use super::{HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, Take, lease_until, take};
+use crate::controller::Controller;
 use crate::jobs::spec::Submission;
-use crate::node::Node;
 use crate::os::pause;
 use crate::state_store::{Change, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -10,14 +10,14 @@
 
 const PAGE: usize = 100;
 
-impl Node {
+impl Controller {
     pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
         pause(&*self.os, low_ms, high_ms);
     }
 
     pub fn lead_loop(&self) {
         loop {
-            match self.store.get(LEADER_KEY, Urgency::Lead) {
+            match self.store.get(LEADER_KEY, Urgency::LeaderLease) {
                 Ok(Some(row)) => self.follow(row.data, row.revision),
                 Ok(None) => {
                     self.core().known_leader = None;
@@ -53,10 +53,10 @@
         if abstaining {
             // Long enough for the others, if there are any, to take it.
             self.pause(1500, 2500);
-            return matches!(self.store.get(LEADER_KEY, Urgency::Lead), Ok(None));
+            return matches!(self.store.get(LEADER_KEY, Urgency::LeaderLease), Ok(None));
         }
         let in_silent_zone = knocks == 0
-            && matches!(self.store.get(HINT_KEY, Urgency::Lead), Ok(Some(row))
+            && matches!(self.store.get(HINT_KEY, Urgency::LeaderLease), Ok(Some(row))
                 if from_value::<String>(&row.data).as_ref() == Some(&self.settings.location));
         let wait = match self.candidate_wait(in_silent_zone) {
             Some(wait) => wait.0 / 1000,
@@ -111,7 +111,7 @@
         }
     }
 
-    fn lead(&self, lead: Lead) {
+    fn lead(&self, lead: LeaderLease) {
         log::info!(
             "leading: term={} token={} revision={} lease={}",
             lead.term,
@@ -172,7 +172,7 @@
             let change = Change::write(HINT_KEY, to_value(&zone));
             let _ = self
                 .store
-                .transact(&[lead.guard()], &[change], Urgency::Lead);
+                .transact(&[lead.guard()], &[change], Urgency::LeaderLease);
         }
         {
             let mut core = self.core();
--- a/src/leadership/fencing.rs
+++ b/src/leadership/fencing.rs
@@ -6,16 +6,16 @@
 //! Earlier versions see a counter that has skipped a number.
 
 use super::term::{TERM_KEY, TermRecord};
-use super::{LEADER_KEY, Lead};
-use crate::node::Node;
+use super::{LEADER_KEY, LeaderLease};
+use crate::controller::Controller;
 use crate::state_store::{Change, Commit, Guard, Urgency};
 
-impl Node {
+impl Controller {
     /// Tries once to put a higher token on record, and uses it if that is known to have worked.
     ///
     /// Without an answer the transaction may be applied yet. Nobody uses its token then: the next try
     /// guards the counter at the revision that it had before, so that only one of the two passes.
-    pub(crate) fn raise_token(&self, lead: &Lead) {
+    pub(crate) fn raise_token(&self, lead: &LeaderLease) {
         let raised = lead.counter.raised(lead.revision);
         let guards = [lead.guard(), Guard::new(TERM_KEY, lead.counter_revision)];
         let changes = [Change::write(TERM_KEY, raised.to_value())];
--- a/src/leadership/level.rs
+++ b/src/leadership/level.rs
@@ -10,7 +10,7 @@
 
 use super::LEADER_KEY;
 use super::term::{TERM_KEY, TermRecord};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::os::pause;
 use crate::state_store::{Change, Commit, Guard, Row, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -67,7 +67,7 @@
     told: Option<Moment>,
 }
 
-impl Node {
+impl Controller {
     /// The format that all controllers are known to know.
     pub fn level(&self) -> Level {
         *self.level.lock().unwrap_or_else(|e| e.into_inner())
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -29,7 +29,7 @@
 
 /// A lead that was taken.
 #[derive(Clone, Debug)]
-pub struct Lead {
+pub struct LeaderLease {
     pub term: u64,
     pub lease: u64,
     /// Revision at which the lead was taken. Every write of ours guards it, and jobs accepted
@@ -44,7 +44,7 @@
     pub valid_until: Moment,
 }
 
-impl Lead {
+impl LeaderLease {
     pub fn guard(&self) -> Guard {
         Guard::new(LEADER_KEY, self.revision)
     }
@@ -57,14 +57,14 @@
 
 #[derive(Debug)]
 pub enum Take {
-    Taken(Lead),
+    Taken(LeaderLease),
     /// Somebody else was faster.
     Lost,
 }
 
 /// Tries once to take the lead. Nothing is left behind when it fails.
 pub fn take(store: &Store, os: &dyn Os, node: &str, life: Micros) -> Result<Take, StoreError> {
-    let term_row = store.get(TERM_KEY, Urgency::Lead)?;
+    let term_row = store.get(TERM_KEY, Urgency::LeaderLease)?;
     let term_revision = term_row.as_ref().map_or(0, |row| row.revision);
     let next = TermRecord::read(term_row.as_ref())?.next();
     let sent = os.now();
@@ -87,7 +87,7 @@
                 lease: Some(lease),
             },
         ],
-        Urgency::Lead,
+        Urgency::LeaderLease,
     );
     let revision = match result {
         Ok(Commit::Done { revision }) => revision,
@@ -97,7 +97,7 @@
         }
         Err(StoreError::Unknown(e)) => {
             // It may have been applied: what the key says decides.
-            match store.get(LEADER_KEY, Urgency::Lead) {
+            match store.get(LEADER_KEY, Urgency::LeaderLease) {
                 Ok(Some(row)) if from_value::<LeaderRecord>(&row.data) == Some(record) => {
                     row.revision
                 }
@@ -113,7 +113,7 @@
             return Err(e);
         }
     };
-    Ok(Take::Taken(Lead {
+    Ok(Take::Taken(LeaderLease {
         term: next.term,
         lease,
         revision,
--- a/src/leadership/rollback.rs
+++ b/src/leadership/rollback.rs
@@ -28,13 +28,13 @@
 /// Lets controllers of earlier versions take the lead again. New standing jobs are refused from then on,
 /// until all controllers know them once more.
 pub fn allow_earlier_versions(store: &Store) -> Result<(), RollbackError> {
-    if let Some(leader) = store.get(LEADER_KEY, Urgency::Lead)? {
+    if let Some(leader) = store.get(LEADER_KEY, Urgency::LeaderLease)? {
         let record: Option<LeaderRecord> = from_value(&leader.data);
         let node = record.map_or("a controller".into(), |r| r.node);
         return Err(RollbackError::StillLed(node));
     }
-    let level = store.get(LEVEL_KEY, Urgency::Lead)?;
-    let term_row = store.get(TERM_KEY, Urgency::Lead)?;
+    let level = store.get(LEVEL_KEY, Urgency::LeaderLease)?;
+    let term_row = store.get(TERM_KEY, Urgency::LeaderLease)?;
     refuse_standing_jobs(store)?;
     let term = TermRecord::read(term_row.as_ref())?;
     let guards = [
@@ -46,7 +46,7 @@
         Change::write(TERM_KEY, term.in_form(false).to_value()),
         Change::delete(LEVEL_KEY),
     ];
-    match store.transact(&guards, &changes, Urgency::Lead)? {
+    match store.transact(&guards, &changes, Urgency::LeaderLease)? {
         // A controller that still runs may have accepted one between the look and the write.
         Commit::Done { .. } => refuse_standing_jobs(store),
         Commit::Conflict { .. } => Err(RollbackError::Changed),
@@ -56,7 +56,7 @@
 fn refuse_standing_jobs(store: &Store) -> Result<(), RollbackError> {
     let mut since: Option<String> = None;
     loop {
-        let page = store.range(JOBS_PREFIX, since.as_deref(), PAGE, Urgency::Lead)?;
+        let page = store.range(JOBS_PREFIX, since.as_deref(), PAGE, Urgency::LeaderLease)?;
         let jobs = page.rows.iter();
         let mut jobs = jobs.filter_map(|row| from_value::<Submission>(&row.data));
         if let Some(job) = jobs.find(|job| job.shape == Shape::Standing) {
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -1,12 +1,12 @@
 //! Takeover: a new leader reads what the state service holds.
 
-use super::Lead;
-use crate::cluster::Cluster;
-use crate::fleet::FLEET_PREFIX;
+use super::LeaderLease;
+use crate::controller::Controller;
 use crate::jobs::rounds::CLAIMS_PREFIX;
 use crate::jobs::spec::Submission;
 use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
-use crate::node::Node;
+use crate::provisioning::FLEET_PREFIX;
+use crate::scheduler::SchedulerState;
 use crate::state_store::{Page, Row, Urgency, from_value};
 use crate::time::{Micros, Moment, WallTime};
 
@@ -21,16 +21,16 @@
     skew: Micros,
 }
 
-impl Node {
+impl Controller {
     /// Reads everything that a leader needs; None when the lead was lost meanwhile.
     pub(super) fn load(
         &self,
-        lead: &Lead,
+        lead: &LeaderLease,
         started: Moment,
         renewed: &mut Moment,
-    ) -> Option<Cluster> {
+    ) -> Option<SchedulerState> {
         let seed = fastrand::u64(..);
-        let mut cluster = Cluster::new(self.cluster_config(), lead.term, started, seed);
+        let mut cluster = SchedulerState::new(self.cluster_config(), lead.term, started, seed);
         if let Some(catalog) = self.catalog() {
             cluster.fleet.catalog = catalog.to_vec();
         }
@@ -70,14 +70,14 @@
         &self,
         prefix: &str,
         since: Option<&str>,
-        lead: &Lead,
+        lead: &LeaderLease,
         renewed: &mut Moment,
     ) -> Option<Page> {
         loop {
             if !self.renew_if_due(lead.lease, renewed) {
                 return None;
             }
-            match self.store.range(prefix, since, PAGE, Urgency::Lead) {
+            match self.store.range(prefix, since, PAGE, Urgency::LeaderLease) {
                 Ok(page) => return Some(page),
                 Err(e) => {
                     log::debug!("reading {prefix}: {e}");
@@ -88,7 +88,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in one record. One that can't be read counts as if it told the worst.
     fn load_record(&mut self, prefix: &str, row: &Row, reading: &Reading) {
         let rest = &row.key[prefix.len()..];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,17 +5,17 @@
 //! `docs/design.md` tells the whole design and where it comes from.
 
 pub mod cli;
-pub mod cluster;
-pub mod fleet;
+pub mod controller;
 pub mod http;
 pub mod invariants;
 pub mod jobs;
 pub mod leadership;
 pub mod links;
 pub mod logging;
-pub mod node;
 pub mod os;
 pub mod placement;
+pub mod provisioning;
+pub mod scheduler;
 pub mod settings;
 pub mod state_store;
 pub use aspenreel_time as time;
--- a/src/links/exchange.rs
+++ b/src/links/exchange.rs
@@ -1,8 +1,8 @@
 //! The thread that asks peers for their views and probes what is silent.
 
 use super::{Links, lock};
+use crate::controller::Controller;
 use crate::leadership::peer::{Exchange, PeerReply};
-use crate::node::Node;
 use crate::state_store::{Change, Guard, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use aspenreel_links::evidence::{Link, NodeName, Outcome};
@@ -46,7 +46,7 @@
     published_at: Option<Moment>,
 }
 
-impl Node {
+impl Controller {
     /// Asks peers for their views, and probes what is silent.
     pub fn link_exchange_loop(&self) {
         let Some(links) = self.links.clone() else {
--- a/src/links/handover.rs
+++ b/src/links/handover.rs
@@ -1,8 +1,8 @@
 //! Handing the lead over: the record, the transaction, and what candidates read of it.
 
 use super::{Links, lock};
-use crate::leadership::{HINT_KEY, LEADER_KEY, Lead};
-use crate::node::Node;
+use crate::controller::Controller;
+use crate::leadership::{HINT_KEY, LEADER_KEY, LeaderLease};
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::Micros;
 use aspenreel_links::election::Candidate;
@@ -16,17 +16,17 @@
 const CALLS_END: Micros = Micros::from_millis(1600);
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-impl Node {
+impl Controller {
     /// The last handover on record; None as well if it can't be read.
     fn last_handover(&self) -> Option<HandoverRecord> {
-        let row = self.store.get(HANDOVER_KEY, Urgency::Lead).ok()??;
+        let row = self.store.get(HANDOVER_KEY, Urgency::LeaderLease).ok()??;
         from_value(&row.data)
     }
 
     /// A planner for a term that begins.
     pub fn plan_handovers(&self) -> Option<HandoverPlanner> {
         self.links.as_ref()?;
-        let last = match self.store.get(HANDOVER_KEY, Urgency::Lead) {
+        let last = match self.store.get(HANDOVER_KEY, Urgency::LeaderLease) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
             // One may have been a moment ago, for all that is known.
             Err(_) => Some(HandoverRecord {
@@ -62,7 +62,12 @@
     /// One transaction, guarded by the lead itself, records the handover and removes the leader. If it
     /// gets no answer nothing is lost: the lease is ended after it, and a late one fails its guard once
     /// somebody else leads.
-    pub fn hand_over(&self, lead: &Lead, record: &HandoverRecord, silent_zone: Option<&str>) {
+    pub fn hand_over(
+        &self,
+        lead: &LeaderLease,
+        record: &HandoverRecord,
+        silent_zone: Option<&str>,
+    ) {
         self.await_direct_calls();
         let mut changes = vec![
             Change::write(HANDOVER_KEY, to_value(record)),
@@ -72,7 +77,7 @@
         changes.extend(silent_zone.map(|zone| Change::write(HINT_KEY, to_value(&zone))));
         match self
             .store
-            .transact(&[lead.guard()], &changes, Urgency::Lead)
+            .transact(&[lead.guard()], &changes, Urgency::LeaderLease)
         {
             Ok(_) => log::info!("term {} is handed over", lead.term),
             Err(e) => log::info!("the handover is not on record: {e}"),
--- a/src/links/watch.rs
+++ b/src/links/watch.rs
@@ -1,7 +1,7 @@
 //! The thread that keeps the states of the links and acts on them.
 
 use super::{Links, Published, lock};
-use crate::node::{Core, Node};
+use crate::controller::{Controller, ControllerState};
 use crate::time::{Micros, Moment};
 use aspenreel_links::evidence::{Link, NodeName};
 use aspenreel_links::handover::Situation;
@@ -16,7 +16,7 @@
 /// How long a leader that gave the lead up lets others go first.
 pub const ABSTAIN: Micros = Micros::from_secs(40);
 
-impl Node {
+impl Controller {
     /// Drains evidence, keeps the states, and acts on them.
     pub fn links_loop(&self) {
         let Some(links) = self.links.clone() else {
@@ -59,7 +59,13 @@
     }
 
     /// Hands the lead over if a peer has been better placed for long enough.
-    fn consider_handover(&self, links: &Links, core: &mut Core, hearing: Hearing, now: Moment) {
+    fn consider_handover(
+        &self,
+        links: &Links,
+        core: &mut ControllerState,
+        hearing: Hearing,
+        now: Moment,
+    ) {
         let Some((lead, cluster)) = core.acting(now) else {
             return;
         };
@@ -117,7 +123,7 @@
         beyond
     }
 
-    fn report(&self, core: &mut Core, now: Moment) -> LinkReport {
+    fn report(&self, core: &mut ControllerState, now: Moment) -> LinkReport {
         let leads = core.acting(now).is_some();
         let leader = core.known_leader.as_ref();
         let tracker = lock(&self.tracker);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
+use aspenreel::controller::Controller;
 use aspenreel::leadership::rollback::allow_earlier_versions;
 use aspenreel::links::command::{ask_for_links, exit_code, links_json, links_table};
-use aspenreel::node::Node;
 use aspenreel::os::System;
 use aspenreel::settings::Settings;
 use aspenreel::state_store::Store;
@@ -33,7 +33,7 @@
     }
     few_arenas();
     let system = Arc::new(System::default());
-    let node = Node::new(settings, options, system.clone()).map_err(|e| e.to_string())?;
+    let node = Controller::new(settings, options, system.clone()).map_err(|e| e.to_string())?;
     let node = Arc::new(node);
     node.run(system).map_err(|e| format!("cannot listen: {e}"))
 }
--- a/src/placement/fit.rs
+++ b/src/placement/fit.rs
@@ -1,8 +1,8 @@
 //! The best fit for a task among machines with room.
 
 use super::{Place, PlacementPass};
-use crate::cluster::Cluster;
 use crate::jobs::JobId;
+use crate::scheduler::SchedulerState;
 use std::collections::BTreeMap;
 
 /// Seconds of fetching that a place is worth for each time that a CPU costs more elsewhere, and
@@ -15,7 +15,7 @@
 /// set: three of hundreds seldom meet a machine that has the image or is nearly full.
 const DRAWN_OF: usize = 16;
 
-impl Cluster {
+impl SchedulerState {
     /// The best fit among a few drawn, or among all if none of them fits.
     pub(super) fn choose(
         &mut self,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -7,12 +7,12 @@
 mod usage;
 mod zones;
 
-pub use order::Priority;
-pub use resources::Room;
+pub use order::QueueOrder;
+pub use resources::Resources;
 
-use crate::cluster::Cluster;
 use crate::jobs::JobId;
-use crate::jobs::spec::Rank;
+use crate::jobs::spec::Priority;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::{Attempt, Machine};
 use preemption::Victim;
@@ -30,9 +30,9 @@
 /// A machine as one pass sees it.
 struct Place {
     name: String,
-    free: Room,
+    free: Resources,
     /// Free room once what is being stopped has left, less what waits for it.
-    promised: Room,
+    promised: Resources,
     /// Kept for a job that has waited too long: nothing else starts here.
     reserved: bool,
 }
@@ -49,8 +49,8 @@
     /// How many places are kept for jobs that waited too long.
     reserved: usize,
     /// Needs that no place had room for; room only shrinks in a pass.
-    unplaceable: Vec<Room>,
-    team_room: Vec<Room>,
+    unplaceable: Vec<Resources>,
+    team_room: Vec<Resources>,
     /// Worked out when a job needs room made for the first time.
     victims: Option<Vec<Victim>>,
     /// What teams use beyond their guarantees.
@@ -58,12 +58,12 @@
     /// Jobs that don't fit into their team's guarantee beside its earlier ones.
     beyond: BTreeSet<JobId>,
     /// The lowest rank of which anything holds a place.
-    lowest: Option<Rank>,
+    lowest: Option<Priority>,
     /// The highest rank that waits, and the highest that waits for its team's guarantee.
-    highest: (Option<Rank>, Option<Rank>),
+    highest: (Option<Priority>, Option<Priority>),
 }
 
-impl Cluster {
+impl SchedulerState {
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
         m.counted_in
             && m.recorded
@@ -94,14 +94,14 @@
         }
         let mut pass = self.start_pass(now);
         pass.beyond = beyond;
-        let ranks = |p: &Priority| p.rank.0;
+        let ranks = |p: &QueueOrder| p.rank.0;
         let within = order.iter().filter(|(p, _)| !p.beyond_guarantee);
         pass.highest = (
             order.iter().map(|(p, _)| ranks(p)).max(),
             within.map(|(p, _)| ranks(p)).max(),
         );
-        for (priority, id) in order {
-            self.place_job(priority, id, &mut pass, now);
+        for (queue_order, id) in order {
+            self.place_job(queue_order, id, &mut pass, now);
         }
     }
 
@@ -144,21 +144,27 @@
                 .map(|j| j.spec.rank)
                 .min(),
             over: over
-                .map(|(used, t)| used.cpu - Room::have(t.cpus, 0.0, 0.0).cpu)
+                .map(|(used, t)| used.cpu - Resources::have(t.cpus, 0.0, 0.0).cpu)
                 .collect(),
             places,
         }
     }
 
     /// Places as many of a job's waiting tasks as there is room for, and has room made for the rest.
-    fn place_job(&mut self, priority: Priority, id: JobId, pass: &mut PlacementPass, now: Moment) {
+    fn place_job(
+        &mut self,
+        queue_order: QueueOrder,
+        id: JobId,
+        pass: &mut PlacementPass,
+        now: Moment,
+    ) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
         };
         let Some(team) = job.team else { return };
         let (need, mut ready) = (job.spec.need, job.ready());
         let zoned = job.spec.one_zone || job.spec.spread;
-        let starves = priority.starves.0;
+        let starves = queue_order.starves.0;
         if starves {
             ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
         }
@@ -189,7 +195,7 @@
         }
         let left = self.note_placed(id, now);
         if waiting {
-            self.make_room(priority, id, left, pass, now);
+            self.make_room(queue_order, id, left, pass, now);
         }
     }
 
@@ -265,8 +271,8 @@
             let place = &mut pass.places[at];
             place.reserved = true;
             pass.reserved += 1;
-            place.free = Room::default();
-            place.promised = Room::default();
+            place.free = Resources::default();
+            place.promised = Resources::default();
         }
     }
 }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,9 +1,9 @@
 //! The order in which waiting jobs are placed.
 
-use super::Room;
-use crate::cluster::Cluster;
-use crate::jobs::spec::Rank;
+use super::Resources;
+use crate::jobs::spec::Priority;
 use crate::jobs::{Job, JobId};
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -13,10 +13,10 @@
 /// What may be stopped for a job always comes later in this order. Otherwise it would take its
 /// place again at once, and be stopped again, without end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Priority {
+pub struct QueueOrder {
     /// It has not begun for so long that its first tasks go before everything else.
     pub(super) starves: Reverse<bool>,
-    pub(super) rank: Reverse<Rank>,
+    pub(super) rank: Reverse<Priority>,
     pub(super) beyond_guarantee: bool,
     /// Can't be in time any more: it goes behind those that can.
     late: bool,
@@ -30,9 +30,9 @@
 /// How strongly small jobs go before large ones.
 const SMALL_FIRST: f64 = 10.0;
 
-impl Cluster {
+impl SchedulerState {
     /// Jobs with waiting tasks, the most urgent first.
-    pub fn order(&self, now: Moment) -> Vec<(Priority, JobId)> {
+    pub fn order(&self, now: Moment) -> Vec<(QueueOrder, JobId)> {
         self.order_and_beyond(now).0
     }
 
@@ -40,7 +40,7 @@
     pub(super) fn order_and_beyond(
         &self,
         now: Moment,
-    ) -> (Vec<(Priority, JobId)>, BTreeSet<JobId>) {
+    ) -> (Vec<(QueueOrder, JobId)>, BTreeSet<JobId>) {
         let mut beyond = BTreeSet::new();
         let mut by_age: Vec<(&JobId, &Job)> = self
             .jobs
@@ -49,13 +49,13 @@
             .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_asked() && !j.complete())
             .collect();
         by_age.sort_by_key(|(id, j)| (j.accepted_at, **id));
-        let mut claimed = vec![Room::default(); self.config.teams.len()];
+        let mut claimed = vec![Resources::default(); self.config.teams.len()];
         let mut order = Vec::new();
         for (id, job) in by_age {
             let Some(team) = job.team else { continue };
             claimed[team] = claimed[team].plus(job.spec.need.by(i64::from(job.remaining())));
             let settings = &self.config.teams[team];
-            let guarantee = Room::have(settings.cpus, settings.gpus, 0.0);
+            let guarantee = Resources::have(settings.cpus, settings.gpus, 0.0);
             let within = claimed[team].cpu <= guarantee.cpu && claimed[team].gpu <= guarantee.gpu;
             if !within {
                 beyond.insert(*id);
@@ -74,7 +74,7 @@
             let alone = work / (settings.cpus_max * 1000.0).max(1.0);
             let urgency = latest_start + Micros::from_secs_f64(alone * SMALL_FIRST);
             order.push((
-                Priority {
+                QueueOrder {
                     starves: Reverse(self.starves(job, now)),
                     beyond_guarantee: !within,
                     rank: Reverse(job.spec.rank),
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,9 +1,9 @@
 //! Preemption: what is stopped so that more important work gets room.
 
-use super::{Place, PlacementPass, Priority, Room};
-use crate::cluster::Cluster;
+use super::{Place, PlacementPass, QueueOrder, Resources};
 use crate::jobs::JobId;
-use crate::jobs::spec::Rank;
+use crate::jobs::spec::Priority;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::wire::TaskStatus;
 use crate::workers::{AttemptKey, DesiredState};
@@ -15,13 +15,13 @@
     lost: u64,
     at: usize,
     key: AttemptKey,
-    need: Room,
+    need: Resources,
     team: usize,
-    rank: Rank,
+    rank: Priority,
     stopped: bool,
 }
 
-impl Cluster {
+impl SchedulerState {
     /// What could be stopped for anything that waits, the least loss first.
     fn victims(&self, pass: &PlacementPass, now: Moment) -> Vec<Victim> {
         let (highest, within) = pass.highest;
@@ -69,7 +69,7 @@
     /// Stops lower work, or work that others borrowed, where that makes room for waiting tasks.
     pub(super) fn make_room(
         &mut self,
-        priority: Priority,
+        queue_order: QueueOrder,
         id: JobId,
         waiting: u32,
         pass: &mut PlacementPass,
@@ -83,7 +83,7 @@
         // Most jobs that wait may stop nothing: they needn't look at all that runs.
         let lower = pass.lowest.is_some_and(|lowest| lowest < rank);
         let mut others = pass.over.iter().enumerate().filter(|(t, _)| *t != team);
-        let borrowed = !priority.beyond_guarantee && others.any(|(_, over)| *over > 0);
+        let borrowed = !queue_order.beyond_guarantee && others.any(|(_, over)| *over > 0);
         if !lower && !borrowed {
             return;
         }
@@ -116,7 +116,7 @@
         // By place, what might be stopped there: nothing is, unless it makes enough room together.
         // What is stopped in vain starts again in the room that it left, and is stopped again, without
         // end, where the rest of a machine can't be stopped.
-        let mut together: BTreeMap<usize, (Room, Vec<usize>)> = BTreeMap::new();
+        let mut together: BTreeMap<usize, (Resources, Vec<usize>)> = BTreeMap::new();
         let mut stops = Vec::new();
         let victims = pass.victims.as_mut().map_or(&mut [][..], |v| &mut v[..]);
         for i in 0..victims.len() {
@@ -126,7 +126,7 @@
             let v = &victims[i];
             // Only what comes later in the order: what fits into its own team's guarantee would stop
             // the same work in turn, since both teams may have borrowed, again and again.
-            let borrowed = !priority.beyond_guarantee
+            let borrowed = !queue_order.beyond_guarantee
                 && v.team != team
                 && v.rank <= rank
                 && pass.beyond.contains(&v.key.0)
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -2,17 +2,17 @@
 
 /// Resources in whole thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     pub cpu: i64,
     pub gpu: i64,
     pub ram: i64,
 }
 
-impl Room {
+impl Resources {
     /// What a task takes: rounded up.
-    pub fn need(cpus: f64, gpus: f64, ram_gb: f64) -> Room {
+    pub fn need(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil() as i64;
-        Room {
+        Resources {
             cpu: up(cpus),
             gpu: up(gpus),
             ram: up(ram_gb),
@@ -20,29 +20,29 @@
     }
 
     /// What a machine or a limit has: rounded down.
-    pub fn have(cpus: f64, gpus: f64, ram_gb: f64) -> Room {
+    pub fn have(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
         let down = |x: f64| (x * 1000.0 + 1e-6).floor() as i64;
-        Room {
+        Resources {
             cpu: down(cpus),
             gpu: down(gpus),
             ram: down(ram_gb),
         }
     }
 
-    pub fn fits(self, room: Room) -> bool {
+    pub fn fits(self, room: Resources) -> bool {
         self.cpu <= room.cpu && self.gpu <= room.gpu && self.ram <= room.ram
     }
 
-    pub fn plus(self, o: Room) -> Room {
-        Room {
+    pub fn plus(self, o: Resources) -> Resources {
+        Resources {
             cpu: self.cpu + o.cpu,
             gpu: self.gpu + o.gpu,
             ram: self.ram + o.ram,
         }
     }
 
-    pub fn minus(self, o: Room) -> Room {
-        Room {
+    pub fn minus(self, o: Resources) -> Resources {
+        Resources {
             cpu: self.cpu - o.cpu,
             gpu: self.gpu - o.gpu,
             ram: self.ram - o.ram,
@@ -50,16 +50,16 @@
     }
 
     /// The smaller of both, for each resource.
-    pub fn at_most(self, o: Room) -> Room {
-        Room {
+    pub fn at_most(self, o: Resources) -> Resources {
+        Resources {
             cpu: self.cpu.min(o.cpu),
             gpu: self.gpu.min(o.gpu),
             ram: self.ram.min(o.ram),
         }
     }
 
-    pub fn by(self, n: i64) -> Room {
-        Room {
+    pub fn by(self, n: i64) -> Resources {
+        Resources {
             cpu: self.cpu * n,
             gpu: self.gpu * n,
             ram: self.ram * n,
@@ -67,7 +67,7 @@
     }
 
     /// How many tasks of this need the room holds.
-    pub fn times(self, need: Room) -> u32 {
+    pub fn times(self, need: Resources) -> u32 {
         let one = |have: i64, need: i64| if need <= 0 { i64::MAX } else { have / need };
         one(self.cpu, need.cpu)
             .min(one(self.gpu, need.gpu))
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -1,30 +1,30 @@
 //! What machines have left, and what teams use of their limits.
 
-use super::Room;
-use crate::cluster::Cluster;
+use super::Resources;
 use crate::jobs::JobId;
+use crate::scheduler::SchedulerState;
 use crate::workers::{DesiredState, Machine};
 
-impl Cluster {
+impl SchedulerState {
     /// What is left on a machine beside everything that may be on it.
-    pub fn free_room(&self, m: &Machine) -> Room {
+    pub fn free_room(&self, m: &Machine) -> Resources {
         self.rooms(m).0
     }
 
     /// What is left on a machine, and what will be free there once what is being stopped is gone.
-    pub(super) fn rooms(&self, m: &Machine) -> (Room, Room) {
+    pub(super) fn rooms(&self, m: &Machine) -> (Resources, Resources) {
         let rooms = m.rooms.get().unwrap_or_else(|| self.count_rooms(m));
         m.rooms.set(Some(rooms));
         rooms
     }
 
-    fn count_rooms(&self, m: &Machine) -> (Room, Room) {
+    fn count_rooms(&self, m: &Machine) -> (Resources, Resources) {
         if m.orphans.iter().any(|g| !g.exited) {
             // Nobody knows what a job without a record takes.
-            return (Room::default(), Room::default());
+            return (Resources::default(), Resources::default());
         }
-        let (mut free, mut stopping) = (m.total, Room::default());
-        let mut last: Option<(JobId, Room)> = None;
+        let (mut free, mut stopping) = (m.total, Resources::default());
+        let mut last: Option<(JobId, Resources)> = None;
         for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
             let need = match last {
                 Some((id, need)) if id == key.0 => need,
@@ -44,8 +44,8 @@
 
     /// What each team's tasks take, counting what unseen machines may still run: whatever may be
     /// there, but no more than they can hold, since a worker refuses what doesn't fit.
-    pub(super) fn team_use(&self) -> Vec<Room> {
-        let mut used = vec![Room::default(); self.config.teams.len()];
+    pub(super) fn team_use(&self) -> Vec<Resources> {
+        let mut used = vec![Resources::default(); self.config.teams.len()];
         let mut unseen = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
@@ -56,19 +56,19 @@
             }
         }
         let most = self.unseen_room();
-        let with_unseen = |(used, unseen): (&Room, Room)| {
+        let with_unseen = |(used, unseen): (&Resources, Resources)| {
             used.plus(most.map_or(unseen, |most| unseen.at_most(most)))
         };
         used.iter().zip(unseen).map(with_unseen).collect()
     }
 
     /// What all unseen machines together have; None if nobody knows.
-    fn unseen_room(&self) -> Option<Room> {
+    fn unseen_room(&self) -> Option<Resources> {
         if self.claims_lost {
             return None;
         }
         let types = self.fleet.catalog.iter().map(|t| t.room);
-        let largest = types.reduce(|a, b| Room {
+        let largest = types.reduce(|a, b| Resources {
             cpu: a.cpu.max(b.cpu),
             gpu: a.gpu.max(b.gpu),
             ram: a.ram.max(b.ram),
@@ -78,19 +78,19 @@
             _ => largest,
         };
         let all = self.unseen.iter().map(room);
-        Some(all.fold(Room::default(), Room::plus))
+        Some(all.fold(Resources::default(), Resources::plus))
     }
 
     /// What each team may still add. Memory isn't limited.
-    pub fn team_room(&self) -> Vec<Room> {
+    pub fn team_room(&self) -> Vec<Resources> {
         self.team_room_beside(&self.team_use())
     }
 
-    pub(super) fn team_room_beside(&self, used: &[Room]) -> Vec<Room> {
+    pub(super) fn team_room_beside(&self, used: &[Resources]) -> Vec<Resources> {
         used.iter()
             .zip(&self.config.teams)
             .map(|(used, t)| {
-                let mut room = Room::have(t.cpus_max, t.gpus_max, 0.0).minus(*used);
+                let mut room = Resources::have(t.cpus_max, t.gpus_max, 0.0).minus(*used);
                 room.ram = i64::MAX / 4;
                 room
             })
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -1,8 +1,8 @@
 //! Where the tasks of a job may be: types, zones and kinds of machines.
 
-use crate::cluster::Cluster;
 use crate::jobs::spec::JobSpec;
 use crate::jobs::{Job, JobId};
+use crate::scheduler::SchedulerState;
 use std::collections::BTreeMap;
 
 impl JobSpec {
@@ -22,7 +22,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Tasks of the job by zone, done ones included where it is known.
     pub fn zones_of(&self, id: JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
--- a/src/fleet/edge.rs
+++ b/src/provisioning/edge.rs
@@ -2,8 +2,8 @@
 
 use super::RentalResult;
 use super::wire::{Catalog, MachineList, Names, RentRequest};
+use crate::controller::Controller;
 use crate::http::cbor::{decode, encode, json_len};
-use crate::node::Node;
 use crate::os::pause;
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -24,7 +24,7 @@
 /// Of the cloud's calls, lists take one in so many at most: rentals and returns need the others.
 const LIST_SHARE: f64 = 2.0;
 
-impl Node {
+impl Controller {
     fn cloud_call(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let now = self.now();
         {
--- a/src/fleet/list.rs
+++ b/src/provisioning/list.rs
@@ -2,11 +2,11 @@
 
 use super::wire::ListedMachine;
 use super::{ListStatus, NO_ROOM_PAUSE, RentalResult};
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
-impl Cluster {
+impl SchedulerState {
     /// Settles a rental's answer.
     pub fn rental_answered(&mut self, name: &str, result: RentalResult, now: Moment) {
         let Some(at) = self
--- a/src/fleet/mod.rs
+++ b/src/provisioning/mod.rs
@@ -7,9 +7,9 @@
 mod returns;
 pub mod wire;
 
-use crate::cluster::Cluster;
 use crate::jobs::rounds::{Write, WriteKind, page_write};
-use crate::placement::Room;
+use crate::placement::Resources;
+use crate::scheduler::SchedulerState;
 use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: String,
-    pub room: Room,
+    pub room: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Provisioning {
     pub catalog: Vec<MachineType>,
     /// Rentals without an answer yet.
     pub rental_requests: Vec<RentalRequest>,
@@ -95,7 +95,7 @@
 const MAX_RENTAL: u32 = 50;
 const MAX_RETURN: usize = 100;
 
-impl Fleet {
+impl Provisioning {
     pub fn is_gone(&self, name: &str) -> bool {
         self.gone.contains(name)
     }
@@ -104,7 +104,7 @@
         self.catalog.iter().find(|t| t.name == name)
     }
 
-    pub fn room_of(&self, type_name: &str) -> Room {
+    pub fn room_of(&self, type_name: &str) -> Resources {
         self.type_of(type_name).map(|t| t.room).unwrap_or_default()
     }
 
@@ -163,7 +163,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Sees to it that a machine is on the roster; true if it surely is already.
     pub fn enroll(&mut self, name: &str, now: Moment) -> bool {
         if !self.fleet.roster.contains(name) {
--- a/src/fleet/plan.rs
+++ b/src/provisioning/plan.rs
@@ -1,9 +1,9 @@
 //! The rental plan: what waiting work needs beyond the machines that are there and on their way.
 
 use super::{ListStatus, MAX_RENTAL, Offer, RentalRequest};
-use crate::cluster::Cluster;
 use crate::jobs::Job;
-use crate::placement::Room;
+use crate::placement::Resources;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,13 +13,13 @@
     type_index: usize,
     zone: String,
     spot: bool,
-    releases: Vec<(Moment, Room)>,
+    releases: Vec<(Moment, Resources)>,
 }
 
 impl Bin {
     /// When enough is free for one more task.
-    fn earliest(&self, need: Room) -> Option<Moment> {
-        let mut free = Room::default();
+    fn earliest(&self, need: Resources) -> Option<Moment> {
+        let mut free = Resources::default();
         self.releases.iter().find_map(|(at, room)| {
             free = free.plus(*room);
             need.fits(free).then_some(*at)
@@ -27,8 +27,8 @@
     }
 
     /// Takes room for a task from `start` for `run`.
-    fn take(&mut self, start: Moment, need: Room, run: Micros) {
-        let mut free = Room::default();
+    fn take(&mut self, start: Moment, need: Resources, run: Micros) {
+        let mut free = Resources::default();
         self.releases.retain(|(at, room)| {
             let taken = *at <= start;
             if taken {
@@ -51,7 +51,7 @@
 /// Plans are at least this long apart for each machine: one looks at every task on every machine.
 const PLAN_SPACING: Micros = Micros(500);
 
-impl Cluster {
+impl SchedulerState {
     /// Adds the rentals that waiting work needs beyond what is there and on its way.
     pub fn plan_rentals(&mut self, now: Moment) {
         let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
--- a/src/fleet/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -1,8 +1,8 @@
 //! Room kept ready for work that can't wait for a machine to boot.
 
-use super::{Fleet, LATE_BOOT, MAX_RENTAL, MachineType, Offer};
-use crate::cluster::Cluster;
+use super::{LATE_BOOT, MAX_RENTAL, MachineType, Offer, Provisioning};
 use crate::jobs::Job;
+use crate::scheduler::SchedulerState;
 use crate::settings::Objective;
 use crate::time::{Micros, Moment};
 use crate::workers::{AttemptKey, Machine};
@@ -14,7 +14,7 @@
 /// Room is kept on at least so many of the smallest machines: the loss of one takes not all of it.
 const LEAST_RESERVE_MACHINES: i64 = 2;
 
-impl Fleet {
+impl Provisioning {
     /// When most machines of a type are up after they were rented, for the type that boots soonest.
     fn soonest_boot(&self) -> Micros {
         let boots = self.catalog.iter().map(|t| t.boot);
@@ -45,7 +45,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Objectives on the starting times of work that ends. Replicas are asked for at once anyway.
     fn array_waits(&self) -> impl Iterator<Item = &Objective> {
         let waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
--- a/src/fleet/returns.rs
+++ b/src/provisioning/returns.rs
@@ -1,7 +1,7 @@
 //! Which machines go back to the cloud, and when.
 
 use super::{ListStatus, MAX_RETURN};
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
 
@@ -28,7 +28,7 @@
 /// More than one machine in so many is silent: the fault is rather on this side.
 const MOST_SILENT: usize = 3;
 
-impl Cluster {
+impl SchedulerState {
     /// True for a machine whose reports arrive but which answers don't seem to reach: it takes no
     /// work, so another one is rented in its place. A short suspicion changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
--- a/src/fleet/wire.rs
+++ b/src/provisioning/wire.rs
@@ -2,7 +2,7 @@
 
 use super::{ListStatus, MachineType};
 use crate::http::cbor::Decimal;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
             .iter()
             .map(|b| MachineType {
                 name: b.label.clone(),
-                room: Room::have(b.cpus.0, b.gpus.unwrap_or_default().0, b.ram_gb.0),
+                room: Resources::have(b.cpus.0, b.gpus.unwrap_or_default().0, b.ram_gb.0),
                 cache_gb: b.cache_gb.0,
                 fetch_gb_per_s: b.fetch_gb_per_s.0,
                 price: b.rate.0,
--- a/src/cluster.rs
+++ b/src/scheduler.rs
@@ -7,9 +7,9 @@
 mod hearing;
 mod views;
 
-use crate::fleet::Fleet;
 use crate::jobs::spec::Submission;
-use crate::jobs::{Deciding, DoneRecord, Job, JobId, Jobs, Outcome, new_job};
+use crate::jobs::{DoneRecord, FinalWrite, Job, JobId, Jobs, Outcome, new_job};
+use crate::provisioning::Provisioning;
 use crate::settings::{Objective, TeamSettings};
 use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment, WallTime, at_most};
@@ -20,7 +20,7 @@
 
 /// What an operator and the platform set.
 #[derive(Clone, Debug)]
-pub struct ClusterConfig {
+pub struct SchedulerConfig {
     pub teams: Vec<TeamSettings>,
     pub lease: Micros,
     /// Within this long after its confirmation a cancellation must be complete.
@@ -53,8 +53,8 @@
 const MOST_CLASSES: usize = 1000;
 
 #[derive(Debug)]
-pub struct Cluster {
-    pub config: ClusterConfig,
+pub struct SchedulerState {
+    pub config: SchedulerConfig,
     pub term: u64,
     /// Attempts are `term << 32 | counter`: they rise across leaders with nothing written.
     pub counter: u32,
@@ -62,7 +62,7 @@
     pub started: Moment,
     pub jobs: Jobs,
     pub machines: BTreeMap<String, Machine>,
-    pub fleet: Fleet,
+    pub fleet: Provisioning,
     pub rng: fastrand::Rng,
     /// Jobs of earlier terms may be placed: a full lease passed under this term.
     pub released: bool,
@@ -106,15 +106,15 @@
     pub fencing: Fencing,
 }
 
-impl Cluster {
-    pub fn new(config: ClusterConfig, term: u64, started: Moment, seed: u64) -> Cluster {
+impl SchedulerState {
+    pub fn new(config: SchedulerConfig, term: u64, started: Moment, seed: u64) -> SchedulerState {
         let (claims, roster) = (
             Pages::new(config.value_bytes),
             Pages::new(config.value_bytes),
         );
-        let mut fleet = Fleet::default();
+        let mut fleet = Provisioning::default();
         fleet.roster = roster;
-        Cluster {
+        SchedulerState {
             config,
             term,
             counter: 0,
@@ -194,7 +194,7 @@
         };
         if *known != revision && chunk == 0 {
             // What got no answer was guarded by the revision before: it can't be applied any more.
-            job.deciding = Deciding::No;
+            job.deciding = FinalWrite::Idle;
         }
         *known = revision;
         let mut set = job.recorded.clone();
@@ -220,7 +220,7 @@
             return;
         }
         job.outcome = Some(outcome);
-        job.deciding = Deciding::No;
+        job.deciding = FinalWrite::Idle;
         log::debug!(
             "{} of {}: {outcome:?}, {} tasks, first all placed {:?} s after acceptance",
             job.spec.id,
--- a/src/cluster/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -1,6 +1,6 @@
 //! How long tasks run, learned from those that ended, and when they should start.
 
-use super::{Cluster, MOST_CLASSES};
+use super::{MOST_CLASSES, SchedulerState};
 use crate::jobs::{Job, JobId};
 use crate::time::{Micros, Moment};
 
@@ -10,7 +10,7 @@
 /// A finished task moves its class's ratio of run time to estimate by this part of the difference.
 const LEARNING_RATE: f64 = 0.05;
 
-impl Cluster {
+impl SchedulerState {
     /// Learns from a finished task.
     pub fn note_run(&mut self, id: JobId, ran: Micros) {
         let Some(job) = self.jobs.table.get_mut(&id) else {
--- a/src/cluster/hearing.rs
+++ b/src/scheduler/hearing.rs
@@ -1,12 +1,12 @@
 //! Which machines the leader hears, and what their silence says of its own links.
 
-use super::Cluster;
+use super::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
 use aspenreel_links::workers::Hearing;
 use std::collections::BTreeMap;
 
-impl Cluster {
+impl SchedulerState {
     /// True when most machines fell silent together: rather this node is cut off than they are.
     ///
     /// The state service may still serve a leader that no worker reaches; it would keep its lease
--- a/src/cluster/views.rs
+++ b/src/scheduler/views.rs
@@ -1,30 +1,30 @@
 //! What the leader tells of jobs and of its machines.
 
-use super::Cluster;
+use super::SchedulerState;
 use crate::invariants::violations;
-use crate::jobs::{Deciding, JobId, JobView, Known, ViewState};
+use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
 use crate::workers::DesiredState;
 use crate::workers::wire::TaskStatus;
 use std::collections::BTreeMap;
 
-impl Cluster {
-    pub fn view(&self, id: &str) -> Known {
+impl SchedulerState {
+    pub fn view(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
-            return Known::Nothing;
+            return LocalStatus::Nothing;
         };
         if let Some(outcome) = job.outcome {
-            return Known::View(JobView::of_final(outcome, job.spec.tasks));
+            return LocalStatus::View(JobView::of_final(outcome, job.spec.tasks));
         }
-        if job.deciding != Deciding::No {
-            return Known::Deciding;
+        if job.deciding != FinalWrite::Idle {
+            return LocalStatus::FinalWriteInFlight;
         }
         let running = if job.is_bound() {
             self.running_of(job_id)
         } else {
             0
         };
-        Known::View(JobView {
+        LocalStatus::View(JobView {
             state: if running > 0 {
                 ViewState::Running
             } else {
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// Renewing the lease and taking the lead never wait behind anything.
-    Lead,
+    LeaderLease,
     /// A write that another bucket has let through: reads for users can't keep it out.
     Granted,
     Normal,
@@ -224,7 +224,7 @@
         {
             let mut bucket = self.bucket();
             let granted = match urgency {
-                Urgency::Lead | Urgency::Granted => {
+                Urgency::LeaderLease | Urgency::Granted => {
                     bucket.force(1.0, now);
                     true
                 }
@@ -360,7 +360,7 @@
         let body = encode(&Body {
             life_ms: life.0 / 1000,
         });
-        let (status, body) = self.call("POST", "/holds", &body, Urgency::Lead, CALL_TIME)?;
+        let (status, body) = self.call("POST", "/holds", &body, Urgency::LeaderLease, CALL_TIME)?;
         match status {
             200 => Ok(Self::parse::<Answer>(&body)?.lease),
             s => Self::unexpected(s),
@@ -369,7 +369,10 @@
 
     pub fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/renew");
-        match self.call("POST", &path, &[], Urgency::Lead, timeout)?.0 {
+        match self
+            .call("POST", &path, &[], Urgency::LeaderLease, timeout)?
+            .0
+        {
             200 => Ok(()),
             404 => Err(StoreError::NoLease),
             s => Self::unexpected(s),
@@ -378,7 +381,10 @@
 
     pub fn end_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}");
-        match self.call("DELETE", &path, &[], Urgency::Lead, CALL_TIME)?.0 {
+        match self
+            .call("DELETE", &path, &[], Urgency::LeaderLease, CALL_TIME)?
+            .0
+        {
             200..=299 | 404 => Ok(()),
             s => Self::unexpected(s),
         }
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -1,9 +1,9 @@
 //! Attempts that a report doesn't show: which never began, which are gone, and which may yet begin.
 
 use super::order_log::note_release;
-use super::wire::Report;
+use super::wire::Heartbeat;
 use super::{Attempt, AttemptKey, DesiredState};
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
 /// A worker has one heartbeat in flight: once it sends a newer one that doesn't show the start, the answer
 /// that held the start was dropped. The answer of a direct call proves nothing: it may have been made while
 /// the heartbeat's answer was on its way.
-fn absence_of(attempt: &Attempt, report: &Report, by_heartbeat: bool) -> Absence {
+fn absence_of(attempt: &Attempt, report: &Heartbeat, by_heartbeat: bool) -> Absence {
     if attempt.delivery.may_arrive() {
         return Absence::Open;
     }
@@ -44,11 +44,11 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Lets go of the machine's attempts that the report proves not to be there, and not to come.
     pub(super) fn drop_absent(
         &mut self,
-        report: &Report,
+        report: &Heartbeat,
         shown: &BTreeSet<AttemptKey>,
         by_heartbeat: bool,
         now: Moment,
--- a/src/workers/delivery.rs
+++ b/src/workers/delivery.rs
@@ -11,7 +11,7 @@
 //! a report without the attempt takes it away, since heartbeats renew the session meanwhile. What does:
 //!
 //! - The session is over, or the machine is gone. All attempts of the session are dropped then
-//!   (`Cluster::end_session`), so that none is left in doubt.
+//!   (`SchedulerState::end_session`), so that none is left in doubt.
 //! - A report of the same session tells a token above the order's ([`StartDelivery::settled_by`]). The
 //!   worker refuses the order from before that report on. If it had executed it earlier, the report, which
 //!   is taken in as a whole, shows the attempt: it isn't cleared while the start is in doubt.
@@ -19,7 +19,7 @@
 //! Sent again on purpose, a start is no doubt of its own: it names the same attempt, which the worker runs
 //! once until it is cleared.
 //!
-//! `Cluster::fence_doubted` makes one of the two come true, in time for cancelled jobs.
+//! `SchedulerState::fence_doubted` makes one of the two come true, in time for cancelled jobs.
 
 use crate::time::Moment;
 
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -3,10 +3,10 @@
 use super::delivery::{OrderInDoubt, StartDelivery};
 use super::order_log::{OrderPath, Recipient, note_orders, note_result};
 use super::orders::MAX_ORDERS;
-use super::wire::{Order, Report, TaskStatus, Verb};
+use super::wire::{CommandKind, Heartbeat, TaskStatus, WorkerCommand};
 use super::{Attempt, AttemptKey, DesiredState};
-use crate::cluster::Cluster;
 use crate::jobs::Job;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
 /// Direct calls that may be under way at once, but for those that have waited so long that the
@@ -24,7 +24,7 @@
     pub term: u64,
     pub token: u64,
     pub session: u64,
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
     starts: Vec<AttemptKey>,
     began: Moment,
     /// Only asks whether orders reach the machine.
@@ -33,7 +33,7 @@
 
 impl DirectCall {
     /// Only the machine itself, in the session that it was called in, shows that the call reached it.
-    fn is_answered_by(&self, report: &Report) -> bool {
+    fn is_answered_by(&self, report: &Heartbeat) -> bool {
         report.machine == self.machine && report.session == self.session
     }
 }
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum DirectResult {
     /// Executed, or surely refused: the worker's report after it.
-    Report(Report),
+    Answered(Heartbeat),
     /// Never sent, for want of a socket here.
     Unsent,
     /// Never sent: no connection to the machine came about.
@@ -53,27 +53,32 @@
 /// What one call carries.
 #[derive(Default)]
 struct DirectOrders {
-    orders: Vec<Order>,
+    orders: Vec<WorkerCommand>,
     starts: Vec<AttemptKey>,
 }
 
 /// What an attempt needs to be told before the next heartbeat, if anything.
-fn direct_verb(job: &Job, number: u32, attempt: &Attempt, takes_starts: bool) -> Option<Verb> {
+fn direct_verb(
+    job: &Job,
+    number: u32,
+    attempt: &Attempt,
+    takes_starts: bool,
+) -> Option<CommandKind> {
     match (attempt.status, attempt.desired) {
         (None, DesiredState::Run) => {
             let was_sent = attempt.sent.is_some() || attempt.delivery.may_arrive();
             let may_start = takes_starts && number < job.claimed && !job.is_closed();
-            (may_start && !was_sent).then_some(Verb::Run)
+            (may_start && !was_sent).then_some(CommandKind::Run)
         }
         (Some(status), DesiredState::Stop { .. }) => {
             let runs_on = status != TaskStatus::Exited && attempt.stop_sent.is_none();
-            runs_on.then_some(Verb::Stop)
+            runs_on.then_some(CommandKind::Stop)
         }
         _ => None,
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// The next machine with orders that need not wait for its heartbeat.
     pub fn next_direct(&mut self, now: Moment) -> Option<DirectCall> {
         let prompt = |t: &&Moment| now - **t < SILENT_AFTER;
@@ -153,7 +158,7 @@
                 continue;
             };
             content.orders.push(attempt.order(job, *key, verb));
-            if verb == Verb::Run {
+            if verb == CommandKind::Run {
                 attempt.delivery = StartDelivery::InFlight;
                 content.starts.push(*key);
             } else {
@@ -164,7 +169,7 @@
             }
         }
         // Stops go first: they make the room that the starts need.
-        content.orders.sort_by_key(|o| o.verb == Verb::Run);
+        content.orders.sort_by_key(|o| o.verb == CommandKind::Run);
         Some(content)
     }
 
@@ -222,15 +227,15 @@
         if lost && !machine.lost && !call.probe {
             machine.note_loss(now);
         }
-        if let DirectResult::Report(report) = &result
+        if let DirectResult::Answered(report) = &result
             && call.is_answered_by(report)
             && report.session == machine.session
         {
             // It hears.
             self.dirty |= machine.suspicion.take().is_some();
         }
-        let answered = matches!(result, DirectResult::Report(_));
-        if let DirectResult::Report(report) = result
+        let answered = matches!(result, DirectResult::Answered(_));
+        if let DirectResult::Answered(report) = result
             && report.machine == call.machine
             && report.token <= self.fencing.newest()
             && !machine.lost
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -1,12 +1,12 @@
 //! Heartbeats as they arrive, and direct calls as they leave.
 
-use super::Heartbeat;
+use super::HeartbeatReply;
 use super::direct::{DirectCall, DirectResult};
-use super::wire::{Commands, Misdirected, Orders, Report, Sender};
+use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
+use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
 use crate::http::client::CallError;
 use crate::http::server::Response;
-use crate::node::Node;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
 use std::collections::HashMap;
@@ -65,7 +65,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub fn heartbeat(&self, body: &[u8]) -> Response {
         {
             let mut core = self.core();
@@ -81,7 +81,7 @@
                 return response;
             }
         }
-        let report: Report = match decode(body) {
+        let report: Heartbeat = match decode(body) {
             Ok(report) => report,
             Err(e) => {
                 log::info!("malformed report: {e}");
@@ -97,17 +97,17 @@
         };
         let (term, valid_until) = (lead.term, lead.valid_until);
         match cluster.heartbeat(&report, now) {
-            Heartbeat::Orders { token, orders } => {
+            HeartbeatReply::Commands { token, orders } => {
                 self.wake(cluster);
                 drop(core);
-                let body = encode(&Orders { token, orders });
+                let body = encode(&HeartbeatReplyBody { token, orders });
                 Response {
                     valid_until: Some(valid_until),
                     ..Response::new(200, body)
                 }
             }
-            Heartbeat::Stale | Heartbeat::Withheld => Response::busy(1),
-            Heartbeat::Deposed => {
+            HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(1),
+            HeartbeatReply::Deposed => {
                 log::info!("a worker knows a higher term than {term}");
                 core.step_down = true;
                 Response::busy(1)
@@ -118,7 +118,7 @@
     /// Remembers whose heartbeat was refused, where links are watched.
     fn note_refused(&self, body: &[u8], now: Moment) {
         if let Some(links) = &self.links
-            && let Ok(sender) = decode::<Sender>(body)
+            && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
             links.refused_worker(&sender.host, now);
         }
@@ -126,7 +126,7 @@
 
     /// Names the leader only while the state service vouched for it lately: a node that lost
     /// touch would send workers in circles.
-    fn misdirected(&self, core: &crate::node::Core) -> Response {
+    fn misdirected(&self, core: &crate::controller::ControllerState) -> Response {
         let vouched = self.now() - core.leader_seen < VOUCHED;
         let foreman = core
             .known_leader
@@ -134,11 +134,11 @@
             .filter(|_| vouched)
             .map(|l| l.node.clone())
             .filter(|n| *n != self.settings.node);
-        Response::new(421, encode(&Misdirected { foreman }))
+        Response::new(421, encode(&NotLeaderReply { foreman }))
     }
 
     /// Wakes the threads that have something to do after a decision.
-    pub fn wake(&self, cluster: &mut crate::cluster::Cluster) {
+    pub fn wake(&self, cluster: &mut crate::scheduler::SchedulerState) {
         if std::mem::take(&mut cluster.urgent_rounds) {
             self.changed.notify_all();
         }
@@ -193,7 +193,7 @@
         let open = self.open.load(Ordering::Relaxed);
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
-        let body = encode(&Commands {
+        let body = encode(&DirectCommands {
             token: call.token,
             session: call.session,
             orders: &call.orders,
@@ -201,7 +201,7 @@
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
             Ok((200 | 409, body)) => match decode(&body) {
-                Ok(report) => DirectResult::Report(report),
+                Ok(report) => DirectResult::Answered(report),
                 Err(e) => {
                     log::info!("malformed answer of {}: {e}", call.machine);
                     DirectResult::Unknown
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -1,21 +1,21 @@
 //! What a report proves: which attempts a machine holds, which ended, and which never began.
 
 use super::exits::{Exit, settle_exit};
-use super::wire::{Cause, Report, TaskReport, TaskStatus};
+use super::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use super::{Attempt, AttemptKey, DesiredState, Orphan};
-use crate::cluster::Cluster;
 use crate::invariants::{self, Invariant};
 use crate::jobs::Job;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
 /// A start that is stopped sooner doesn't count as one.
 pub(super) const COUNTS_AFTER: Micros = Micros::from_secs(30);
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in a report that is newer than what is known. `checked_in`: it came as a heartbeat,
     /// not as the answer of a direct call.
-    pub(super) fn take_in(&mut self, report: &Report, by_heartbeat: bool, now: Moment) {
+    pub(super) fn take_in(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
         let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
@@ -84,7 +84,7 @@
     }
 
     /// Takes in a report's list of tasks, as a whole.
-    fn apply_tasks(&mut self, report: &Report, by_heartbeat: bool, now: Moment) {
+    fn apply_tasks(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
         let mut shown = BTreeSet::new();
         let mut orphans = Vec::new();
         for task in &report.tasks {
@@ -117,13 +117,13 @@
     }
 
     /// The attempt that a worker tells of, if its job is known.
-    fn key_of(&self, task: &TaskReport) -> Option<AttemptKey> {
+    fn key_of(&self, task: &ReportedTask) -> Option<AttemptKey> {
         let (id, number) = task.parts()?;
         Some((self.jobs.find(id)?, number, task.attempt))
     }
 
     /// What one task's line in a report shows.
-    fn take_task(&mut self, report: &Report, key: AttemptKey, task: &TaskReport, now: Moment) {
+    fn take_task(&mut self, report: &Heartbeat, key: AttemptKey, task: &ReportedTask, now: Moment) {
         let (job_id, number, _) = key;
         let cache_gb = self.fleet.cache_of(&report.type_name);
         let (Some(job), Some(machine)) = (
@@ -144,7 +144,7 @@
         if task.status == TaskStatus::Exited && before != Some(TaskStatus::Exited) {
             let exit = Exit {
                 key,
-                cause: task.cause.unwrap_or(Cause::Other),
+                cause: task.cause.unwrap_or(ExitReason::Other),
                 at: now,
             };
             let effect = settle_exit(&exit, job, machine, &mut attempt);
@@ -162,7 +162,7 @@
     }
 
     /// A job that this leader let go must not run: nothing of it could be left.
-    fn check_orphan(&self, machine: &str, task: &TaskReport, now: Moment) {
+    fn check_orphan(&self, machine: &str, task: &ReportedTask, now: Moment) {
         let own = self.machines.get(machine);
         // The first thing heard of a machine may be a copy of what was long ago.
         let is_known = own.is_some_and(|m| m.known_since < now);
@@ -180,7 +180,7 @@
 }
 
 /// An earlier leader's attempt, or one of an order thought lost.
-fn found_attempt(job: &mut Job, number: u32, task: &TaskReport, now: Moment) -> Attempt {
+fn found_attempt(job: &mut Job, number: u32, task: &ReportedTask, now: Moment) -> Attempt {
     let bound = task.status != TaskStatus::Exited;
     if bound {
         job.bind(number);
@@ -189,7 +189,7 @@
 }
 
 /// A task shows up for the first time: not of a job whose cancellation must be complete.
-fn check_start(job: &Job, task: &TaskReport, machine: &str, cancel: Micros, now: Moment) {
+fn check_start(job: &Job, task: &ReportedTask, machine: &str, cancel: Micros, now: Moment) {
     let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
     if is_late && task.status != TaskStatus::Exited {
         invariants::violated(
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt means for its task, its job and its machine.
 
 use super::evidence::COUNTS_AFTER;
-use super::wire::Cause;
+use super::wire::ExitReason;
 use super::{Attempt, AttemptKey, Machine};
 use crate::jobs::Job;
 use crate::time::{Micros, Moment};
@@ -14,7 +14,7 @@
 /// An attempt that a report shows as exited for the first time.
 pub(super) struct Exit {
     pub key: AttemptKey,
-    pub cause: Cause,
+    pub cause: ExitReason,
     pub at: Moment,
 }
 
@@ -34,7 +34,7 @@
     machine: &mut Machine,
     attempt: &mut Attempt,
 ) -> ExitEffect {
-    attempt.done = exit.cause == Cause::Done && !job.spec.standing;
+    attempt.done = exit.cause == ExitReason::Done && !job.spec.standing;
     let since = attempt.running_since;
     let effect = if job.spec.standing {
         let lasted = since.is_some_and(|t| exit.at - t > COUNTS_AFTER);
@@ -53,9 +53,9 @@
 /// machine after the other, waits longer and longer.
 fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.cause {
-        Cause::Done | Cause::Error if lasted => job.failed_on.clear(),
-        Cause::Done => job.note_failure(&machine.name, exit.at),
-        Cause::Error => note_error(exit, job, machine),
+        ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
+        ExitReason::Done => job.note_failure(&machine.name, exit.at),
+        ExitReason::Error => note_error(exit, job, machine),
         _ => {}
     }
 }
@@ -67,7 +67,7 @@
     machine: &mut Machine,
 ) -> ExitEffect {
     match exit.cause {
-        Cause::Done => {
+        ExitReason::Done => {
             let is_first = job.settle(exit.key.1);
             job.failed_on.clear();
             machine.error_streak.clear();
@@ -76,7 +76,7 @@
                 ran: since.map(|t| exit.at - t),
             }
         }
-        Cause::Error => {
+        ExitReason::Error => {
             note_error(exit, job, machine);
             ExitEffect::default()
         }
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -15,8 +15,8 @@
 //! nobody, and the next one begins with a higher token: both cover a change of leader at any moment.
 
 use super::StartDelivery;
-use crate::cluster::{Cluster, LEASE_MARGIN};
 use crate::invariants::{self, Invariant};
+use crate::scheduler::{LEASE_MARGIN, SchedulerState};
 use crate::time::{Micros, Moment, at_least};
 use std::collections::BTreeMap;
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// The token that goes with answers and orders to this machine.
     pub fn token_for(&self, machine: &str) -> u64 {
         let own = self.machines.get(machine);
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,9 +1,9 @@
 //! What is known of one machine and of the attempts on it.
 
 use super::delivery::StartDelivery;
-use super::wire::{Order, TaskStatus, Verb};
+use super::wire::{CommandKind, TaskStatus, WorkerCommand};
 use crate::jobs::{Job, JobId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::time::{Micros, Moment};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,12 +55,12 @@
     }
 
     /// The order with this verb for it.
-    pub(super) fn order(&self, job: &Job, key: AttemptKey, verb: Verb) -> Order {
+    pub(super) fn order(&self, job: &Job, key: AttemptKey, verb: CommandKind) -> WorkerCommand {
         let leeway = match self.desired {
-            DesiredState::Stop { leeway } if verb == Verb::Stop => Some(leeway),
+            DesiredState::Stop { leeway } if verb == CommandKind::Stop => Some(leeway),
             _ => None,
         };
-        Order {
+        WorkerCommand {
             verb,
             piece: format!("{}/{}", job.spec.id, key.1),
             attempt: key.2,
@@ -145,7 +145,7 @@
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub total: Room,
+    pub total: Resources,
     pub session: u64,
     pub tick: u64,
     /// The token that it is answered with, if it is above the term.
@@ -188,7 +188,7 @@
     pub error_streak: BTreeSet<JobId>,
     pub known_since: Moment,
     pub idle_since: Option<Moment>,
-    pub list_status: Option<crate::fleet::ListStatus>,
+    pub list_status: Option<crate::provisioning::ListStatus>,
     pub last_listed: Option<Moment>,
     /// It existed at this moment, at the latest.
     pub exists_since: Option<Moment>,
@@ -196,7 +196,7 @@
     pub calling: bool,
     /// What is free, and what will be, as last worked out: a pass looks at every machine, and few
     /// changed since the one before. Whatever changes its attempts forgets it.
-    pub rooms: Cell<Option<(Room, Room)>>,
+    pub rooms: Cell<Option<(Resources, Resources)>>,
 }
 
 impl Machine {
@@ -205,7 +205,7 @@
         type_name: &str,
         zone: &str,
         spot: bool,
-        total: Room,
+        total: Resources,
         now: Moment,
     ) -> Machine {
         Machine {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -17,16 +17,19 @@
 pub use delivery::StartDelivery;
 pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Suspicion};
 
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use order_log::{OrderPath, Recipient, note_orders};
-use wire::{Order, Report};
+use wire::{Heartbeat, WorkerCommand};
 
 /// What a heartbeat is answered with.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heartbeat {
+pub enum HeartbeatReply {
     /// 200 with these orders, under this token.
-    Orders { token: u64, orders: Vec<Order> },
+    Commands {
+        token: u64,
+        orders: Vec<WorkerCommand>,
+    },
     /// It must not be answered, so that its session ends.
     Withheld,
     /// A late or repeated report: it renews nothing.
@@ -35,18 +38,18 @@
     Deposed,
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in a report and answers with what the machine is to do.
-    pub fn heartbeat(&mut self, report: &Report, now: Moment) -> Heartbeat {
+    pub fn heartbeat(&mut self, report: &Heartbeat, now: Moment) -> HeartbeatReply {
         if report.token > self.fencing.newest() {
-            return Heartbeat::Deposed;
+            return HeartbeatReply::Deposed;
         }
         if self.fleet.is_gone(&report.machine) {
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         }
         if !self.machines.contains_key(&report.machine) {
             if self.machines.len() >= self.config.most_machines {
-                return Heartbeat::Stale;
+                return HeartbeatReply::Stale;
             }
             let total = self.fleet.room_of(&report.type_name);
             let mut machine = Machine::new(
@@ -67,16 +70,16 @@
             machine.recorded = recorded;
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         };
         if report.session < machine.session || (machine.lost && report.session <= machine.session) {
             // After an expired lease the session is over, whatever a late report says.
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         }
         let seen = (report.session, report.tick);
         if seen <= machine.checked {
             // A copy: it renews nothing, and doesn't prove that its sender is alive.
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
         self.dirty |= !machine.is_alive(self.config.report, now);
@@ -89,7 +92,7 @@
         // Else the answer of a direct call overtook this report, whose task list is older than
         // what is known; the answer to it is as good as any.
         if self.must_withhold(&report.machine, now) {
-            return Heartbeat::Withheld;
+            return HeartbeatReply::Withheld;
         }
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.lease_from = now;
@@ -105,6 +108,6 @@
             token,
         };
         note_orders(OrderPath::HeartbeatAnswer, &to, &orders);
-        Heartbeat::Orders { token, orders }
+        HeartbeatReply::Commands { token, orders }
     }
 }
--- a/src/workers/order_log.rs
+++ b/src/workers/order_log.rs
@@ -3,7 +3,7 @@
 //! under which token and session, and on what evidence it was believed to be over.
 
 use super::direct::{DirectCall, DirectResult};
-use super::wire::{Order, Verb};
+use super::wire::{CommandKind, WorkerCommand};
 use crate::time::Moment;
 use std::fmt;
 
@@ -33,7 +33,7 @@
 }
 
 /// Orders that are about to be sent.
-pub(super) fn note_orders(path: OrderPath, to: &Recipient<'_>, orders: &[Order]) {
+pub(super) fn note_orders(path: OrderPath, to: &Recipient<'_>, orders: &[WorkerCommand]) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
@@ -77,17 +77,17 @@
     );
 }
 
-fn verb_name(verb: Verb) -> &'static str {
+fn verb_name(verb: CommandKind) -> &'static str {
     match verb {
-        Verb::Run => "run",
-        Verb::Stop => "stop",
-        Verb::Clear => "clear",
+        CommandKind::Run => "run",
+        CommandKind::Stop => "stop",
+        CommandKind::Clear => "clear",
     }
 }
 
 fn result_name(result: &DirectResult) -> &'static str {
     match result {
-        DirectResult::Report(_) => "answered",
+        DirectResult::Answered(_) => "answered",
         DirectResult::Unsent => "not_sent",
         DirectResult::Unreached => "not_reached",
         DirectResult::Unknown => "no_answer",
--- a/src/workers/orders.rs
+++ b/src/workers/orders.rs
@@ -1,16 +1,16 @@
 //! The orders for one machine: the difference between what is wanted and what it reports.
 
 use super::DesiredState;
-use super::wire::{Order, TaskStatus, Verb};
-use crate::cluster::Cluster;
+use super::wire::{CommandKind, TaskStatus, WorkerCommand};
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
 /// At most this many orders go into one answer: it must stay below 64 KiB.
 pub(super) const MAX_ORDERS: usize = 300;
 
-impl Cluster {
+impl SchedulerState {
     /// The orders for one machine: the difference between wanted and reported.
-    pub(super) fn orders(&mut self, name: &str, now: Moment) -> Vec<Order> {
+    pub(super) fn orders(&mut self, name: &str, now: Moment) -> Vec<WorkerCommand> {
         let may_release = self.permissions().release;
         let Some(machine) = self.machines.get_mut(name) else {
             return Vec::new();
@@ -18,11 +18,11 @@
         let mut orders = Vec::new();
         let orphans = machine.orphans.iter();
         for orphan in orphans.filter(|orphan| may_release || !orphan.exited) {
-            orders.push(Order {
+            orders.push(WorkerCommand {
                 verb: if orphan.exited {
-                    Verb::Clear
+                    CommandKind::Clear
                 } else {
-                    Verb::Stop
+                    CommandKind::Stop
                 },
                 piece: orphan.piece.clone(),
                 attempt: orphan.attempt,
@@ -46,7 +46,7 @@
                 (Some(TaskStatus::Exited), _)
                     if !attempt.done || job.recorded.contains(key.1) || job.outcome.is_some() =>
                 {
-                    orders.push(attempt.order(job, *key, Verb::Clear));
+                    orders.push(attempt.order(job, *key, CommandKind::Clear));
                 }
                 (Some(TaskStatus::Exited), _) => {}
                 (Some(TaskStatus::Flushing), DesiredState::Stop { leeway }) => {
@@ -54,8 +54,8 @@
                         .stop_sent
                         .is_some_and(|t| now - t > leeway + Micros::from_secs(5));
                     if leeway == Micros::ZERO || overdue {
-                        let stop = attempt.order(job, *key, Verb::Stop);
-                        orders.push(Order {
+                        let stop = attempt.order(job, *key, CommandKind::Stop);
+                        orders.push(WorkerCommand {
                             leeway_s: Some(0.0),
                             ..stop
                         });
@@ -63,7 +63,7 @@
                 }
                 (Some(_), DesiredState::Stop { .. }) => {
                     attempt.stop_sent.get_or_insert(now);
-                    orders.push(attempt.order(job, *key, Verb::Stop));
+                    orders.push(attempt.order(job, *key, CommandKind::Stop));
                 }
                 (None, DesiredState::Run) => {
                     if job.is_closed() {
@@ -85,7 +85,7 @@
                         continue;
                     }
                     attempt.sent = Some(here);
-                    starts.push(attempt.order(job, *key, Verb::Run));
+                    starts.push(attempt.order(job, *key, CommandKind::Run));
                 }
                 (None, DesiredState::Stop { .. })
                     if attempt.sent.is_none() && !attempt.delivery.may_arrive() =>
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -1,9 +1,9 @@
 //! Worker sessions: they end with their lease, and everything on the machine with them.
 
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
-impl Cluster {
+impl SchedulerState {
     /// A suspected machine is asked directly; one whose session lasts is heard and hears.
     pub(super) fn review_suspicion(&mut self, name: &str, now: Moment) {
         let span = self.lease_span();
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     #[serde(default)]
@@ -23,28 +23,28 @@
     #[serde(rename = "recallS", default)]
     pub recall: Option<Decimal>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<ReportedTask>,
 }
 
 /// Of a report, only whose it is.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Sender {
+pub struct HeartbeatSender {
     pub host: String,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct ReportedTask {
     pub piece: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskStatus,
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
     #[serde(default)]
     pub stored: Option<bool>,
 }
 
-impl TaskReport {
+impl ReportedTask {
     /// Job and task number.
     pub fn parts(&self) -> Option<(&str, u32)> {
         let (id, number) = self.piece.rsplit_once('/')?;
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -79,15 +79,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandKind {
     Run,
     Stop,
     Clear,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
-    pub verb: Verb,
+pub struct WorkerCommand {
+    pub verb: CommandKind,
     pub piece: String,
     #[serde(rename = "try")]
     pub attempt: u64,
@@ -95,26 +95,26 @@
     pub leeway_s: Option<f64>,
 }
 
-impl Eq for Order {}
+impl Eq for WorkerCommand {}
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatReplyBody {
     #[serde(rename = "baton")]
     pub token: u64,
-    pub orders: Vec<Order>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Serialize)]
-pub struct Misdirected {
+pub struct NotLeaderReply {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub foreman: Option<String>,
 }
 
 #[derive(Debug, Serialize)]
-pub struct Commands<'a> {
+pub struct DirectCommands<'a> {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "shift")]
     pub session: u64,
-    pub orders: &'a [Order],
+    pub orders: &'a [WorkerCommand],
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -1,22 +1,24 @@
-//! A small world for traces: events go into a `Cluster`, and what it wants is written down.
+//! A small world for traces: events go into a `SchedulerState`, and what it wants is written down.
 
-use aspenreel::cluster::{Cluster, ClusterConfig};
-use aspenreel::fleet::wire::{Catalog, ListedMachine};
 use aspenreel::http::cbor::{Decimal, decode, encode};
-use aspenreel::jobs::Known;
+use aspenreel::jobs::LocalStatus;
 use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
 use aspenreel::jobs::spec::Submission;
+use aspenreel::provisioning::wire::{Catalog, ListedMachine};
+use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::Heartbeat;
+use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::direct::DirectResult;
-use aspenreel::workers::wire::{Cause, Order, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
+};
 use ciborium::cbor;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 pub struct World {
-    pub cluster: Cluster,
+    pub cluster: SchedulerState,
     pub log: String,
     pub now: Moment,
     /// The state service takes higher tokens.
@@ -65,21 +67,21 @@
 }
 
 /// `run-1/0#5 running`: a task as a worker reports it.
-fn task_report(text: &str) -> TaskReport {
+fn task_report(text: &str) -> ReportedTask {
     let mut words = text.split(' ');
     let (piece, attempt) = words.next().unwrap().split_once('#').unwrap();
     let (status, cause) = match words.next().unwrap() {
         "fetching" => (TaskStatus::Fetching, None),
         "running" => (TaskStatus::Running, None),
         "flushing" => (TaskStatus::Flushing, None),
-        "done" => (TaskStatus::Exited, Some(Cause::Done)),
-        "stopped" => (TaskStatus::Exited, Some(Cause::Stopped)),
-        "error" => (TaskStatus::Exited, Some(Cause::Error)),
+        "done" => (TaskStatus::Exited, Some(ExitReason::Done)),
+        "stopped" => (TaskStatus::Exited, Some(ExitReason::Stopped)),
+        "error" => (TaskStatus::Exited, Some(ExitReason::Error)),
         other => panic!("{other}"),
     };
     let (term, counter) = attempt.split_once('.').unwrap();
     let attempt = (term.parse::<u64>().unwrap() << 32) | counter.parse::<u64>().unwrap();
-    TaskReport {
+    ReportedTask {
         piece: piece.into(),
         attempt,
         status,
@@ -88,11 +90,11 @@
     }
 }
 
-fn show(order: &Order) -> String {
+fn show(order: &WorkerCommand) -> String {
     let verb = match order.verb {
-        Verb::Run => "run",
-        Verb::Stop => "stop",
-        Verb::Clear => "clear",
+        CommandKind::Run => "run",
+        CommandKind::Stop => "stop",
+        CommandKind::Clear => "clear",
     };
     let (term, counter) = (order.attempt >> 32, order.attempt & 0xffff_ffff);
     format!("{verb} {}#{term}.{counter}", order.piece)
@@ -101,7 +103,7 @@
 impl World {
     /// A leader of `term` that took over at second 0.
     pub fn new(term: u64, teams: Vec<TeamSettings>) -> World {
-        let config = ClusterConfig {
+        let config = SchedulerConfig {
             teams,
             lease: Micros::from_secs(20),
             cancel: Micros::from_secs(46),
@@ -118,7 +120,7 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = Cluster::new(config, term, at(0.0), 7);
+        let mut cluster = SchedulerState::new(config, term, at(0.0), 7);
         cluster.fleet.catalog = catalog().types();
         World {
             cluster,
@@ -171,12 +173,12 @@
         self
     }
 
-    pub fn report(&mut self, machine: &str, token: u64, session: u64, tasks: &[&str]) -> Report {
+    pub fn report(&mut self, machine: &str, token: u64, session: u64, tasks: &[&str]) -> Heartbeat {
         let tick = self.ticks.entry(machine.to_string()).or_insert(0);
         *tick += 1;
         // Names tell type and zone: `small-east-1`.
         let parts: Vec<&str> = machine.split('-').collect();
-        Report {
+        Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:1".into(),
             type_name: parts[0].into(),
@@ -202,26 +204,26 @@
         told.unwrap_or(self.cluster.term)
     }
 
-    pub fn send(&mut self, report: &Report) -> &mut Self {
+    pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
         self.send_to(report);
         self
     }
 
     /// Sends a report; the token of its answer, if it is answered.
-    pub fn send_to(&mut self, report: &Report) -> Option<u64> {
+    pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace claims and the roster are written as soon as they are due.
         self.cluster.place(self.now);
         self.record_fleet();
         let answer = self.cluster.heartbeat(report, self.now);
         let token = match answer {
-            Heartbeat::Orders { token, .. } => Some(token),
+            HeartbeatReply::Commands { token, .. } => Some(token),
             _ => None,
         };
         if let Some(token) = token {
             self.told.insert(report.machine.clone(), token);
         }
         let text = match answer {
-            Heartbeat::Orders { token, orders } => {
+            HeartbeatReply::Commands { token, orders } => {
                 let orders: Vec<String> = orders.iter().map(show).collect();
                 let text = match orders.is_empty() {
                     true => "nothing to do".to_string(),
@@ -305,7 +307,7 @@
         let orders: Vec<String> = call.orders.iter().map(show).collect();
         let result = result(self);
         let end = match &result {
-            DirectResult::Report(_) => "answered",
+            DirectResult::Answered(_) => "answered",
             DirectResult::Unsent => "not sent",
             DirectResult::Unreached => "no connection",
             DirectResult::Unknown => "no answer",
@@ -351,14 +353,14 @@
 
     pub fn view(&mut self, id: &str) -> &mut Self {
         let text = match self.cluster.view(id) {
-            Known::View(v) => format!(
+            LocalStatus::View(v) => format!(
                 "{} ({} done, {} running)",
                 v.state.name(),
                 v.done,
                 v.running
             ),
-            Known::Deciding => "being decided".into(),
-            Known::Nothing => "unknown".into(),
+            LocalStatus::FinalWriteInFlight => "being decided".into(),
+            LocalStatus::Nothing => "unknown".into(),
         };
         self.note(&format!("{id} is told as {text}"));
         self
@@ -461,19 +463,19 @@
         report.tasks = running.chain(done).collect();
         let answer = self.cluster.heartbeat(&report, self.now);
         self.record_fleet();
-        let Heartbeat::Orders { orders, .. } = answer else {
+        let HeartbeatReply::Commands { orders, .. } = answer else {
             panic!("{answer:?}");
         };
         for order in orders {
             match order.verb {
-                Verb::Run => {
+                CommandKind::Run => {
                     let job = order.piece.split('/').next().unwrap().to_string();
                     let ends = seconds + run(&job);
                     begun.entry(job).or_insert(seconds);
                     worker.tasks.push((order.piece, order.attempt, ends));
                 }
-                Verb::Stop => worker.tasks.retain(|t| t.1 != order.attempt),
-                Verb::Clear => worker.over.retain(|t| t.1 != order.attempt),
+                CommandKind::Stop => worker.tasks.retain(|t| t.1 != order.attempt),
+                CommandKind::Clear => worker.over.retain(|t| t.1 != order.attempt),
             }
         }
         let mut writes = self.cluster.due_finals(12);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -6,17 +6,19 @@
 //! profiler that counts instructions (`docs/operations.md`, *Measuring*), with `REPLAY_SCALE` times
 //! as much work on as many more machines.
 
-use aspenreel::cluster::{Cluster, ClusterConfig};
-use aspenreel::fleet::RentalResult;
-use aspenreel::fleet::wire::{Catalog, MachineList};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::rounds::affordable;
 use aspenreel::jobs::spec::Submission;
+use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::wire::{Catalog, MachineList};
+use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::Heartbeat;
+use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::direct::DirectResult;
-use aspenreel::workers::wire::{Cause, Order, Orders, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
+};
 use ciborium::cbor;
 use std::collections::{BTreeMap, HashMap};
 
@@ -52,7 +54,7 @@
 }
 
 struct Replay {
-    cluster: Cluster,
+    cluster: SchedulerState,
     workers: BTreeMap<String, Worker>,
     work: HashMap<String, Work>,
     rng: fastrand::Rng,
@@ -86,7 +88,7 @@
             class: Some(class.into()),
             within_s,
         };
-        let config = ClusterConfig {
+        let config = SchedulerConfig {
             teams: vec![team("quick", 420.0), team("bulk", 1200.0)],
             lease: Micros::from_secs(21),
             cancel: Micros::from_secs(46),
@@ -107,7 +109,7 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = Cluster::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
+        let mut cluster = SchedulerState::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
         cluster.fleet.catalog = catalog.types();
         Replay {
             cluster,
@@ -172,7 +174,7 @@
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
         w.tick += 1;
-        let tasks = w.tasks.iter().map(|t| TaskReport {
+        let tasks = w.tasks.iter().map(|t| ReportedTask {
             piece: t.piece.clone(),
             attempt: t.attempt,
             status: match t {
@@ -180,10 +182,10 @@
                 t if t.runs_at <= now => TaskStatus::Running,
                 _ => TaskStatus::Fetching,
             },
-            cause: t.over.then_some(Cause::Done),
+            cause: t.over.then_some(ExitReason::Done),
             stored: None,
         });
-        encode(&Report {
+        encode(&Heartbeat {
             machine: name.into(),
             addr: "10.1.0.2:9000".into(),
             type_name: "t64".into(),
@@ -197,7 +199,7 @@
         })
     }
 
-    fn execute(&mut self, name: &str, orders: &[Order]) {
+    fn execute(&mut self, name: &str, orders: &[WorkerCommand]) {
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
         for order in orders {
@@ -206,7 +208,7 @@
                 .iter()
                 .position(|t| (&t.piece, t.attempt) == (&order.piece, order.attempt));
             match (order.verb, at) {
-                (Verb::Run, None) => {
+                (CommandKind::Run, None) => {
                     let work = &self.work[order.piece.split('/').next().unwrap()];
                     let other = self.running.insert(order.piece.clone(), name.to_string());
                     assert_eq!(other, None, "{} starts on {name} as well", order.piece);
@@ -225,8 +227,8 @@
                         over: false,
                     });
                 }
-                (Verb::Run, Some(_)) | (_, None) => {}
-                (Verb::Stop | Verb::Clear, Some(at)) => {
+                (CommandKind::Run, Some(_)) | (_, None) => {}
+                (CommandKind::Stop | CommandKind::Clear, Some(at)) => {
                     let t = w.tasks.remove(at);
                     if !t.over {
                         w.free += self.work[t.piece.split('/').next().unwrap()].cpus;
@@ -262,16 +264,17 @@
         for name in due {
             self.heartbeats += 1;
             let body = self.report(&name);
-            let report: Report = decode(&body).unwrap();
-            let Heartbeat::Orders { orders, .. } = self.cluster.heartbeat(&report, self.now())
+            let report: Heartbeat = decode(&body).unwrap();
+            let HeartbeatReply::Commands { orders, .. } =
+                self.cluster.heartbeat(&report, self.now())
             else {
                 panic!("{name} is turned away");
             };
-            let answer = encode(&Orders {
+            let answer = encode(&HeartbeatReplyBody {
                 token: TERM,
                 orders,
             });
-            let answer: Orders = decode(&answer).unwrap();
+            let answer: HeartbeatReplyBody = decode(&answer).unwrap();
             self.execute(&name, &answer.orders);
             let pause = self.rng.u64(2_250..3_750);
             self.workers.get_mut(&name).unwrap().next_report = now + pause;
@@ -286,7 +289,7 @@
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
             self.cluster
-                .direct_done(&call, DirectResult::Report(report), now);
+                .direct_done(&call, DirectResult::Answered(report), now);
         }
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -5,9 +5,9 @@
 #[path = "common/trace.rs"]
 mod trace;
 
-use aspenreel::fleet::RentalResult;
 use aspenreel::jobs::rounds::{WriteKind, affordable};
-use aspenreel::jobs::spec::{Rank, Shape, Submission};
+use aspenreel::jobs::spec::{Priority, Shape, Submission};
+use aspenreel::provisioning::RentalResult;
 use aspenreel::settings::Objective;
 use aspenreel::workers::direct::DirectResult;
 use insta::assert_snapshot;
@@ -215,7 +215,7 @@
     w.job(submission("run-1", |s| s.pieces = 1));
     let overtaken = w.report("big-east-1", 2, 1, &[]);
     w.at(1.0).tick(1.0);
-    w.direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
+    w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
     w.at(1.1).send(&overtaken).bound();
     w.at(2.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.tick(30.0).bound();
@@ -367,7 +367,7 @@
     w.job(submission("run-3", |s| {
         s.pieces = 3;
         s.cpus = decimal(8.0);
-        s.rank = Rank::High;
+        s.rank = Priority::High;
     }));
     w.at(9.0).heartbeat("big-east-1", &both);
     assert_snapshot!(w.log);
@@ -540,7 +540,7 @@
         w.note(&format!("to be written: {:?}", write.kind));
     }
     w.at(1.1)
-        .direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
+        .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
     assert_snapshot!(w.log);
 }
 
@@ -558,7 +558,7 @@
     // Another machine takes them; the first is asked again once it reports.
     w.at(2.0).heartbeat("big-east-2", &[]).bound();
     w.at(3.0).heartbeat("big-east-1", &[]);
-    w.direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &[])));
+    w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     w.at(3.1)
         .direct(|_| DirectResult::Unsent)
         .direct(|_| unreachable!());
@@ -681,7 +681,7 @@
         w.now = at(t);
         w.job(submission(&format!("run-{}", 1000 + second), |s| {
             s.pieces = 4;
-            s.rank = Rank::High;
+            s.rank = Priority::High;
             s.guess_s = decimal(3.0);
             s.due_s = Some(decimal(20.0));
             s.accepted_us = (t * 1e6) as u64;
@@ -693,7 +693,7 @@
 fn patient(w: &mut World) {
     w.note("the patient ones:");
     w.job(submission("run-1", |s| s.pieces = 5000));
-    w.job(submission("run-2", |s| s.rank = Rank::Low));
+    w.job(submission("run-2", |s| s.rank = Priority::Low));
     w.job(submission("run-3", |s| s.due_s = Some(decimal(1.0))));
     w.job(submission("run-4", |s| s.cpus = decimal(32.0)));
     w.job(submission("run-5", |s| s.crew = "b".into()));
@@ -736,7 +736,7 @@
         w.job(submission(&format!("run-{n}"), |s| {
             s.pieces = 1;
             s.cpus = decimal(8.0);
-            s.rank = Rank::High;
+            s.rank = Priority::High;
         }));
     }
     w.at(9.0)
@@ -794,7 +794,7 @@
     w.at(33.0).list(&[("big-east-1", "running")]);
     w.send(&next).bound().rentals();
     w.at(36.0)
-        .direct(|w| DirectResult::Report(w.report("big-east-1", 2, 2, &[])));
+        .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 2, &[])));
     w.tick(36.5).bound();
     // Another one never heals.
     w.at(50.0).heartbeat("small-west-1", &[]);
@@ -818,7 +818,7 @@
     w.at(3.0).heartbeat("big-east-1", &[]).bound();
     w.at(6.0).heartbeat("big-east-1", &[]).bound();
     w.heartbeat("big-east-2", &[]).bound();
-    w.direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &[])));
+    w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     w.at(9.0).heartbeat("big-east-2", &["run-1/0#2.2 running"]);
     assert_snapshot!(w.log);
 }
@@ -1021,7 +1021,7 @@
     w.at(4.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.at(9.9);
     w.cluster.ask_cancel("run-1", w.now);
-    w.direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
+    w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
     w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
     w.tick(10.5).direct(|_| DirectResult::Unknown).bound();
     w.at(12.0).heartbeat("big-east-1", &[]).bound();
@@ -1097,11 +1097,11 @@
         &["run-1/0#2.1 fetching", "run-1/1#2.2 fetching"],
     );
     w.cluster
-        .direct_done(&call, DirectResult::Report(report), at(1.2));
+        .direct_done(&call, DirectResult::Answered(report), at(1.2));
     w.at(1.2).note("answered").round(true).view("run-1");
     w.direct(|w| {
         let stopped = ["run-1/0#2.1 stopped", "run-1/1#2.2 stopped"];
-        DirectResult::Report(w.report("big-east-1", 2, 1, &stopped))
+        DirectResult::Answered(w.report("big-east-1", 2, 1, &stopped))
     });
     w.at(2.0).round(true);
     w.job(submission("run-2", |s| s.pieces = 1));
@@ -1123,7 +1123,7 @@
     w.cluster.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
-    w.direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &[])));
+    w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     for t in [7.0, 15.0, 23.0] {
         w.at(t).heartbeat("big-east-1", &[]).bound();
     }
@@ -1353,10 +1353,10 @@
         w.heartbeat(name, &[]);
     }
     // Each machine has a task that can't be stopped for it, and one that could.
-    w.job(submission("run-1", |s| s.rank = Rank::High));
+    w.job(submission("run-1", |s| s.rank = Priority::High));
     w.at(1.0).heartbeat("small-east-1", &[]);
     w.heartbeat("small-east-2", &[]);
-    w.job(submission("run-2", |s| s.rank = Rank::Low));
+    w.job(submission("run-2", |s| s.rank = Priority::Low));
     w.at(2.0)
         .heartbeat("small-east-1", &["run-1/1#2.2 running"]);
     w.heartbeat("small-east-2", &["run-1/0#2.1 running"]);
@@ -1364,7 +1364,7 @@
     w.job(submission("run-3", |s| {
         s.pieces = 1;
         s.cpus = decimal(8.0);
-        s.rank = Rank::High;
+        s.rank = Priority::High;
     }));
     w.tick(3.0).bound();
     let both = [
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -110,7 +110,7 @@
         .unwrap();
     w.cluster.stop_attempt("big-east-1", key);
     w.at(2.0)
-        .direct(|w| DirectResult::Report(w.report("big-east-1", 2, 1, &[])));
+        .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     for second in (3..=60).step_by(3) {
         worker.heartbeat(&mut w, f64::from(second), &[]);
         let is_bound = w.cluster.machines["big-east-1"]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,7 +1,6 @@
 //! Two versions side by side: what the version in production wrote and sent, byte by byte, is read and
 //! written by this one just so; and this one's new records wait until nobody of the old one can lead.
 
-use aspenreel::fleet::wire::Catalog;
 use aspenreel::http::cbor::{decode, encode, json_len};
 use aspenreel::jobs::doneset::TaskSet;
 use aspenreel::jobs::rounds::{Write, WriteKind, pack, page_write};
@@ -11,6 +10,7 @@
 use aspenreel::leadership::level::{FORMAT, Level};
 use aspenreel::leadership::peer::{PeerReply, PeerRequest};
 use aspenreel::leadership::term::TermRecord;
+use aspenreel::provisioning::wire::Catalog;
 use aspenreel::settings::{Settings, StateSettings};
 use aspenreel::state_store::pages::Pages;
 use aspenreel::state_store::{Change, Guard, Row, from_value, to_value};
