--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -37,33 +37,37 @@
 /// Builds a leader with so many machines, all with room, and work for every CPU.
 pub fn measure(machines: u32) -> FleetCost {
     let before = resident_bytes();
-    let mut cluster = SchedulerState::new(config(machines), TERM, at(0), 1);
-    cluster.fleet.catalog = catalog().types();
+    let mut scheduler = SchedulerState::new(config(machines), TERM, at(0), 1);
+    scheduler.provisioning.catalog = catalog().types();
     for number in 0..machines {
-        cluster.heartbeat(&report(number, 1, Vec::new()), at(1));
+        scheduler.heartbeat(&report(number, 1, Vec::new()), at(1));
     }
-    for (revision, write) in cluster.due_roster(false).into_iter().enumerate() {
-        cluster.written(&write, 10 + revision as u64);
+    for (revision, write) in scheduler
+        .pending_registry_writes(false)
+        .into_iter()
+        .enumerate()
+    {
+        scheduler.written(&write, 10 + revision as u64);
     }
-    cluster.release_seen(at(60));
+    scheduler.release_prior_term(at(60));
     for number in 0..machines {
-        cluster.heartbeat(&report(number, 2, Vec::new()), at(60));
+        scheduler.heartbeat(&report(number, 2, Vec::new()), at(60));
     }
-    add_job(&mut cluster, 1, machines * TASKS_A_MACHINE, 61);
+    add_job(&mut scheduler, 1, machines * TASKS_A_MACHINE, 61);
     let filling = Instant::now();
-    cluster.place(at(61));
+    scheduler.place(at(61));
     let filling_pass = filling.elapsed();
-    let placed = cluster.machines.values().map(|m| m.attempts.len()).sum();
-    add_job(&mut cluster, 2, machines, 62);
+    let placed = scheduler.machines.values().map(|m| m.attempts.len()).sum();
+    add_job(&mut scheduler, 2, machines, 62);
     let full = Instant::now();
-    cluster.place(at(62));
+    scheduler.place(at(62));
     let full_pass = full.elapsed();
     let reports: Vec<Heartbeat> = (0..machines)
-        .map(|number| report(number, 3, running(&cluster, number)))
+        .map(|number| report(number, 3, running(&scheduler, number)))
         .collect();
     let beating = Instant::now();
     for report in &reports {
-        cluster.heartbeat(report, at(63));
+        scheduler.heartbeat(report, at(63));
     }
     let heartbeat = beating.elapsed() / machines;
     drop(reports);
@@ -134,8 +138,8 @@
 }
 
 /// A machine's tasks as its worker would report them.
-fn running(cluster: &SchedulerState, number: u32) -> Vec<ReportedTask> {
-    let machine = &cluster.machines[&name(number)];
+fn running(scheduler: &SchedulerState, number: u32) -> Vec<ReportedTask> {
+    let machine = &scheduler.machines[&name(number)];
     let task = |key: &(aspenreel::jobs::JobId, u32, u64)| ReportedTask {
         piece: format!("run-1/{}", key.1),
         attempt: key.2,
@@ -146,11 +150,11 @@
     machine.attempts.keys().map(task).collect()
 }
 
-fn add_job(cluster: &mut SchedulerState, id: u32, tasks: u32, seconds: u64) {
+fn add_job(scheduler: &mut SchedulerState, id: u32, tasks: u32, seconds: u64) {
     let plan = JobPlan::new(id, tasks, CPUS_A_TASK, 60.0);
     let submission = Submission::decode(&body_of(&plan));
     let submission = submission.expect("it is a submission");
-    cluster.add_job(&submission, 100 + u64::from(id), at(seconds), WallTime(0));
+    scheduler.add_job(&submission, 100 + u64::from(id), at(seconds), WallTime(0));
 }
 
 /// The memory that the process holds, as the system counts it; 0 where it doesn't tell.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -3,7 +3,7 @@
 use crate::controllers::{self, Controllers, Launch};
 use crate::schedule::{Planned, Schedule, Target, Trouble};
 use aspenreel_testbed::cuts::Way;
-use aspenreel_testbed::loopback::{NODES, SchedulerState};
+use aspenreel_testbed::loopback::{LoopbackCluster, NODES};
 use aspenreel_testbed::loopback_users::{Demand, Users};
 use aspenreel_testbed::processes::{CANCEL_S, Site};
 use aspenreel_testbed::relay::Traffic;
@@ -74,7 +74,7 @@
         },
     };
     let spawn = |config: &Path| controllers::spawn(&launch, config);
-    let mut cluster = SchedulerState::start(&tag, &site, spawn);
+    let mut cluster = LoopbackCluster::start(&tag, &site, spawn);
     prepare(&cluster, plan.workers);
     let children = std::mem::take(&mut cluster.nodes.children);
     let controllers = Controllers::new(launch, &cluster.nodes.configs, children);
@@ -121,7 +121,7 @@
     Duration::from_secs_f64(CANCEL_S) + Duration::from_secs(14)
 }
 
-fn prepare(cluster: &SchedulerState, workers: u32) {
+fn prepare(cluster: &LoopbackCluster, workers: u32) {
     let cloud = &cluster.cloud;
     cloud
         .most_a_rental
@@ -133,7 +133,7 @@
 }
 
 struct Run<'a> {
-    cluster: &'a SchedulerState,
+    cluster: &'a LoopbackCluster,
     controllers: &'a Controllers,
     began: Instant,
     stop: &'a AtomicBool,
--- a/crates/testbed/src/loopback.rs
+++ b/crates/testbed/src/loopback.rs
@@ -30,7 +30,7 @@
 }
 
 /// Three processes, the stand-ins that they talk to, and a relay on each way between them.
-pub struct SchedulerState {
+pub struct LoopbackCluster {
     pub state: Arc<State>,
     pub cloud: Arc<Cloud>,
     pub nodes: Nodes,
@@ -40,9 +40,9 @@
     to_workers: Arc<Mutex<WorkerRelays>>,
 }
 
-impl SchedulerState {
+impl LoopbackCluster {
     /// Starts everything; `spawn` starts the process of a controller.
-    pub fn start(tag: &str, site: &Site, spawn: impl Fn(&Path) -> Child) -> SchedulerState {
+    pub fn start(tag: &str, site: &Site, spawn: impl Fn(&Path) -> Child) -> LoopbackCluster {
         let (state, state_addr) = State::start();
         let (cloud, cloud_addr) = Cloud::start();
         let addresses = Addresses::free();
@@ -69,7 +69,7 @@
         for n in 0..NODES {
             nodes.until(n, "GET", "/up", &[], |s, _| s == 200);
         }
-        SchedulerState {
+        LoopbackCluster {
             state,
             cloud,
             nodes,
--- a/crates/testbed/src/loopback_users.rs
+++ b/crates/testbed/src/loopback_users.rs
@@ -1,7 +1,7 @@
 //! Users of controllers on loopback.
 
 use crate::checker::{Checker, JobPlan, Question};
-use crate::loopback::{NODES, SchedulerState, TASK_MS};
+use crate::loopback::{LoopbackCluster, NODES, TASK_MS};
 use crate::processes::job;
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
 
 /// Users of one cluster: they come with jobs, ask, and cancel some.
 pub struct Users<'a> {
-    cluster: &'a SchedulerState,
+    cluster: &'a LoopbackCluster,
     /// Draws what they do.
     pub rng: fastrand::Rng,
     next: u32,
@@ -38,7 +38,7 @@
 
 impl<'a> Users<'a> {
     /// Users whose jobs are numbered from `first` on.
-    pub fn new(cluster: &'a SchedulerState, seed: u64, first: u32) -> Users<'a> {
+    pub fn new(cluster: &'a LoopbackCluster, seed: u64, first: u32) -> Users<'a> {
         Users {
             cluster,
             rng: fastrand::Rng::with_seed(seed),
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -589,7 +589,7 @@
 }
 
 fn order_counters(nodes: &[NodeState]) -> OrderCounters {
-    let counters = |node: &Arc<Controller>| Some(node.core().cluster.as_ref()?.fencing.counters);
+    let counters = |node: &Arc<Controller>| Some(node.state().scheduler.as_ref()?.fencing.counters);
     let running = nodes.iter().filter_map(|n| n.node.as_ref());
     running.filter_map(counters).next().unwrap_or_default()
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,9 +1,9 @@
 //! One controller process: what its threads share, and which threads there are.
 
-mod finals;
 mod routes;
+mod terminal_states;
 
-pub use finals::TerminalStates;
+pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
 use crate::http::server::{Limits, serve};
@@ -45,17 +45,17 @@
 pub struct ControllerState {
     pub lead: Option<LeaderLease>,
     /// There only while leading, once the state was read.
-    pub cluster: Option<SchedulerState>,
+    pub scheduler: Option<SchedulerState>,
     pub known_leader: Option<LeaderRecord>,
     /// When the state service last vouched for it.
     pub leader_seen: Moment,
-    pub finals: TerminalStates,
+    pub terminal_states: TerminalStates,
     /// The lead is to be given up.
     pub step_down: bool,
     /// Stood down for want of workers: others go first until then.
     pub abstain_until: Moment,
     /// Heartbeats that were refused lately, as a sign of who workers can reach.
-    pub knocks: VecDeque<Moment>,
+    pub refused_heartbeats: VecDeque<Moment>,
     /// Where the watch on jobs goes on.
     pub jobs_revision: u64,
     /// The newest term that this node has heard of.
@@ -69,9 +69,9 @@
 impl ControllerState {
     /// The cluster, if this node is entitled to act at `now`.
     pub fn acting(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
-        match (&self.lead, &mut self.cluster) {
-            (Some(lead), Some(cluster)) if now < lead.valid_until && !self.step_down => {
-                Some((lead, cluster))
+        match (&self.lead, &mut self.scheduler) {
+            (Some(lead), Some(scheduler)) if now < lead.valid_until && !self.step_down => {
+                Some((lead, scheduler))
             }
             _ => None,
         }
@@ -89,7 +89,7 @@
     pub os: Arc<dyn Os>,
     pub store: Store,
     pub cloud: Arc<dyn HttpClient>,
-    pub core: Mutex<ControllerState>,
+    pub state: Mutex<ControllerState>,
     /// Signalled when records are due and when they were written.
     pub changed: Arc<dyn Signal>,
     /// Signalled when orders may go straight to workers.
@@ -102,7 +102,7 @@
     /// Connections of users and workers that are open.
     pub open: Arc<AtomicUsize>,
     /// Neither the state service nor any peer answers.
-    pub alone: AtomicBool,
+    pub isolated: AtomicBool,
     /// The record format that all controllers are known to know, as last read.
     pub level: Mutex<Level>,
     /// What is believed of the links, where they are watched.
@@ -141,8 +141,8 @@
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
                 .with_evidence(sink),
             cloud: os.http(settings.endpoints.cloud),
-            core: Mutex::new(ControllerState {
-                finals: TerminalStates::new(site.quota.remembered()),
+            state: Mutex::new(ControllerState {
+                terminal_states: TerminalStates::new(site.quota.remembered()),
                 ..ControllerState::default()
             }),
             changed: os.signal(),
@@ -153,7 +153,7 @@
             cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
             catalog: Mutex::new(None),
             open: Arc::default(),
-            alone: AtomicBool::new(false),
+            isolated: AtomicBool::new(false),
             level: Mutex::default(),
             links,
             lease_life,
@@ -163,8 +163,8 @@
         })
     }
 
-    pub fn core(&self) -> MutexGuard<'_, ControllerState> {
-        self.core.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn state(&self) -> MutexGuard<'_, ControllerState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     pub fn now(&self) -> Moment {
@@ -178,7 +178,7 @@
             .clone()
     }
 
-    pub fn cluster_config(&self) -> SchedulerConfig {
+    pub fn scheduler_config(&self) -> SchedulerConfig {
         let site = &self.settings.settings;
         SchedulerConfig {
             teams: site.teams.clone(),
@@ -200,9 +200,9 @@
     }
 
     /// Releases the main lock until something changed, or for so long.
-    pub fn await_change(&self, core: MutexGuard<'_, ControllerState>, most: Duration) {
+    pub fn await_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
         let ticket = self.changed.ticket();
-        drop(core);
+        drop(state);
         self.changed.wait(ticket, most);
     }
 
@@ -219,7 +219,7 @@
             ("jobs", duty(Controller::jobs_loop)),
             ("fleet", duty(Controller::fleet_loop)),
             ("tick", duty(Controller::tick_loop)),
-            ("company", duty(Controller::company_loop)),
+            ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
         ];
         if self.links.is_some() {
@@ -275,36 +275,36 @@
         loop {
             let due = self.now() + TICK;
             self.os.sleep(TICK.duration());
-            let behind = self.now() - due > LATE;
+            let overloaded = self.now() - due > LATE;
             ticks += 1;
-            late += u32::from(behind);
+            late += u32::from(overloaded);
             if self.now() - counted > PACE_EVERY {
                 if late * 2 > ticks {
                     log::warn!("short of processor: {late} of {ticks} timers fired late");
                 }
                 (ticks, late, counted) = (0, 0, self.now());
             }
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
-            if core.acting(now).is_none() {
+            if state.acting(now).is_none() {
                 acting_since = None;
             } else {
                 acting_since.get_or_insert(now);
             }
-            if let Some((_, cluster)) = core.acting(now) {
-                cluster.note_pace(behind, now);
-                cluster.tick(now);
+            if let Some((_, scheduler)) = state.acting(now) {
+                scheduler.note_overload(overloaded, now);
+                scheduler.tick(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
-                    log::debug!("{}", cluster.summary(now));
-                    log::debug!("{}", cluster.order_summary());
+                    log::debug!("{}", scheduler.summary(now));
+                    log::debug!("{}", scheduler.order_summary());
                 }
-                self.wake(cluster);
-                let unheard = acting_since.is_some_and(|since| cluster.unheard(since, now));
-                if unheard && self.stands_down_unasked() && core.abstain_until <= now {
+                self.wake(scheduler);
+                let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
+                if unheard && self.stands_down_unasked() && state.abstain_until <= now {
                     log::info!("most workers are silent: standing down");
-                    core.step_down = true;
-                    core.abstain_until = now + ABSTAIN;
+                    state.step_down = true;
+                    state.abstain_until = now + ABSTAIN;
                 }
             }
         }
@@ -319,13 +319,13 @@
     pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Status { id } => {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
-                if let Some(view) = core.finals.get(&id) {
+                if let Some(view) = state.terminal_states.get(&id) {
                     return PeerReply::Job(view);
                 }
-                match core.acting(now) {
-                    Some((_, cluster)) => match cluster.view(&id) {
+                match state.acting(now) {
+                    Some((_, scheduler)) => match scheduler.view(&id) {
                         LocalStatus::View(view) => PeerReply::Job(view),
                         LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
                             PeerReply::Unknown
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -1,9 +1,9 @@
 //! The loop that writes records.
 
-use super::rounds::{CLAIMS_PREFIX, Write, WriteKind, affordable, pack};
+use super::rounds::{WATERMARKS_PREFIX, Write, WriteKind, affordable, pack};
 use super::{DoneRecord, FULL_KEY, FinalRecord, JobView};
 use crate::controller::{Controller, ControllerState};
-use crate::provisioning::FLEET_PREFIX;
+use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
 use crate::state_store::bucket::TokenBucket;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
@@ -66,13 +66,13 @@
             self.os.sleep(GATHER);
             let now = self.now();
             let (writes, guard, term) = {
-                let mut core = self.core();
-                let Some((lead, cluster)) = core.acting(now) else {
-                    self.await_change(core, Duration::from_millis(500));
+                let mut state = self.state();
+                let Some((lead, scheduler)) = state.acting(now) else {
+                    self.await_change(state, Duration::from_millis(500));
                     continue;
                 };
-                if !cluster.permissions().record {
-                    self.await_change(core, Duration::from_millis(500));
+                if !scheduler.permissions().record {
+                    self.await_change(state, Duration::from_millis(500));
                     continue;
                 }
                 let guard = lead.guard();
@@ -83,16 +83,16 @@
                         ..Fullness::default()
                     };
                 }
-                if cluster.token_raise_due(now) && tokens.available(now) >= 1.0 {
+                if scheduler.token_raise_due(now) && tokens.available(now) >= 1.0 {
                     let lead = lead.clone();
-                    drop(core);
+                    drop(state);
                     tokens.force(1.0, now);
                     self.raise_token(&lead);
                     continue;
                 }
-                let is_full = cluster.is_full(fullness.told);
+                let is_full = scheduler.is_full(fullness.told);
                 if let Some(target) = fullness.next(is_full) {
-                    drop(core);
+                    drop(state);
                     self.tell_full(&guard, lease, &mut fullness, target);
                     continue;
                 }
@@ -100,37 +100,43 @@
                 let mut writes = Vec::new();
                 // First what somebody waits for: starts for the first two, users for the last.
                 if now >= next_roster {
-                    writes.extend(affordable(cluster.due_roster(false), &mut left));
+                    writes.extend(affordable(
+                        scheduler.pending_registry_writes(false),
+                        &mut left,
+                    ));
                     if !writes.is_empty() {
                         next_roster = now + roster_every;
                     }
                 }
-                writes.extend(affordable(cluster.due_claims(), &mut left));
-                let finals = cluster.due_finals(site.txn_ops);
-                writes.extend(affordable(finals, &mut left));
+                writes.extend(affordable(scheduler.pending_watermark_writes(), &mut left));
+                let terminal_states = scheduler.pending_final_writes(site.txn_ops);
+                writes.extend(affordable(terminal_states, &mut left));
                 if now >= next_round {
                     next_round = now + round;
-                    writes.extend(affordable(cluster.due_sets(left), &mut left));
-                    let retired = cluster.due_retirements(left, site.txn_ops);
+                    writes.extend(affordable(scheduler.pending_done_sets(left), &mut left));
+                    let retired = scheduler.pending_retirements(left, site.txn_ops);
                     writes.extend(affordable(retired, &mut left));
-                    if !writes.iter().any(Write::is_roster) {
-                        writes.extend(affordable(cluster.due_roster(true), &mut left));
+                    if !writes.iter().any(Write::is_registry) {
+                        writes.extend(affordable(
+                            scheduler.pending_registry_writes(true),
+                            &mut left,
+                        ));
                     }
                 }
                 if writes.is_empty() || now < not_before {
                     let mut wait = (next_round - now).max(not_before - now);
-                    if cluster.records_wait(site.txn_ops) {
+                    if scheduler.records_wait(site.txn_ops) {
                         // Until there are tokens for the smallest write again.
                         wait = wait.min(Micros::from_secs_f64(1.0 / rate));
                     }
                     let wait = wait
                         .duration()
                         .clamp(Duration::from_millis(20), Duration::from_millis(2000));
-                    self.await_change(core, wait);
+                    self.await_change(state, wait);
                     continue;
                 }
                 // From here on nobody is told anything older than what may be on record soon.
-                cluster.sending(&writes);
+                scheduler.sending(&writes);
                 (writes, guard, term)
             };
             let mut packs = pack(writes, site.txn_ops, TRANSACTION_BYTES).into_iter();
@@ -146,18 +152,18 @@
                             self.lose_lead(term);
                         } else {
                             self.read_back(term, &failed);
-                            self.in_cluster(term, |cluster| cluster.not_written(&pack));
+                            self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
                         }
                     }
                     Err(e) => {
                         log::debug!("records not written: {e}");
                         not_before = self.now() + Micros::from_millis(200);
                         if matches!(e, StoreError::Refused(_)) {
-                            self.in_cluster(term, |cluster| cluster.not_written(&pack));
+                            self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
                         } else {
                             // Whether it was applied shows at the next try: the guards' revisions fail.
                             not_before = self.now() + Micros::from_millis(50);
-                            self.in_cluster(term, |cluster| cluster.unanswered(&pack));
+                            self.with_scheduler(term, |scheduler| scheduler.unanswered(&pack));
                         }
                         break;
                     }
@@ -165,7 +171,7 @@
             }
             // What was not sent after all.
             for pack in packs {
-                self.in_cluster(term, |cluster| cluster.not_written(&pack));
+                self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
             }
             self.changed.notify_all();
         }
@@ -173,9 +179,9 @@
 
     /// A guard on the lead failed: it is somebody else's by now.
     pub(crate) fn lose_lead(&self, term: u64) {
-        self.under(term, |core| {
+        self.under(term, |state| {
             log::info!("the lead is another's: standing down");
-            core.step_down = true;
+            state.step_down = true;
         });
     }
 
@@ -212,46 +218,46 @@
     /// its way the lead may have ended and begun anew: in the new term's memory other jobs have the
     /// numbers by which the writes name theirs.
     fn under(&self, term: u64, work: impl FnOnce(&mut ControllerState)) {
-        let mut core = self.core();
-        if core.cluster.as_ref().is_some_and(|c| c.term == term) {
-            work(&mut core);
+        let mut state = self.state();
+        if state.scheduler.as_ref().is_some_and(|c| c.term == term) {
+            work(&mut state);
         }
     }
 
-    pub(crate) fn in_cluster(&self, term: u64, work: impl FnOnce(&mut SchedulerState)) {
-        self.under(term, |core| {
-            if let Some(cluster) = &mut core.cluster {
-                work(cluster);
+    pub(crate) fn with_scheduler(&self, term: u64, work: impl FnOnce(&mut SchedulerState)) {
+        self.under(term, |state| {
+            if let Some(scheduler) = &mut state.scheduler {
+                work(scheduler);
             }
         });
     }
 
     fn note_written(&self, term: u64, pack: &[Write], revision: u64) {
-        self.under(term, |core| self.note_written_in(core, pack, revision));
+        self.under(term, |state| self.note_written_in(state, pack, revision));
         self.changed.notify_all();
     }
 
-    fn note_written_in(&self, core: &mut ControllerState, pack: &[Write], revision: u64) {
-        let Some(cluster) = &mut core.cluster else {
+    fn note_written_in(&self, state: &mut ControllerState, pack: &[Write], revision: u64) {
+        let Some(scheduler) = &mut state.scheduler else {
             return;
         };
         for write in pack {
             if let WriteKind::Final(job, outcome) | WriteKind::Retire(job, outcome) = &write.kind
-                && let Some(job) = cluster.jobs.table.get(job)
+                && let Some(job) = scheduler.jobs.table.get(job)
             {
                 let view = JobView::of_final(*outcome, job.spec.tasks);
-                core.finals.note(&job.spec.id, view);
+                state.terminal_states.note(&job.spec.id, view);
             }
-            cluster.written(write, revision);
+            scheduler.written(write, revision);
         }
-        cluster.place_soon(self.now());
-        self.wake(cluster);
+        scheduler.place_soon(self.now());
+        self.wake(scheduler);
     }
 
     /// Keys whose revisions were not as expected: an unanswered write of ours was applied.
     fn read_back(&self, term: u64, failed: &[String]) {
         for key in failed {
-            if key.starts_with(CLAIMS_PREFIX) || key.starts_with(FLEET_PREFIX) {
+            if key.starts_with(WATERMARKS_PREFIX) || key.starts_with(REGISTRY_PREFIX) {
                 self.read_back_page(term, key);
                 continue;
             }
@@ -267,10 +273,10 @@
             match self.store.get(key, Urgency::Normal) {
                 Ok(Some(row)) => {
                     let record: DoneRecord = from_value(&row.data).unwrap_or_default();
-                    self.in_cluster(term, |c| c.load_done(id, chunk, &record, row.revision));
+                    self.with_scheduler(term, |c| c.load_done(id, chunk, &record, row.revision));
                 }
                 Ok(None) => {
-                    self.in_cluster(term, |c| c.done_key_absent(id, chunk));
+                    self.with_scheduler(term, |c| c.done_key_absent(id, chunk));
                     self.read_back_job(term, &super::job_key(id));
                 }
                 Err(e) => log::debug!("{key} not read back: {e}"),
@@ -292,9 +298,12 @@
         if let Some((prefix, number)) = key.split_once('/')
             && let Ok(number) = number.parse()
         {
-            self.in_cluster(term, |cluster| match prefix {
-                "claims" => cluster.claims.set_revision(number, revision),
-                _ => cluster.fleet.roster.set_revision(number, revision),
+            self.with_scheduler(term, |scheduler| match prefix {
+                "claims" => scheduler.start_watermarks.set_revision(number, revision),
+                _ => scheduler
+                    .provisioning
+                    .registry
+                    .set_revision(number, revision),
             });
         }
     }
@@ -315,11 +324,11 @@
             return;
         };
         let view = JobView::of_final(record.state, record.tasks);
-        self.core().finals.note(id, view);
-        self.in_cluster(term, |cluster| {
-            if let Some(job) = cluster.jobs.find(id) {
-                cluster.finish(job, record.state);
-                cluster.forget_job(id);
+        self.state().terminal_states.note(id, view);
+        self.with_scheduler(term, |scheduler| {
+            if let Some(job) = scheduler.jobs.find(id) {
+                scheduler.finish(job, record.state);
+                scheduler.forget_job(id);
             }
         });
     }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -149,9 +149,9 @@
     /// still run them. 0 once that is settled.
     pub held_below: u32,
     /// Tasks numbered below this may start: the claim is on record.
-    pub claimed: u32,
+    pub start_watermark: u32,
     /// What the next claim is to cover.
-    pub claim_wanted: u32,
+    pub requested_watermark: u32,
     pub done: TaskSet,
     pub recorded: TaskSet,
     /// Stamps of the done set's keys, 0 where there is none.
@@ -160,7 +160,7 @@
     pub outcome: Option<Outcome>,
     /// When its cancellation was first asked for under this leader.
     pub cancel_asked_at: Option<Moment>,
-    pub deciding: FinalWrite,
+    pub final_write: FinalWrite,
     /// Attempts that may be on a machine, by task.
     bound: HashMap<u32, u16>,
     /// How many of these tasks have no outcome.
@@ -244,7 +244,7 @@
 
     /// Tasks that a machine not seen yet may run, done ones as well: an order of an earlier term may
     /// still start them there once more.
-    pub fn maybe_unseen(&self) -> u32 {
+    pub fn maybe_unreconciled(&self) -> u32 {
         (0..self.held_below)
             .filter(|t| !self.bound.contains_key(t))
             .count() as u32
@@ -261,12 +261,12 @@
 
     /// Asks for a claim that covers the task. Somewhat more is claimed than is placed, so that a
     /// job that starts bit by bit needs few records.
-    pub fn want_claim(&mut self, task: u32) {
-        if task < self.claimed.max(self.claim_wanted) {
+    pub fn request_watermark(&mut self, task: u32) {
+        if task < self.start_watermark.max(self.requested_watermark) {
             return;
         }
         let ahead = (task / 2).max(4);
-        self.claim_wanted = (task + 1).saturating_add(ahead).min(self.spec.tasks);
+        self.requested_watermark = (task + 1).saturating_add(ahead).min(self.spec.tasks);
     }
 
     pub fn remaining(&self) -> u32 {
@@ -385,22 +385,22 @@
     team: Option<usize>,
     job_revision: u64,
     accepted_at: Moment,
-    claimed: u32,
+    start_watermark: u32,
 ) -> Job {
     let done = TaskSet::new(spec.tasks);
     Job {
         team,
         accepted_at,
-        held_below: claimed,
-        claimed,
-        claim_wanted: 0,
+        held_below: start_watermark,
+        start_watermark,
+        requested_watermark: 0,
         revisions: vec![0; done.chunks() as usize],
         recorded: done.clone(),
         done,
         job_revision,
         outcome: None,
         cancel_asked_at: None,
-        deciding: FinalWrite::Idle,
+        final_write: FinalWrite::Idle,
         bound: HashMap::new(),
         bound_open: 0,
         bound_attempts: 0,
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -11,7 +11,7 @@
 use crate::workers::StartDelivery;
 
 /// The key prefix of claims: which tasks of which jobs may have started.
-pub const CLAIMS_PREFIX: &str = "claims/";
+pub const WATERMARKS_PREFIX: &str = "claims/";
 
 /// What a done set's record takes beside the set.
 const RECORD_SPARE: usize = 40;
@@ -37,12 +37,12 @@
     /// Tasks numbered below these may start.
     Claims(PageImage<u32>),
     /// These machines may hold tasks.
-    Roster(PageImage<u64>),
+    Registry(PageImage<u64>),
 }
 
 impl Write {
-    pub fn is_roster(&self) -> bool {
-        matches!(self.kind, WriteKind::Roster(_))
+    pub fn is_registry(&self) -> bool {
+        matches!(self.kind, WriteKind::Registry(_))
     }
 
     /// What it takes of a transaction, in bytes of JSON.
@@ -68,20 +68,20 @@
 impl SchedulerState {
     /// True if somebody waits for a record.
     pub fn records_wait(&self, txn_ops: usize) -> bool {
-        !self.due_claims().is_empty()
-            || !self.due_roster(false).is_empty()
-            || !self.due_finals(txn_ops).is_empty()
+        !self.pending_watermark_writes().is_empty()
+            || !self.pending_registry_writes(false).is_empty()
+            || !self.pending_final_writes(txn_ops).is_empty()
     }
 
     /// Pages of claims that starts wait for.
-    pub fn due_claims(&self) -> Vec<Write> {
-        let due = self.claims.due(false).into_iter();
-        due.map(|image| page_write(CLAIMS_PREFIX, image, WriteKind::Claims))
+    pub fn pending_watermark_writes(&self) -> Vec<Write> {
+        let due = self.start_watermarks.due(false).into_iter();
+        due.map(|image| page_write(WATERMARKS_PREFIX, image, WriteKind::Claims))
             .collect()
     }
 
     /// Final states that wait: they go out at once.
-    pub fn due_finals(&self, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_final_writes(&self, txn_ops: usize) -> Vec<Write> {
         self.jobs
             .table
             .iter()
@@ -118,7 +118,7 @@
     }
 
     /// Changed done sets, those with most unrecorded outcomes first.
-    pub fn due_sets(&self, budget: usize) -> Vec<Write> {
+    pub fn pending_done_sets(&self, budget: usize) -> Vec<Write> {
         let mut due: Vec<(u32, JobId)> = self
             .jobs
             .table
@@ -163,7 +163,7 @@
 
     /// Final jobs of which nothing is left on any machine: only `final/<ref>` stays, so that a
     /// new leader reads no more than what still matters.
-    pub fn due_retirements(&self, budget: usize, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_retirements(&self, budget: usize, txn_ops: usize) -> Vec<Write> {
         let mut writes = Vec::new();
         let mut ops = 0;
         for (id, job) in &self.jobs.table {
@@ -231,7 +231,7 @@
             if let WriteKind::Final(id, _) | WriteKind::Retire(id, _) = &write.kind
                 && let Some(job) = self.jobs.table.get_mut(id)
             {
-                job.deciding = next(job.deciding);
+                job.final_write = next(job.final_write);
             }
         }
     }
@@ -279,30 +279,31 @@
                 }
             }
             WriteKind::Claims(image) => {
-                self.claims.written(image.number, image.version, revision);
+                self.start_watermarks
+                    .written(image.number, image.version, revision);
                 for (id, below) in &image.entries {
                     let Some(id) = self.jobs.find(id) else {
                         continue;
                     };
                     if let Some(job) = self.jobs.table.get_mut(&id)
-                        && job.claimed < *below
+                        && job.start_watermark < *below
                     {
-                        job.claimed = *below;
-                        let waiting = self.awaiting_claim.remove(&id);
+                        job.start_watermark = *below;
+                        let waiting = self.awaiting_watermark.remove(&id);
                         self.direct_due.extend(waiting.into_iter().flatten());
                     }
                 }
             }
-            WriteKind::Roster(image) => {
-                self.fleet
-                    .roster
+            WriteKind::Registry(image) => {
+                self.provisioning
+                    .registry
                     .written(image.number, image.version, revision);
                 for (name, _) in &image.entries {
                     if let Some(m) = self.machines.get_mut(name)
                         && !m.recorded
                     {
                         m.recorded = true;
-                        self.dirty = true;
+                        self.placement_due = true;
                     }
                 }
             }
@@ -323,8 +324,8 @@
         }
         log::debug!("job retired: job={id} term={}", self.term);
         self.jobs.remove(job_id);
-        self.claims.remove(id);
-        self.awaiting_claim.remove(&job_id);
+        self.start_watermarks.remove(id);
+        self.awaiting_watermark.remove(&job_id);
         for m in self.machines.values_mut() {
             let before = m.attempts.len();
             m.attempts.retain(|k, _| k.0 != job_id);
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -108,7 +108,7 @@
         if self.catalog().is_none() {
             return Response::busy(RETRY_S);
         }
-        if self.alone.load(Ordering::Relaxed) {
+        if self.isolated.load(Ordering::Relaxed) {
             Response::busy(RETRY_S)
         } else {
             Response::new(200, Vec::new())
@@ -117,13 +117,14 @@
 
     /// Looks for company while the state service says nothing, so that a health check never has
     /// to wait for it.
-    pub fn company_loop(&self) {
+    pub fn peer_probe_loop(&self) {
         loop {
             self.os.sleep(COMPANY_EVERY);
             let heard = |node: &Controller| node.now() - node.store.last_answer() < ALONE;
             let answers = |p: &PeerClient| p.answers(PING_TIME);
-            let company = heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
-            self.alone.store(!company, Ordering::Relaxed);
+            let has_peers =
+                heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
+            self.isolated.store(!has_peers, Ordering::Relaxed);
         }
     }
 
@@ -278,21 +279,21 @@
             guards.push(self.level().guard());
         }
         let changes = [Change::write(job_key(&id), data)];
-        let leading = |core: &ControllerState| core.lead.as_ref().map(|lead| lead.term);
-        let term = leading(&self.core());
+        let leading = |state: &ControllerState| state.lead.as_ref().map(|lead| lead.term);
+        let term = leading(&self.state());
         match self.store.transact(&guards, &changes, Urgency::Granted) {
             Ok(Commit::Done { revision }) => {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
                 // Under another term by now, as after standing still, the job may be over and
                 // retired by somebody else: what was read at the takeover tells.
-                if core.finals.get(&id).is_none()
-                    && leading(&core) == term
-                    && let Some((_, cluster)) = core.acting(now)
+                if state.terminal_states.get(&id).is_none()
+                    && leading(&state) == term
+                    && let Some((_, scheduler)) = state.acting(now)
                 {
-                    cluster.add_job(&submission, revision, now, wall);
-                    cluster.place_soon(now);
-                    self.wake(cluster);
+                    scheduler.add_job(&submission, revision, now, wall);
+                    scheduler.place_soon(now);
+                    self.wake(scheduler);
                 }
                 Accepted::New
             }
@@ -343,7 +344,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.core().finals.note(id, view);
+            self.state().terminal_states.note(id, view);
             return short(200, id, view.state);
         }
         // Without a leader nothing is cancelled, but what is over or was never accepted can be told.
@@ -357,24 +358,24 @@
     /// Cancels a job if this node leads, and waits for the record for a bounded time.
     pub fn cancel_here(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIME;
-        let mut core = self.core();
-        if let Some(view) = core.finals.get(id) {
+        let mut state = self.state();
+        if let Some(view) = state.terminal_states.get(id) {
             return PeerReply::Job(view);
         }
         let now = self.now();
-        let Some((_, cluster)) = core.acting(now) else {
+        let Some((_, scheduler)) = state.acting(now) else {
             return PeerReply::NotLeading;
         };
-        if !cluster.ask_cancel(id, now) {
+        if !scheduler.ask_cancel(id, now) {
             return PeerReply::Unknown;
         }
         self.changed.notify_all();
         loop {
-            if let Some(view) = core.finals.get(id) {
+            if let Some(view) = state.terminal_states.get(id) {
                 return PeerReply::Job(view);
             }
             let now = self.now();
-            match core.acting(now).map(|(_, c)| c.view(id)) {
+            match state.acting(now).map(|(_, c)| c.view(id)) {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
@@ -382,21 +383,21 @@
             let Some(left) = left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
-            self.await_change(core, left);
-            core = self.core();
+            self.await_change(state, left);
+            state = self.state();
         }
     }
 
     /// What this node may tell by itself.
     fn known_here(&self, id: &str) -> LocalStatus {
-        self.known_of(&mut self.core(), id)
+        self.known_of(&mut self.state(), id)
     }
 
-    fn known_of(&self, core: &mut ControllerState, id: &str) -> LocalStatus {
+    fn known_of(&self, state: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
-        match (core.finals.get(id), core.acting(now)) {
+        match (state.terminal_states.get(id), state.acting(now)) {
             (Some(view), _) => LocalStatus::View(view),
-            (None, Some((_, cluster))) => cluster.view(id),
+            (None, Some((_, scheduler))) => scheduler.view(id),
             (None, None) => LocalStatus::Nothing,
         }
     }
@@ -405,11 +406,11 @@
     fn decided_here(&self, id: &str) -> LocalStatus {
         let deadline = self.now() + DECIDING_TIME;
         loop {
-            let mut core = self.core();
-            let known = self.known_of(&mut core, id);
+            let mut state = self.state();
+            let known = self.known_of(&mut state, id);
             match left(&*self.os, deadline) {
                 Some(left) if known == LocalStatus::FinalWriteInFlight => {
-                    self.await_change(core, left)
+                    self.await_change(state, left)
                 }
                 _ => return known,
             }
@@ -417,7 +418,7 @@
     }
 
     fn ask_leader(&self, request: &PeerRequest, timeout: Duration) -> Option<PeerReply> {
-        let leader = self.core().known_leader.as_ref()?.node.clone();
+        let leader = self.state().known_leader.as_ref()?.node.clone();
         match self.peers.get(&leader)?.call(request, timeout) {
             Ok(reply) => Some(reply),
             Err(e) => {
@@ -431,11 +432,11 @@
     /// learnt meanwhile, so final states are looked at last.
     pub fn lookup(&self, id: &str) -> Lookup {
         let found = self.look_for(id);
-        let mut core = self.core();
+        let mut state = self.state();
         if let Lookup::Job(view) = &found {
-            core.finals.note(id, *view);
+            state.terminal_states.note(id, *view);
         }
-        core.finals.get(id).map_or(found, Lookup::Job)
+        state.terminal_states.get(id).map_or(found, Lookup::Job)
     }
 
     fn look_for(&self, id: &str) -> Lookup {
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -1,6 +1,6 @@
 //! The loop that takes and keeps the lead.
 
-use super::{HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, Take, lease_until, take};
+use super::{ElectionOutcome, HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, lease_until, take};
 use crate::controller::Controller;
 use crate::jobs::spec::Submission;
 use crate::os::pause;
@@ -20,13 +20,13 @@
             match self.store.get(LEADER_KEY, Urgency::LeaderLease) {
                 Ok(Some(row)) => self.follow(row.data, row.revision),
                 Ok(None) => {
-                    self.core().known_leader = None;
+                    self.state().known_leader = None;
                     if !self.may_stand() {
                         continue;
                     }
                     match take(&self.store, &*self.os, &self.settings.node, self.lease_life) {
-                        Ok(Take::Taken(lead)) => self.lead(lead),
-                        Ok(Take::Lost) => {}
+                        Ok(ElectionOutcome::Taken(lead)) => self.lead(lead),
+                        Ok(ElectionOutcome::Lost) => {}
                         Err(e) => {
                             log::debug!("lead not taken: {e}");
                             self.pause(200, 500);
@@ -44,24 +44,24 @@
     /// Waits before standing: whoever workers reach goes first.
     fn may_stand(&self) -> bool {
         let now = self.now();
-        let (knocks, abstaining) = {
-            let core = self.core();
+        let (refused_heartbeats, abstaining) = {
+            let state = self.state();
             let recent = |t: &&Moment| now - **t < Micros::from_secs(4);
-            let knocks = core.knocks.iter().filter(recent).count() as u64;
-            (knocks, core.abstain_until > now)
+            let refused_heartbeats = state.refused_heartbeats.iter().filter(recent).count() as u64;
+            (refused_heartbeats, state.abstain_until > now)
         };
         if abstaining {
             // Long enough for the others, if there are any, to take it.
             self.pause(1500, 2500);
             return matches!(self.store.get(LEADER_KEY, Urgency::LeaderLease), Ok(None));
         }
-        let in_silent_zone = knocks == 0
+        let in_silent_zone = refused_heartbeats == 0
             && matches!(self.store.get(HINT_KEY, Urgency::LeaderLease), Ok(Some(row))
                 if from_value::<String>(&row.data).as_ref() == Some(&self.settings.location));
         let wait = match self.candidate_wait(in_silent_zone) {
             Some(wait) => wait.0 / 1000,
             None if in_silent_zone => 50,
-            None => 500 / (1 + knocks),
+            None => 500 / (1 + refused_heartbeats),
         };
         self.pause(wait, wait + 60);
         true
@@ -81,16 +81,16 @@
             return;
         }
         {
-            let mut core = self.core();
-            if core.known_leader != record {
+            let mut state = self.state();
+            if state.known_leader != record {
                 log::info!(
                     "leader is {}",
                     record.as_ref().map_or("unknown", |r| r.node.as_str())
                 );
             }
-            core.newest_term = core.newest_term.max(record.as_ref().map_or(0, |r| r.term));
-            core.known_leader = record;
-            core.leader_seen = self.now();
+            state.newest_term = state.newest_term.max(record.as_ref().map_or(0, |r| r.term));
+            state.known_leader = record;
+            state.leader_seen = self.now();
         }
         let mut since = revision;
         loop {
@@ -98,7 +98,7 @@
             match self.store.changes(LEADER_KEY, since, Micros::from_secs(3)) {
                 Ok(changes) if changes.log.is_empty() => {
                     since = changes.revision.max(since);
-                    self.core().leader_seen = self.now();
+                    self.state().leader_seen = self.now();
                 }
                 Ok(_) => return,
                 Err(StoreError::TooOld) => return,
@@ -122,50 +122,50 @@
         let started = self.now();
         let lease = lead.lease;
         {
-            let mut core = self.core();
-            core.known_leader = Some(LeaderRecord {
+            let mut state = self.state();
+            state.known_leader = Some(LeaderRecord {
                 node: self.settings.node.clone(),
                 term: lead.term,
                 lease,
             });
-            core.lead = Some(lead.clone());
-            core.cluster = None;
-            core.step_down = false;
-            core.newest_term = lead.term;
-            core.handover = None;
-            core.handover_planner = None;
+            state.lead = Some(lead.clone());
+            state.scheduler = None;
+            state.step_down = false;
+            state.newest_term = lead.term;
+            state.handover = None;
+            state.handover_planner = None;
         }
         let handover_planner = self.plan_handovers();
         let mut renewed = started;
-        let mut cluster = self.load(&lead, started, &mut renewed);
-        if let Some(cluster) = cluster.take() {
+        let mut scheduler = self.load(&lead, started, &mut renewed);
+        if let Some(scheduler) = scheduler.take() {
             log::info!(
                 "records read: term={} jobs={} jobs_revision={} machines_unseen={}",
                 lead.term,
-                cluster.jobs.table.len(),
-                self.core().jobs_revision,
-                cluster.unseen.len()
+                scheduler.jobs.table.len(),
+                self.state().jobs_revision,
+                scheduler.unreconciled.len()
             );
             {
-                let mut core = self.core();
-                core.cluster = Some(cluster);
-                core.handover_planner = handover_planner;
+                let mut state = self.state();
+                state.scheduler = Some(scheduler);
+                state.handover_planner = handover_planner;
             }
             self.changed.notify_all();
             self.keep(lease, &mut renewed);
         }
         let silent_zone = {
-            let core = self.core();
+            let state = self.state();
             let mut zone = None;
-            if core.step_down && core.abstain_until > self.now() {
-                zone = core
-                    .cluster
+            if state.step_down && state.abstain_until > self.now() {
+                zone = state
+                    .scheduler
                     .as_ref()
                     .and_then(|c| c.silent_zone(self.now()));
             }
             zone
         };
-        let handover = self.core().handover.take();
+        let handover = self.state().handover.take();
         if let Some(record) = &handover {
             self.hand_over(&lead, record, silent_zone.as_deref());
         } else if let Some(zone) = silent_zone {
@@ -175,11 +175,11 @@
                 .transact(&[lead.guard()], &[change], Urgency::LeaderLease);
         }
         {
-            let mut core = self.core();
-            core.lead = None;
-            core.cluster = None;
-            core.known_leader = None;
-            core.step_down = false;
+            let mut state = self.state();
+            state.lead = None;
+            state.scheduler = None;
+            state.known_leader = None;
+            state.step_down = false;
         }
         self.changed.notify_all();
         log::info!("lead over: term={}", lead.term);
@@ -203,7 +203,7 @@
         match self.store.renew_lease(lease, Duration::from_millis(1000)) {
             Ok(()) => {
                 *renewed = sent;
-                if let Some(lead) = &mut self.core().lead {
+                if let Some(lead) = &mut self.state().lead {
                     lead.valid_until = lease_until(sent, life);
                 }
                 true
@@ -222,15 +222,15 @@
     fn keep(&self, lease: u64, renewed: &mut Moment) {
         let wait = self.lease_life.scaled(0.25).duration();
         loop {
-            if !self.renew_if_due(lease, renewed) || self.core().step_down {
+            if !self.renew_if_due(lease, renewed) || self.state().step_down {
                 return;
             }
-            let core = self.core();
-            if self.now() - *renewed < Micros::from_millis(100) && !core.step_down {
-                drop(core);
+            let state = self.state();
+            if self.now() - *renewed < Micros::from_millis(100) && !state.step_down {
+                drop(state);
                 self.os.sleep(wait.min(Duration::from_millis(500)));
             } else {
-                drop(core);
+                drop(state);
                 self.os.sleep(Duration::from_millis(100));
             }
         }
@@ -240,11 +240,11 @@
     pub fn jobs_loop(&self) {
         loop {
             let (term, since) = {
-                let core = self.core();
-                match (&core.lead, &core.cluster) {
-                    (Some(lead), Some(_)) => (lead.term, core.jobs_revision),
+                let state = self.state();
+                match (&state.lead, &state.scheduler) {
+                    (Some(lead), Some(_)) => (lead.term, state.jobs_revision),
                     _ => {
-                        self.await_change(core, Duration::from_millis(500));
+                        self.await_change(state, Duration::from_millis(500));
                         continue;
                     }
                 }
@@ -252,15 +252,15 @@
             match self.store.changes("jobs/", since, Micros::from_secs(10)) {
                 Ok(changes) => {
                     let (now, wall) = (self.now(), self.os.wall());
-                    let mut core = self.core();
-                    let core = &mut *core;
-                    let (Some(lead), Some(cluster)) = (&core.lead, &mut core.cluster) else {
+                    let mut state = self.state();
+                    let state = &mut *state;
+                    let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
                         continue;
                     };
                     if lead.term != term {
                         continue;
                     }
-                    core.jobs_revision = changes.revision.max(since);
+                    state.jobs_revision = changes.revision.max(since);
                     for event in &changes.log {
                         let (Some(_), Some(data)) = (&event.write, &event.data) else {
                             continue;
@@ -270,13 +270,13 @@
                             continue;
                         };
                         // A job that is retired already must not come back by a late event.
-                        if core.finals.get(&s.id).is_none() {
-                            cluster.add_job(&s, event.revision, now, wall);
+                        if state.terminal_states.get(&s.id).is_none() {
+                            scheduler.add_job(&s, event.revision, now, wall);
                         }
                     }
                     if now < lead.valid_until {
-                        cluster.place_soon(now);
-                        self.wake(cluster);
+                        scheduler.place_soon(now);
+                        self.wake(scheduler);
                     }
                 }
                 Err(StoreError::TooOld) => {
@@ -304,9 +304,9 @@
             };
             revision.get_or_insert(page.revision);
             let (now, wall) = (self.now(), self.os.wall());
-            let mut core = self.core();
-            let core = &mut *core;
-            let (Some(lead), Some(cluster)) = (&core.lead, &mut core.cluster) else {
+            let mut state = self.state();
+            let state = &mut *state;
+            let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
                 return;
             };
             if lead.term != term {
@@ -315,13 +315,13 @@
             for row in &page.rows {
                 since = Some(row.key.clone());
                 if let Some(s) = from_value::<Submission>(&row.data)
-                    && core.finals.get(&s.id).is_none()
+                    && state.terminal_states.get(&s.id).is_none()
                 {
-                    cluster.add_job(&s, row.revision, now, wall);
+                    scheduler.add_job(&s, row.revision, now, wall);
                 }
             }
             if !page.more {
-                core.jobs_revision = revision.unwrap_or(core.jobs_revision);
+                state.jobs_revision = revision.unwrap_or(state.jobs_revision);
                 return;
             }
         }
--- a/src/leadership/fencing.rs
+++ b/src/leadership/fencing.rs
@@ -23,7 +23,9 @@
             Ok(Commit::Done { revision }) => {
                 self.note_counter(lead.term, raised, revision);
                 let now = self.now();
-                self.in_cluster(lead.term, |cluster| cluster.token_raised(raised.term, now));
+                self.with_scheduler(lead.term, |scheduler| {
+                    scheduler.token_raised(raised.term, now)
+                });
             }
             Ok(Commit::Conflict { failed }) => {
                 if failed.iter().any(|key| key == LEADER_KEY) {
@@ -41,7 +43,7 @@
 
     fn token_not_raised(&self, term: u64) {
         let now = self.now();
-        self.in_cluster(term, |cluster| cluster.token_not_raised(now));
+        self.with_scheduler(term, |scheduler| scheduler.token_not_raised(now));
     }
 
     /// Another transaction changed the counter: one of this leader's without an answer, or the change of
@@ -57,8 +59,8 @@
     }
 
     fn note_counter(&self, term: u64, counter: TermRecord, revision: u64) {
-        let mut core = self.core();
-        if let Some(lead) = core.lead.as_mut().filter(|lead| lead.term == term) {
+        let mut state = self.state();
+        if let Some(lead) = state.lead.as_mut().filter(|lead| lead.term == term) {
             lead.counter = counter;
             lead.counter_revision = revision;
         }
--- a/src/leadership/level.rs
+++ b/src/leadership/level.rs
@@ -203,7 +203,7 @@
             return Ok(());
         };
         let term = TermRecord::read(Some(&term_row))?;
-        let led_by_this_version = term.older_led_at < term_row.revision
+        let led_by_this_version = term.older_version_led_at < term_row.revision
             && term.is_of_leader(term_row.revision, leader_row.revision);
         if !led_by_this_version && !term.fenced {
             return Ok(());
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -36,7 +36,7 @@
     /// later are this term's.
     pub revision: u64,
     /// Revision at which an earlier version last took the lead, 0 if none ever did.
-    pub older_led_at: u64,
+    pub older_version_led_at: u64,
     /// The counter of terms as this leader last knew it, and its revision.
     pub counter: TermRecord,
     pub counter_revision: u64,
@@ -56,14 +56,19 @@
 }
 
 #[derive(Debug)]
-pub enum Take {
+pub enum ElectionOutcome {
     Taken(LeaderLease),
     /// Somebody else was faster.
     Lost,
 }
 
 /// Tries once to take the lead. Nothing is left behind when it fails.
-pub fn take(store: &Store, os: &dyn Os, node: &str, life: Micros) -> Result<Take, StoreError> {
+pub fn take(
+    store: &Store,
+    os: &dyn Os,
+    node: &str,
+    life: Micros,
+) -> Result<ElectionOutcome, StoreError> {
     let term_row = store.get(TERM_KEY, Urgency::LeaderLease)?;
     let term_revision = term_row.as_ref().map_or(0, |row| row.revision);
     let next = TermRecord::read(term_row.as_ref())?.next();
@@ -93,7 +98,7 @@
         Ok(Commit::Done { revision }) => revision,
         Ok(Commit::Conflict { .. }) => {
             let _ = store.end_lease(lease);
-            return Ok(Take::Lost);
+            return Ok(ElectionOutcome::Lost);
         }
         Err(StoreError::Unknown(e)) => {
             // It may have been applied: what the key says decides.
@@ -113,11 +118,11 @@
             return Err(e);
         }
     };
-    Ok(Take::Taken(LeaderLease {
+    Ok(ElectionOutcome::Taken(LeaderLease {
         term: next.term,
         lease,
         revision,
-        older_led_at: next.older_led_at,
+        older_version_led_at: next.older_version_led_at,
         counter: next,
         counter_revision: revision,
         valid_until: lease_until(sent, life),
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -2,10 +2,10 @@
 
 use super::LeaderLease;
 use crate::controller::Controller;
-use crate::jobs::rounds::CLAIMS_PREFIX;
+use crate::jobs::rounds::WATERMARKS_PREFIX;
 use crate::jobs::spec::Submission;
 use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
-use crate::provisioning::FLEET_PREFIX;
+use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
 use crate::state_store::{Page, Row, Urgency, from_value};
 use crate::time::{Micros, Moment, WallTime};
@@ -30,16 +30,16 @@
         renewed: &mut Moment,
     ) -> Option<SchedulerState> {
         let seed = fastrand::u64(..);
-        let mut cluster = SchedulerState::new(self.cluster_config(), lead.term, started, seed);
+        let mut scheduler = SchedulerState::new(self.scheduler_config(), lead.term, started, seed);
         if let Some(catalog) = self.catalog() {
-            cluster.fleet.catalog = catalog.to_vec();
+            scheduler.provisioning.catalog = catalog.to_vec();
         }
-        cluster.wall_at_start = self.os.wall();
-        cluster.older_led_at = lead.older_led_at;
+        scheduler.wall_at_start = self.os.wall();
+        scheduler.older_version_led_at = lead.older_version_led_at;
         let skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut jobs_revision = None;
         // Roster and claims first: they tell what of a job may have started.
-        for prefix in [FLEET_PREFIX, CLAIMS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
+        for prefix in [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
             let mut since: Option<String> = None;
             loop {
                 let page = self.read_page(prefix, since.as_deref(), lead, renewed)?;
@@ -52,7 +52,7 @@
                     skew,
                 };
                 for row in &page.rows {
-                    cluster.load_record(prefix, row, &reading);
+                    scheduler.load_record(prefix, row, &reading);
                 }
                 since = page.rows.last().map(|row| row.key.clone()).or(since);
                 if !page.more {
@@ -60,9 +60,9 @@
                 }
             }
         }
-        cluster.drop_stale_claims();
-        self.core().jobs_revision = jobs_revision.unwrap_or(lead.revision);
-        Some(cluster)
+        scheduler.drop_stale_watermarks();
+        self.state().jobs_revision = jobs_revision.unwrap_or(lead.revision);
+        Some(scheduler)
     }
 
     /// Reads one page, however often that takes; None when the lead was lost meanwhile.
@@ -93,20 +93,20 @@
     fn load_record(&mut self, prefix: &str, row: &Row, reading: &Reading) {
         let rest = &row.key[prefix.len()..];
         let is_read = match prefix {
-            FLEET_PREFIX => self.load_roster_page(rest, row, reading),
-            CLAIMS_PREFIX => self.load_claims_page(rest, row),
+            REGISTRY_PREFIX => self.load_roster_page(rest, row, reading),
+            WATERMARKS_PREFIX => self.load_claims_page(rest, row),
             JOBS_PREFIX => self.load_job(row, reading),
             _ => self.load_done_record(rest, row),
         };
         if is_read.is_none() {
             log::error!("malformed record {}", row.key);
             match prefix {
-                FLEET_PREFIX => {
+                REGISTRY_PREFIX => {
                     // Whatever it named may hold any task of any job.
-                    self.note_unseen(&row.key, reading.now);
-                    self.claims_lost = true;
+                    self.note_unreconciled(&row.key, reading.now);
+                    self.watermarks_lost = true;
                 }
-                CLAIMS_PREFIX => self.claims_lost = true,
+                WATERMARKS_PREFIX => self.watermarks_lost = true,
                 _ => {}
             }
         }
@@ -119,15 +119,17 @@
             let age = reading.wall.0.saturating_sub(*at);
             let age = age.saturating_sub(reading.skew.0);
             let since = Moment(reading.now.0.saturating_sub(age));
-            self.note_unseen(name, since);
+            self.note_unreconciled(name, since);
         }
-        self.fleet.roster.load(number, row.revision, entries);
+        self.provisioning
+            .registry
+            .load(number, row.revision, entries);
         Some(())
     }
 
     fn load_claims_page(&mut self, number: &str, row: &Row) -> Option<()> {
         let number = number.parse().ok()?;
-        self.claims
+        self.start_watermarks
             .load(number, row.revision, from_value(&row.data)?);
         Some(())
     }
--- a/src/leadership/term.rs
+++ b/src/leadership/term.rs
@@ -26,7 +26,7 @@
         default,
         skip_serializing_if = "Option::is_none"
     )]
-    older_led_at: Option<u64>,
+    older_version_led_at: Option<u64>,
     /// Earlier versions ignore it and leave it out.
     #[serde(rename = "raisedBy", default, skip_serializing_if = "Option::is_none")]
     raised_by: Option<u64>,
@@ -40,7 +40,7 @@
     pub fenced: bool,
     /// Revision at which an earlier version last took the lead, 0 if none ever did. Such a leader
     /// drops the claims of jobs that it doesn't know.
-    pub older_led_at: u64,
+    pub older_version_led_at: u64,
     /// Revision at which the leader took the lead that has raised the counter since, for a fencing
     /// token; None if it was last raised by taking the lead.
     pub raised_by: Option<u64>,
@@ -58,7 +58,7 @@
             term: value.fenced_term.or(value.term).ok_or_else(malformed)?,
             fenced: value.fenced_term.is_some(),
             // Whoever leaves the field out is an earlier version, which leads since then.
-            older_led_at: value.older_led_at.unwrap_or(row.revision),
+            older_version_led_at: value.older_version_led_at.unwrap_or(row.revision),
             raised_by: value.raised_by,
         })
     }
@@ -96,7 +96,7 @@
         to_value(&TermValue {
             term: (!self.fenced).then_some(self.term),
             fenced_term: self.fenced.then_some(self.term),
-            older_led_at: Some(self.older_led_at),
+            older_version_led_at: Some(self.older_version_led_at),
             raised_by: self.raised_by,
         })
     }
--- a/src/links/handover.rs
+++ b/src/links/handover.rs
@@ -43,7 +43,7 @@
     /// How long this controller waits before it stands, where links are watched.
     pub fn candidate_wait(&self, in_silent_zone: bool) -> Option<Micros> {
         let links = self.links.as_ref()?;
-        let newest_term = self.core().newest_term;
+        let newest_term = self.state().newest_term;
         // Only the handover that ended the newest term prefers anybody.
         let last = self.last_handover();
         let handover = last.filter(|record| record.term == newest_term);
@@ -88,8 +88,11 @@
     fn await_direct_calls(&self) {
         let began = self.now();
         let under_way = || {
-            let core = self.core();
-            core.cluster.as_ref().is_some_and(|c| !c.calls.is_empty())
+            let state = self.state();
+            state
+                .scheduler
+                .as_ref()
+                .is_some_and(|c| !c.calls.is_empty())
         };
         while under_way() && self.now() - began < CALLS_END {
             self.os.sleep(LOOK_EVERY);
--- a/src/links/watch.rs
+++ b/src/links/watch.rs
@@ -31,24 +31,24 @@
     fn watch_links(&self, links: &Links) {
         let now = self.now();
         let refused = lock(&links.refused).count(now);
-        let mut core = self.core();
-        let hearing = core
+        let mut state = self.state();
+        let hearing = state
             .acting(now)
-            .map(|(_, cluster)| cluster.hearing_both_ways(now));
+            .map(|(_, scheduler)| scheduler.hearing_both_ways(now));
         let hearing = hearing.unwrap_or(Hearing {
             heard: refused,
             known: 0,
         });
         let changes = links.drain(hearing, now);
         let permissions = lock(&links.tracker).permissions();
-        let reopened = match &mut core.cluster {
-            Some(cluster) => cluster.set_permissions(permissions),
+        let reopened = match &mut state.scheduler {
+            Some(scheduler) => scheduler.set_permissions(permissions),
             None => false,
         };
-        self.consider_handover(links, &mut core, hearing, now);
-        let report = links.report(&mut core, now);
-        let stepping_down = core.step_down;
-        drop(core);
+        self.consider_handover(links, &mut state, hearing, now);
+        let report = links.report(&mut state, now);
+        let stepping_down = state.step_down;
+        drop(state);
         links.publish(report);
         for change in changes {
             tell(&change);
@@ -62,16 +62,16 @@
     fn consider_handover(
         &self,
         links: &Links,
-        core: &mut ControllerState,
+        state: &mut ControllerState,
         hearing: Hearing,
         now: Moment,
     ) {
-        let Some((lead, cluster)) = core.acting(now) else {
+        let Some((lead, scheduler)) = state.acting(now) else {
             return;
         };
         let (term, wall) = (lead.term, self.os.wall());
-        let settled = cluster.hearing_is_settled(now);
-        let silent_beyond = links.silent_beyond(&cluster.silent_by_zone(now));
+        let settled = scheduler.hearing_is_settled(now);
+        let silent_beyond = links.silent_beyond(&scheduler.silent_by_zone(now));
         let state_writes = lock(&links.tracker).state(&Link::StateWrites);
         // While it is new, or falls behind, it can't tell that workers are silent.
         let hearing = if settled { hearing } else { Hearing::default() };
@@ -84,16 +84,16 @@
             views: &fresh,
             silent_beyond: &silent_beyond,
         };
-        let Some(planner) = &mut core.handover_planner else {
+        let Some(planner) = &mut state.handover_planner else {
             return;
         };
         let Some(handover) = planner.consider(&situation, now, wall, &links.settings) else {
             return;
         };
         log::info!("{}: handing over to {}", handover.reason, handover.to);
-        core.handover = Some(planner.record(&handover, term, wall, &links.settings));
-        core.step_down = true;
-        core.abstain_until = now + ABSTAIN;
+        state.handover = Some(planner.record(&handover, term, wall, &links.settings));
+        state.step_down = true;
+        state.abstain_until = now + ABSTAIN;
     }
 }
 
@@ -123,9 +123,9 @@
         beyond
     }
 
-    fn report(&self, core: &mut ControllerState, now: Moment) -> LinkReport {
-        let leads = core.acting(now).is_some();
-        let leader = core.known_leader.as_ref();
+    fn report(&self, state: &mut ControllerState, now: Moment) -> LinkReport {
+        let leads = state.acting(now).is_some();
+        let leader = state.known_leader.as_ref();
         let tracker = lock(&self.tracker);
         let views = lock(&self.views);
         let peers = views.peers();
@@ -134,7 +134,7 @@
             .collect();
         LinkReport {
             node: self.own.clone(),
-            term: core.newest_term,
+            term: state.newest_term,
             leader: leader.map(|record| NodeName(record.node.clone())),
             leads,
             hearing: tracker.hearing(),
--- a/src/placement/fit.rs
+++ b/src/placement/fit.rs
@@ -74,7 +74,7 @@
         {
             return None;
         }
-        let rate = self.fleet.fetch_rate(&m.type_name);
+        let rate = self.provisioning.fetch_rate(&m.type_name);
         let fetch = match m.images.get(&job.spec.image) {
             Some(i) if i.cached => 0.0,
             Some(i) => i.gb / rate * 0.5,
@@ -90,8 +90,8 @@
             0.0
         };
         // Expensive machines are left to themselves, so that they fall idle and go back.
-        let price_penalty =
-            (PRICE_WEIGHT * self.fleet.price_premium(&m.type_name, m.spot)).min(MAX_PRICE_PENALTY);
+        let price_penalty = (PRICE_WEIGHT * self.provisioning.price_premium(&m.type_name, m.spot))
+            .min(MAX_PRICE_PENALTY);
         Some(fetch + 3.0 * left + price_penalty + failed)
     }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -65,7 +65,7 @@
 
 impl SchedulerState {
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
-        m.counted_in
+        m.reconciled
             && m.recorded
             && m.suspicion.is_none()
             && !m.lost
@@ -79,14 +79,14 @@
     /// machine and waiting job, so passes are spaced by how many machines there are.
     pub fn place_soon(&mut self, now: Moment) {
         let spacing = Micros(PASS_SPACING.0 * self.machines.len() as u64);
-        if self.permissions().assign && self.dirty && now - self.last_pass >= spacing {
+        if self.permissions().assign && self.placement_due && now - self.last_pass >= spacing {
             self.place(now);
         }
     }
 
     /// One pass: binds waiting tasks to machines and marks what must make room.
     pub fn place(&mut self, now: Moment) {
-        self.dirty = false;
+        self.placement_due = false;
         self.last_pass = now;
         let (order, beyond) = self.order_and_beyond(now);
         if order.is_empty() {
@@ -218,14 +218,14 @@
         machine.attempts.insert((id, task, number), attempt);
         machine.rooms.set(None);
         machine.idle_since = None;
-        if task < job.claimed {
+        if task < job.start_watermark {
             self.direct_due.insert(place.name.clone());
         } else {
-            job.want_claim(task);
-            let waiting = self.awaiting_claim.entry(id).or_default();
+            job.request_watermark(task);
+            let waiting = self.awaiting_watermark.entry(id).or_default();
             waiting.insert(place.name.clone());
         }
-        let cache_gb = self.fleet.cache_of(&machine.type_name);
+        let cache_gb = self.provisioning.cache_of(&machine.type_name);
         machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         place.free = place.free.minus(job.spec.need);
@@ -242,10 +242,15 @@
         if left == 0 {
             job.placed_at.get_or_insert(now);
         }
-        let wanted = std::mem::take(&mut job.claim_wanted);
-        if wanted > job.claimed && self.claims.get(&job.spec.id).is_none_or(|c| *c < wanted) {
-            self.claims.put(&job.spec.id, wanted);
-            self.urgent_rounds = true;
+        let wanted = std::mem::take(&mut job.requested_watermark);
+        if wanted > job.start_watermark
+            && self
+                .start_watermarks
+                .get(&job.spec.id)
+                .is_none_or(|c| *c < wanted)
+        {
+            self.start_watermarks.put(&job.spec.id, wanted);
+            self.writes_due = true;
         }
         left
     }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -49,14 +49,16 @@
             .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_asked() && !j.complete())
             .collect();
         by_age.sort_by_key(|(id, j)| (j.accepted_at, **id));
-        let mut claimed = vec![Resources::default(); self.config.teams.len()];
+        let mut start_watermark = vec![Resources::default(); self.config.teams.len()];
         let mut order = Vec::new();
         for (id, job) in by_age {
             let Some(team) = job.team else { continue };
-            claimed[team] = claimed[team].plus(job.spec.need.by(i64::from(job.remaining())));
+            start_watermark[team] =
+                start_watermark[team].plus(job.spec.need.by(i64::from(job.remaining())));
             let settings = &self.config.teams[team];
             let guarantee = Resources::have(settings.cpus, settings.gpus, 0.0);
-            let within = claimed[team].cpu <= guarantee.cpu && claimed[team].gpu <= guarantee.gpu;
+            let within = start_watermark[team].cpu <= guarantee.cpu
+                && start_watermark[team].gpu <= guarantee.gpu;
             if !within {
                 beyond.insert(*id);
             }
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -46,28 +46,29 @@
     /// there, but no more than they can hold, since a worker refuses what doesn't fit.
     pub(super) fn team_use(&self) -> Vec<Resources> {
         let mut used = vec![Resources::default(); self.config.teams.len()];
-        let mut unseen = used.clone();
+        let mut unreconciled = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
             let need = job.spec.need;
             used[team] = used[team].plus(need.by(i64::from(job.bound_attempts())));
             if job.held_below > 0 {
-                unseen[team] = unseen[team].plus(need.by(i64::from(job.maybe_unseen())));
+                unreconciled[team] =
+                    unreconciled[team].plus(need.by(i64::from(job.maybe_unreconciled())));
             }
         }
         let most = self.unseen_room();
-        let with_unseen = |(used, unseen): (&Resources, Resources)| {
-            used.plus(most.map_or(unseen, |most| unseen.at_most(most)))
+        let with_unseen = |(used, unreconciled): (&Resources, Resources)| {
+            used.plus(most.map_or(unreconciled, |most| unreconciled.at_most(most)))
         };
-        used.iter().zip(unseen).map(with_unseen).collect()
+        used.iter().zip(unreconciled).map(with_unseen).collect()
     }
 
     /// What all unseen machines together have; None if nobody knows.
     fn unseen_room(&self) -> Option<Resources> {
-        if self.claims_lost {
+        if self.watermarks_lost {
             return None;
         }
-        let types = self.fleet.catalog.iter().map(|t| t.room);
+        let types = self.provisioning.catalog.iter().map(|t| t.room);
         let largest = types.reduce(|a, b| Resources {
             cpu: a.cpu.max(b.cpu),
             gpu: a.gpu.max(b.gpu),
@@ -77,7 +78,7 @@
             Some(m) if m.total.cpu > 0 => m.total,
             _ => largest,
         };
-        let all = self.unseen.iter().map(room);
+        let all = self.unreconciled.iter().map(room);
         Some(all.fold(Resources::default(), Resources::plus))
     }
 
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -50,11 +50,11 @@
             return true;
         }
         // What an unseen machine may run may be in any zone.
-        let unseen = job.maybe_unseen();
-        if job.spec.one_zone && (unseen > 0 || zones.keys().any(|z| z != zone)) {
+        let unreconciled = job.maybe_unreconciled();
+        if job.spec.one_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
             return false;
         }
         let most = job.spec.tasks.div_ceil(2);
-        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) + unseen < most
+        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) + unreconciled < most
     }
 }
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -70,8 +70,8 @@
     fn set_catalog(&self, catalog: &Catalog) {
         let types = Arc::new(catalog.types());
         *self.catalog.lock().unwrap_or_else(|e| e.into_inner()) = Some(types.clone());
-        if let Some(cluster) = &mut self.core().cluster {
-            cluster.fleet.catalog = types.to_vec();
+        if let Some(scheduler) = &mut self.state().scheduler {
+            scheduler.provisioning.catalog = types.to_vec();
         }
     }
 
@@ -121,17 +121,20 @@
             self.os.sleep(STEP);
             let now = self.now();
             let (list_due, term) = {
-                let mut core = self.core();
-                let Some((lead, cluster)) = core.acting(now) else {
+                let mut state = self.state();
+                let Some((lead, scheduler)) = state.acting(now) else {
                     continue;
                 };
-                let every = if cluster.released {
+                let every = if scheduler.released {
                     LIST_EVERY
                 } else {
                     LIST_SOON
                 };
                 let every = every.max(self.list_interval(list_pages));
-                let due = cluster.fleet.last_list.is_none_or(|t| now - t >= every);
+                let due = scheduler
+                    .provisioning
+                    .last_list
+                    .is_none_or(|t| now - t >= every);
                 (due, lead.term)
             };
             let catalog_due = last_catalog.is_none_or(|t| now - t > CATALOG_EVERY);
@@ -154,7 +157,7 @@
 
     /// Keeps a copy, so that a restarted node can take submissions while the cloud is down.
     fn save_catalog(&self, catalog: &Catalog) -> bool {
-        let Some(guard) = self.core().lead.as_ref().map(|l| l.guard()) else {
+        let Some(guard) = self.state().lead.as_ref().map(|l| l.guard()) else {
             return false;
         };
         let data = to_value(catalog);
@@ -203,9 +206,9 @@
             }
         }
         let now = self.now();
-        if let Some((_, cluster)) = self.core().acting(now) {
-            cluster.listed(&list, asked, now);
-            self.wake(cluster);
+        if let Some((_, scheduler)) = self.state().acting(now) {
+            scheduler.listed(&list, asked, now);
+            self.wake(scheduler);
         }
         pages
     }
@@ -213,16 +216,16 @@
     fn rent(&self) {
         let now = self.now();
         let rental_requests = {
-            let mut core = self.core();
-            let Some((_, cluster)) = core.acting(now) else {
+            let mut state = self.state();
+            let Some((_, scheduler)) = state.acting(now) else {
                 return;
             };
-            cluster.plan_rentals(now);
-            cluster.fleet.rental_requests.clone()
+            scheduler.plan_rentals(now);
+            scheduler.provisioning.rental_requests.clone()
         };
         for request in rental_requests {
             let now = self.now();
-            if self.core().acting(now).is_none() {
+            if self.state().acting(now).is_none() {
                 return;
             }
             log::info!(
@@ -257,8 +260,8 @@
             };
             let failed = matches!(result, RentalResult::Unknown);
             let now = self.now();
-            if let Some((_, cluster)) = self.core().acting(now) {
-                cluster.rental_answered(&request.name, result, now);
+            if let Some((_, scheduler)) = self.state().acting(now) {
+                scheduler.rental_answered(&request.name, result, now);
             }
             if failed {
                 self.os.sleep(Duration::from_millis(500));
@@ -270,11 +273,11 @@
     fn return_machines(&self) {
         let now = self.now();
         let names = {
-            let mut core = self.core();
-            let Some((_, cluster)) = core.acting(now) else {
+            let mut state = self.state();
+            let Some((_, scheduler)) = state.acting(now) else {
                 return;
             };
-            cluster.plan_returns(now)
+            scheduler.plan_returns(now)
         };
         if names.is_empty() {
             return;
@@ -284,8 +287,8 @@
             return;
         };
         let names = decode::<Names>(&body).map(|n| n.hosts).unwrap_or_default();
-        if let Some(cluster) = &mut self.core().cluster {
-            cluster.returned(&names);
+        if let Some(scheduler) = &mut self.state().scheduler {
+            scheduler.returned(&names);
         }
     }
 }
--- a/src/provisioning/list.rs
+++ b/src/provisioning/list.rs
@@ -10,7 +10,7 @@
     /// Settles a rental's answer.
     pub fn rental_answered(&mut self, name: &str, result: RentalResult, now: Moment) {
         let Some(at) = self
-            .fleet
+            .provisioning
             .rental_requests
             .iter()
             .position(|h| h.name == name)
@@ -20,20 +20,20 @@
         match result {
             RentalResult::Unknown => {}
             RentalResult::NoCapacity => {
-                let request = self.fleet.rental_requests.remove(at);
-                self.fleet
+                let request = self.provisioning.rental_requests.remove(at);
+                self.provisioning
                     .no_room
                     .insert(request.offer, now + NO_ROOM_PAUSE);
             }
             RentalResult::Rented(names) => {
-                let request = self.fleet.rental_requests.remove(at);
+                let request = self.provisioning.rental_requests.remove(at);
                 if names.len() < request.count as usize {
-                    self.fleet
+                    self.provisioning
                         .no_room
                         .insert(request.offer.clone(), now + NO_ROOM_PAUSE);
                 }
                 for machine in names {
-                    if self.fleet.is_gone(&machine) || self.machines.contains_key(&machine) {
+                    if self.provisioning.is_gone(&machine) || self.machines.contains_key(&machine) {
                         continue;
                     }
                     let mut m = crate::workers::Machine::new(
@@ -41,7 +41,7 @@
                         &request.type_name,
                         &request.offer.zone,
                         request.offer.spot,
-                        self.fleet.room_of(&request.type_name),
+                        self.provisioning.room_of(&request.type_name),
                         now,
                     );
                     m.list_status = Some(ListStatus::Starting);
@@ -55,13 +55,13 @@
 
     /// Takes in a whole machine list that was asked for at `asked`.
     pub fn listed(&mut self, list: &[ListedMachine], asked: Moment, now: Moment) {
-        self.fleet.listed = true;
-        self.fleet.last_list = Some(now);
+        self.provisioning.listed = true;
+        self.provisioning.last_list = Some(now);
         for l in list {
-            if self.fleet.is_gone(&l.name) {
+            if self.provisioning.is_gone(&l.name) {
                 continue;
             }
-            let total = self.fleet.room_of(&l.type_name);
+            let total = self.provisioning.room_of(&l.type_name);
             let started = self.started;
             let held = Micros::from_secs_f64(l.held_s.0);
             // As of the list it was held that long. If that reaches back beyond the oldest moment
@@ -72,7 +72,7 @@
             } else {
                 now
             };
-            let existed = match self.old_records.get(&l.name) {
+            let existed = match self.prior_term_machines.get(&l.name) {
                 Some(recorded) => existed.min(*recorded),
                 None => existed,
             };
@@ -103,7 +103,7 @@
         }
         self.note_unlisted(list, asked);
         self.forget_vanished(now);
-        self.release_seen(now);
+        self.release_prior_term(now);
     }
 
     /// Machines that a list should name and doesn't are gone, and what was on them too.
@@ -119,27 +119,29 @@
         let names: BTreeSet<&String> = self
             .machines
             .keys()
-            .chain(self.unseen.iter())
+            .chain(self.unreconciled.iter())
             .filter(|n| !named.contains(n.as_str()))
             .collect();
         for name in names {
             let existed = match self.machines.get(name) {
                 Some(m) => m.exists_since,
-                None => self.old_records.get(name).copied(),
+                None => self.prior_term_machines.get(name).copied(),
             };
             if existed.is_some_and(|t| t + oldest < asked) {
-                if self.fleet.unlisted.contains(name) {
+                if self.provisioning.unlisted.contains(name) {
                     gone.push(name.clone());
                 } else {
-                    self.fleet.unlisted.insert(name.clone());
+                    self.provisioning.unlisted.insert(name.clone());
                 }
             }
         }
-        self.fleet.unlisted.retain(|n| !named.contains(n.as_str()));
+        self.provisioning
+            .unlisted
+            .retain(|n| !named.contains(n.as_str()));
         for name in &gone {
             log::info!("machine {name}: gone from the list");
-            self.fleet.unlisted.remove(name);
-            self.unseen.remove(name);
+            self.provisioning.unlisted.remove(name);
+            self.unreconciled.remove(name);
         }
         self.returned(&gone);
     }
@@ -163,19 +165,19 @@
     fn drop_machine(&mut self, name: &str) {
         self.end_session(name);
         self.machines.remove(name);
-        self.fleet.roster.remove(name);
-        self.old_records.remove(name);
+        self.provisioning.registry.remove(name);
+        self.prior_term_machines.remove(name);
     }
 
     /// The cloud said that these machines, and everything on them, are gone.
     pub fn returned(&mut self, names: &[String]) {
         for name in names {
             self.drop_machine(name);
-            self.fleet.gone.insert(name.clone());
+            self.provisioning.gone.insert(name.clone());
         }
         // Names come in the order of creation: the first ones are the oldest.
-        while self.fleet.gone.len() > self.config.remembered {
-            self.fleet.gone.pop_first();
+        while self.provisioning.gone.len() > self.config.remembered {
+            self.provisioning.gone.pop_first();
         }
     }
 }
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -81,12 +81,12 @@
     /// Machines that may hold tasks. A machine is written down before its first one, as soon as
     /// it is heard from. Sooner would spare its first task a wait, but a takeover then waits for
     /// every machine that is still booting, and some machine nearly always is.
-    pub roster: Pages<u64>,
+    pub registry: Pages<u64>,
 }
 
 /// The key prefix of the roster: machines that may hold tasks, and until when they surely existed,
 /// by the writing node's time of day.
-pub const FLEET_PREFIX: &str = "fleet/";
+pub const REGISTRY_PREFIX: &str = "fleet/";
 
 /// How long a refused kind of machine isn't asked for again.
 const NO_ROOM_PAUSE: Micros = Micros::from_secs(10);
@@ -165,20 +165,20 @@
 
 impl SchedulerState {
     /// Sees to it that a machine is on the roster; true if it surely is already.
-    pub fn enroll(&mut self, name: &str, now: Moment) -> bool {
-        if !self.fleet.roster.contains(name) {
+    pub fn register(&mut self, name: &str, now: Moment) -> bool {
+        if !self.provisioning.registry.contains(name) {
             let at = self.wall(now).0;
-            self.fleet.roster.put(name, at);
-            self.urgent_rounds = true;
+            self.provisioning.registry.put(name, at);
+            self.writes_due = true;
         }
-        self.fleet.roster.is_stored(name)
+        self.provisioning.registry.is_stored(name)
     }
 
     /// Pages of the roster that differ from what is stored; without `tidy` only those with new
     /// machines.
-    pub fn due_roster(&self, tidy: bool) -> Vec<Write> {
-        let due = self.fleet.roster.due(tidy).into_iter();
-        due.map(|image| page_write(FLEET_PREFIX, image, WriteKind::Roster))
+    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<Write> {
+        let due = self.provisioning.registry.due(tidy).into_iter();
+        due.map(|image| page_write(REGISTRY_PREFIX, image, WriteKind::Registry))
             .collect()
     }
 }
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -55,11 +55,11 @@
     /// Adds the rentals that waiting work needs beyond what is there and on its way.
     pub fn plan_rentals(&mut self, now: Moment) {
         let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
-        let soon = self.fleet.planned.is_some_and(|t| now - t < spacing);
-        if !self.fleet.listed || !self.fleet.rental_requests.is_empty() || soon {
+        let soon = self.provisioning.planned.is_some_and(|t| now - t < spacing);
+        if !self.provisioning.listed || !self.provisioning.rental_requests.is_empty() || soon {
             return;
         }
-        self.fleet.planned = Some(now);
+        self.provisioning.planned = Some(now);
         let mut wanted = self.wanted_offers(now);
         if wanted.is_empty()
             && let Some(offer) = self.reserve_offer(now)
@@ -75,10 +75,10 @@
             while left > 0 {
                 let n = left.min(MAX_RENTAL);
                 left -= n;
-                self.fleet.rental_count += 1;
-                let name = format!("r-{}-{}", self.term, self.fleet.rental_count);
-                let type_name = self.fleet.catalog[offer.type_index].name.clone();
-                self.fleet.rental_requests.push(RentalRequest {
+                self.provisioning.rental_count += 1;
+                let name = format!("r-{}-{}", self.term, self.provisioning.rental_count);
+                let type_name = self.provisioning.catalog[offer.type_index].name.clone();
+                self.provisioning.rental_requests.push(RentalRequest {
                     name,
                     offer: offer.clone(),
                     type_name,
@@ -92,8 +92,8 @@
     /// that would start too late there asks for a new machine.
     fn wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
-        let offers = self.fleet.offers();
-        let refused = |o: &Offer| self.fleet.no_room.get(o).is_some_and(|t| *t > now);
+        let offers = self.provisioning.offers();
+        let refused = |o: &Offer| self.provisioning.no_room.get(o).is_some_and(|t| *t > now);
         if offers.iter().all(|(o, _)| refused(o)) {
             return wanted;
         }
@@ -125,7 +125,7 @@
             // By when a task could start there: only the bin that takes one changes.
             let earliest = |bins: &[Bin], i: usize| {
                 let bin = &bins[i];
-                let t = &self.fleet.catalog[bin.type_index];
+                let t = &self.provisioning.catalog[bin.type_index];
                 let allowed = need.fits(t.room) && job.spec.allows(&t.name, &bin.zone, bin.spot);
                 let start = if allowed {
                     bin.earliest(need)?
@@ -160,7 +160,7 @@
                 let (start, at) = match (offer, best) {
                     (Some(offer), _) => {
                         *wanted.entry(offer.clone()).or_insert(0) += 1;
-                        let t = &self.fleet.catalog[offer.type_index];
+                        let t = &self.provisioning.catalog[offer.type_index];
                         let up = now + t.boot;
                         bins.push(Bin {
                             type_index: offer.type_index,
@@ -203,13 +203,13 @@
         offers
             .iter()
             .filter(|(o, _)| {
-                let t = &self.fleet.catalog[o.type_index];
+                let t = &self.provisioning.catalog[o.type_index];
                 // A machine that is late to boot is still likely to be up before a new one.
                 let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
                 job.spec.allows(&t.name, &o.zone, o.spot)
                     && Self::zone_allowed(job, &o.zone, zones)
                     && need.fits(t.room)
-                    && self.fleet.no_room.get(o).is_none_or(|t| *t <= now)
+                    && self.provisioning.no_room.get(o).is_none_or(|t| *t <= now)
                     && existing.is_none_or(|start| {
                         let long = up + self.config.on_demand_patience < start;
                         up < start && (o.spot || !job.spec.spot || long)
@@ -217,7 +217,7 @@
             })
             .min_by(|(a, pa), (b, pb)| {
                 let cost = |o: &Offer, price: f64| {
-                    let room = self.fleet.catalog[o.type_index].room;
+                    let room = self.provisioning.catalog[o.type_index].room;
                     price / f64::from(room.times(need).max(1))
                 };
                 cost(a, *pa).total_cmp(&cost(b, *pb))
@@ -228,15 +228,15 @@
     /// When room gets free on a machine, as far as can be told.
     fn bin_of(&self, m: &crate::workers::Machine, now: Moment) -> Option<Bin> {
         let type_index = self
-            .fleet
+            .provisioning
             .catalog
             .iter()
             .position(|t| t.name == m.type_name)?;
         let mut releases = Vec::new();
         if m.last_report.is_none() {
-            let boot = self.fleet.catalog[type_index].boot;
+            let boot = self.provisioning.catalog[type_index].boot;
             let up = (m.known_since + boot).max(now + Micros::from_secs(2));
-            releases.push((up, self.fleet.catalog[type_index].room));
+            releases.push((up, self.provisioning.catalog[type_index].room));
         } else {
             releases.push((now, self.free_room(m)));
             for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -62,7 +62,7 @@
     /// True if the operator aims at starting work sooner than a machine can be had: then room is
     /// kept ready. Aims that leave time for a boot are met by renting at once.
     fn keeps_ready(&self) -> bool {
-        let soonest = self.fleet.soonest_boot();
+        let soonest = self.provisioning.soonest_boot();
         self.array_waits()
             .any(|o| Micros::from_secs_f64(o.within_s) < soonest)
     }
@@ -77,7 +77,7 @@
         }
         let (mut free, mut total) = (0, 0);
         for m in self.machines.values().filter(|m| m.stays()) {
-            let room = self.fleet.room_of(&m.type_name);
+            let room = self.provisioning.room_of(&m.type_name);
             total += room.cpu;
             free += if m.last_report.is_none() {
                 room.cpu
@@ -95,7 +95,7 @@
             return None;
         }
         let by_cpu = |t: &MachineType, price: f64| price / t.room.cpu.max(1) as f64;
-        self.fleet.cheapest(true, now, by_cpu)
+        self.provisioning.cheapest(true, now, by_cpu)
     }
 
     /// Standing jobs that may not use spot machines.
@@ -114,9 +114,9 @@
         }
         let recent = |j: &&Job| now - j.accepted_at < ARRIVALS_SPAN;
         let arrived: i64 = self.on_demand_services().filter(recent).map(total).sum();
-        let boots = self.fleet.soonest_boot().as_secs_f64() / ARRIVALS_SPAN.as_secs_f64();
+        let boots = self.provisioning.soonest_boot().as_secs_f64() / ARRIVALS_SPAN.as_secs_f64();
         let yet_to_come = (arrived as f64 * boots * ARRIVALS_VARY) as i64;
-        let smallest = self.fleet.catalog.iter().map(|t| t.room.cpu).min()?;
+        let smallest = self.provisioning.catalog.iter().map(|t| t.room.cpu).min()?;
         let floor = LEAST_RESERVE_MACHINES * smallest;
         Some(floor.max(2 * largest.unwrap_or(0)).max(yet_to_come))
     }
@@ -124,7 +124,7 @@
     /// An objective tells of standing jobs before the first one comes: it is on starting times that leave
     /// no time for a boot, of a class without arrays.
     fn expects_services(&self) -> bool {
-        let soonest = self.fleet.soonest_boot();
+        let soonest = self.provisioning.soonest_boot();
         let mut waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
         let has_no_arrays = |class: &String| !self.array_classes.contains(class);
         waits.any(|o| {
@@ -144,7 +144,8 @@
         };
         let room = |m: &Machine| {
             let held = m.attempts.iter().filter(|(_, a)| a.holds());
-            self.fleet.room_of(&m.type_name).cpu - held.map(|(key, _)| replica(key)).sum::<i64>()
+            self.provisioning.room_of(&m.type_name).cpu
+                - held.map(|(key, _)| replica(key)).sum::<i64>()
         };
         let on_demand = self.machines.values().filter(|m| !m.spot && m.stays());
         Some(on_demand.map(room).sum::<i64>() - reserve)
@@ -156,8 +157,8 @@
         if missing <= 0 {
             return None;
         }
-        let offer = self.fleet.cheapest(false, now, |_, price| price)?;
-        let room = self.fleet.catalog[offer.type_index].room.cpu.max(1);
+        let offer = self.provisioning.cheapest(false, now, |_, price| price)?;
+        let room = self.provisioning.catalog[offer.type_index].room.cpu.max(1);
         let count = (missing + room - 1) / room;
         Some((offer, count.min(i64::from(MAX_RENTAL)) as u32))
     }
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -34,7 +34,7 @@
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
         let uncounted = m.last_report.is_some()
-            && !m.counted_in
+            && !m.reconciled
             && now - m.known_since.max(self.started) > lease;
         uncounted
             || m.suspicion
@@ -83,7 +83,7 @@
         } else {
             self.config.idle.scaled(ON_DEMAND_IDLE)
         };
-        m.counted_in && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
+        m.reconciled && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
     }
 
     /// Why a machine is of no use any more.
@@ -92,7 +92,10 @@
     /// thereby one that never came up.
     fn defect(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
         let lease = self.lease_span();
-        let boot = self.fleet.boot_of(&m.type_name).unwrap_or(self.config.idle);
+        let boot = self
+            .provisioning
+            .boot_of(&m.type_name)
+            .unwrap_or(self.config.idle);
         let leading_for = now - self.started;
         let known_for = now - m.known_since;
         if m.last_report.is_none() {
@@ -118,7 +121,7 @@
             return Some(ReturnReason::Recalled);
         }
         // Its reports arrive, but it hears nothing, and not only for a while.
-        let uncounted = !m.counted_in && leading_for.min(known_for) > lease.scaled(2.0);
+        let uncounted = !m.reconciled && leading_for.min(known_for) > lease.scaled(2.0);
         let suspected = m
             .suspicion
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
@@ -133,14 +136,14 @@
     /// or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
         let patience = self.config.report.scaled(SILENT_REPORTS);
-        let falls_behind = self.fell_behind_since(now, patience.scaled(2.0));
+        let falls_behind = self.was_overloaded_within(now, patience.scaled(2.0));
         if falls_behind || now - self.started < patience.scaled(2.0) {
             return Vec::new();
         }
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.counted_in && !m.lost && m.last_heartbeat.is_some())
+            .filter(|m| m.reconciled && !m.lost && m.last_heartbeat.is_some())
             .collect();
         let is_silent = |m: &&Machine| m.last_heartbeat.is_some_and(|t| now - t > patience);
         let silent: Vec<&Machine> = known.iter().copied().filter(is_silent).collect();
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -3,9 +3,9 @@
 //! Everything here is deterministic: events, `now` and a seeded generator go in, the wanted
 //! state comes out. Threads, sockets and clocks stay outside, so that a test replays a trace.
 
-mod estimates;
-mod hearing;
-mod views;
+mod reachability;
+mod run_times;
+mod status;
 
 use crate::jobs::spec::Submission;
 use crate::jobs::{DoneRecord, FinalWrite, Job, JobId, Jobs, Outcome, new_job};
@@ -62,12 +62,12 @@
     pub started: Moment,
     pub jobs: Jobs,
     pub machines: BTreeMap<String, Machine>,
-    pub fleet: Provisioning,
+    pub provisioning: Provisioning,
     pub rng: fastrand::Rng,
     /// Jobs of earlier terms may be placed: a full lease passed under this term.
     pub released: bool,
     /// Something changed that a placement pass should look at.
-    pub dirty: bool,
+    pub placement_due: bool,
     /// When the last placement pass was.
     pub last_pass: Moment,
     /// How long tasks of a class ran, against their owners' estimates.
@@ -75,18 +75,18 @@
     /// Classes of which an array was seen: aims at their starting times are aims for work that ends.
     pub array_classes: BTreeSet<String>,
     /// Machines on record that may hold tasks of earlier terms, not counted in yet.
-    pub unseen: BTreeSet<String>,
+    pub unreconciled: BTreeSet<String>,
     /// When the machines that earlier terms recorded existed, at the latest.
-    pub old_records: BTreeMap<String, Moment>,
+    pub prior_term_machines: BTreeMap<String, Moment>,
     /// Which tasks may have started: of each job those numbered below its entry.
-    pub claims: Pages<u32>,
+    pub start_watermarks: Pages<u32>,
     /// A page of claims could not be read: any task of an earlier job may have started.
-    pub claims_lost: bool,
+    pub watermarks_lost: bool,
     /// Revision at which a controller of an earlier version last took the lead, 0 if none ever did. It
     /// dropped the claims of standing jobs, which it didn't know.
-    pub older_led_at: u64,
+    pub older_version_led_at: u64,
     /// Machines with tasks that wait for their job's claim.
-    pub awaiting_claim: BTreeMap<JobId, BTreeSet<String>>,
+    pub awaiting_watermark: BTreeMap<JobId, BTreeSet<String>>,
     /// The time of day at `started`.
     pub wall_at_start: WallTime,
     /// Machines with orders that go straight to them.
@@ -95,11 +95,11 @@
     pub calls: Vec<Moment>,
     /// The process falls behind for want of processor time: what heartbeat answers carry as well
     /// isn't sent directly.
-    pub(crate) behind: bool,
+    pub(crate) overloaded: bool,
     /// When it was last seen to fall behind.
-    behind_at: Moment,
+    overloaded_at: Moment,
     /// A job's final state waits for its record.
-    pub urgent_rounds: bool,
+    pub writes_due: bool,
     /// Which decisions may be made now.
     permissions: Permissions,
     /// The tokens given out, and the starts in doubt that they fence off.
@@ -108,12 +108,12 @@
 
 impl SchedulerState {
     pub fn new(config: SchedulerConfig, term: u64, started: Moment, seed: u64) -> SchedulerState {
-        let (claims, roster) = (
+        let (start_watermarks, registry) = (
             Pages::new(config.value_bytes),
             Pages::new(config.value_bytes),
         );
-        let mut fleet = Provisioning::default();
-        fleet.roster = roster;
+        let mut provisioning = Provisioning::default();
+        provisioning.registry = registry;
         SchedulerState {
             config,
             term,
@@ -121,25 +121,25 @@
             started,
             jobs: Jobs::default(),
             machines: BTreeMap::new(),
-            fleet,
+            provisioning,
             rng: fastrand::Rng::with_seed(seed),
             released: false,
-            dirty: true,
+            placement_due: true,
             last_pass: Moment(0),
             estimate_ratio: BTreeMap::new(),
             array_classes: BTreeSet::new(),
-            unseen: BTreeSet::new(),
-            old_records: BTreeMap::new(),
-            claims,
-            claims_lost: false,
-            older_led_at: 0,
-            awaiting_claim: BTreeMap::new(),
+            unreconciled: BTreeSet::new(),
+            prior_term_machines: BTreeMap::new(),
+            start_watermarks,
+            watermarks_lost: false,
+            older_version_led_at: 0,
+            awaiting_watermark: BTreeMap::new(),
             wall_at_start: WallTime(0),
             direct_due: BTreeSet::new(),
             calls: Vec::new(),
-            behind: false,
-            behind_at: Moment(0),
-            urgent_rounds: false,
+            overloaded: false,
+            overloaded_at: Moment(0),
+            writes_due: false,
             permissions: Permissions::ALL,
             fencing: Fencing::new(term),
         }
@@ -168,13 +168,13 @@
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
         let age = wall.0.saturating_sub(spec.accepted.0);
         let accepted_at = Moment(now.0.saturating_sub(age));
-        self.dirty = true;
-        let mut claimed = self.claims.get(&spec.id).copied().unwrap_or(0);
-        if self.claims_lost || (spec.standing && revision <= self.older_led_at) {
+        self.placement_due = true;
+        let mut start_watermark = self.start_watermarks.get(&spec.id).copied().unwrap_or(0);
+        if self.watermarks_lost || (spec.standing && revision <= self.older_version_led_at) {
             // Any of its tasks may have started, whatever the pages say.
-            claimed = spec.tasks;
+            start_watermark = spec.tasks;
         }
-        let mut job = new_job(spec, team, revision, accepted_at, claimed);
+        let mut job = new_job(spec, team, revision, accepted_at, start_watermark);
         if self.released {
             job.release();
         }
@@ -194,7 +194,7 @@
         };
         if *known != revision && chunk == 0 {
             // What got no answer was guarded by the revision before: it can't be applied any more.
-            job.deciding = FinalWrite::Idle;
+            job.final_write = FinalWrite::Idle;
         }
         *known = revision;
         let mut set = job.recorded.clone();
@@ -220,7 +220,7 @@
             return;
         }
         job.outcome = Some(outcome);
-        job.deciding = FinalWrite::Idle;
+        job.final_write = FinalWrite::Idle;
         log::debug!(
             "{} of {}: {outcome:?}, {} tasks, first all placed {:?} s after acceptance",
             job.spec.id,
@@ -247,20 +247,20 @@
                 self.direct_due.insert(m.name.clone());
             }
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 
     /// Claims of jobs that were retired: nothing of them is left.
-    pub fn drop_stale_claims(&mut self) {
+    pub fn drop_stale_watermarks(&mut self) {
         let jobs = &self.jobs;
         let stale: Vec<String> = self
-            .claims
+            .start_watermarks
             .keys()
             .filter(|id| jobs.find(id).is_none())
             .cloned()
             .collect();
         for id in stale {
-            self.claims.remove(&id);
+            self.start_watermarks.remove(&id);
         }
     }
 
@@ -281,7 +281,7 @@
         {
             let first = job.cancel_asked_at.is_none();
             job.cancel_asked_at.get_or_insert(now);
-            self.urgent_rounds = true;
+            self.writes_due = true;
             if first {
                 self.stop_attempts_of(job_id);
             }
@@ -295,34 +295,34 @@
     /// tasks that were not claimed never started, and the claimed ones can only be on machines of
     /// the roster. Once each of these was counted in under this term, or its session surely
     /// ended, nothing is unseen, and the wait for a full lease ends early.
-    pub fn release_seen(&mut self, now: Moment) {
+    pub fn release_prior_term(&mut self, now: Moment) {
         if self.released {
             return;
         }
         let machines = &self.machines;
-        let fleet = &self.fleet;
-        self.unseen.retain(|name| {
+        let provisioning = &self.provisioning;
+        self.unreconciled.retain(|name| {
             let seen = machines
                 .get(name)
-                .is_some_and(|m| m.counted_in || m.session_over);
-            !seen && !fleet.is_gone(name)
+                .is_some_and(|m| m.reconciled || m.session_over);
+            !seen && !provisioning.is_gone(name)
         });
         let lease_over = now - self.started >= self.lease_span();
-        if !lease_over && !self.unseen.is_empty() {
+        if !lease_over && !self.unreconciled.is_empty() {
             return;
         }
         log::info!(
             "earlier jobs are released, {} machines unseen",
-            self.unseen.len()
+            self.unreconciled.len()
         );
-        for name in std::mem::take(&mut self.unseen) {
+        for name in std::mem::take(&mut self.unreconciled) {
             if !self.machines.contains_key(&name) {
-                self.fleet.roster.remove(&name);
-                self.old_records.remove(&name);
+                self.provisioning.registry.remove(&name);
+                self.prior_term_machines.remove(&name);
             }
         }
         self.released = true;
-        self.dirty = true;
+        self.placement_due = true;
         for job in self.jobs.table.values_mut() {
             job.release();
         }
@@ -343,29 +343,29 @@
     pub fn set_permissions(&mut self, permissions: Permissions) -> bool {
         let before = std::mem::replace(&mut self.permissions, permissions);
         // What waited for the permission is looked at again.
-        self.dirty |= permissions.assign && !before.assign;
+        self.placement_due |= permissions.assign && !before.assign;
         let may_record_again = permissions.record && !before.record;
-        self.urgent_rounds |= may_record_again;
+        self.writes_due |= may_record_again;
         may_record_again
     }
 
     /// Notes whether the process falls behind.
-    pub fn note_pace(&mut self, behind: bool, now: Moment) {
-        self.behind = behind;
-        if behind {
-            self.behind_at = now;
+    pub fn note_overload(&mut self, overloaded: bool, now: Moment) {
+        self.overloaded = overloaded;
+        if overloaded {
+            self.overloaded_at = now;
         }
     }
 
     /// True if the process fell behind within that time.
-    pub(crate) fn fell_behind_since(&self, now: Moment, span: Micros) -> bool {
-        self.behind || (self.behind_at > Moment(0) && now - self.behind_at < span)
+    pub(crate) fn was_overloaded_within(&self, now: Moment, span: Micros) -> bool {
+        self.overloaded || (self.overloaded_at > Moment(0) && now - self.overloaded_at < span)
     }
 
     /// A machine that an earlier term recorded, and when it existed at the latest.
-    pub fn note_unseen(&mut self, name: &str, since: Moment) {
-        self.unseen.insert(name.to_string());
-        self.old_records.insert(name.to_string(), since);
+    pub fn note_unreconciled(&mut self, name: &str, since: Moment) {
+        self.unreconciled.insert(name.to_string());
+        self.prior_term_machines.insert(name.to_string(), since);
     }
 
     /// What time alone changes.
@@ -373,7 +373,7 @@
         self.expire_leases(now);
         self.check_revocations(now);
         let retry = self.jobs.table.values().any(retry_due(now));
-        self.dirty |= retry;
+        self.placement_due |= retry;
         self.place_soon(now);
     }
 }
--- a/src/scheduler/views.rs
+++ b/src/scheduler/status.rs
@@ -16,7 +16,7 @@
         if let Some(outcome) = job.outcome {
             return LocalStatus::View(JobView::of_final(outcome, job.spec.tasks));
         }
-        if job.deciding != FinalWrite::Idle {
+        if job.final_write != FinalWrite::Idle {
             return LocalStatus::FinalWriteInFlight;
         }
         let running = if job.is_bound() {
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -82,7 +82,7 @@
                 && let Some(job) = self.jobs.table.get_mut(&key.0)
             {
                 job.unbind(key.1);
-                self.dirty = true;
+                self.placement_due = true;
             }
         }
     }
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -67,7 +67,7 @@
     match (attempt.status, attempt.desired) {
         (None, DesiredState::Run) => {
             let was_sent = attempt.sent.is_some() || attempt.delivery.may_arrive();
-            let may_start = takes_starts && number < job.claimed && !job.is_closed();
+            let may_start = takes_starts && number < job.start_watermark && !job.is_closed();
             (may_start && !was_sent).then_some(CommandKind::Run)
         }
         (Some(status), DesiredState::Stop { .. }) => {
@@ -82,7 +82,7 @@
     /// The next machine with orders that need not wait for its heartbeat.
     pub fn next_direct(&mut self, now: Moment) -> Option<DirectCall> {
         let prompt = |t: &&Moment| now - **t < SILENT_AFTER;
-        if self.behind || self.calls.iter().filter(prompt).count() >= CALLS_AT_ONCE {
+        if self.overloaded || self.calls.iter().filter(prompt).count() >= CALLS_AT_ONCE {
             return None;
         }
         while let Some(name) = self.direct_due.pop_first() {
@@ -116,7 +116,7 @@
             suspicion.note_probe(now);
             return self.begin_call(name, DirectOrders::default(), now);
         }
-        if !machine.counted_in {
+        if !machine.reconciled {
             return None;
         }
         let content = self.direct_orders(name, now)?;
@@ -194,7 +194,7 @@
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
                 job.unbind(key.1);
             }
-            self.dirty = true;
+            self.placement_due = true;
         }
     }
 
@@ -232,7 +232,7 @@
             && report.session == machine.session
         {
             // It hears.
-            self.dirty |= machine.suspicion.take().is_some();
+            self.placement_due |= machine.suspicion.take().is_some();
         }
         let answered = matches!(result, DirectResult::Answered(_));
         if let DirectResult::Answered(report) = result
@@ -266,7 +266,7 @@
         self.fencing.counters.doubts += call.starts.len() as u64;
         self.fencing.note_doubt(&call.machine, call.token);
         // A higher token is written by the loop that writes records.
-        self.urgent_rounds = true;
+        self.writes_due = true;
         for (_, task, attempt) in &call.starts {
             log::debug!(
                 "start in doubt: machine={} session={} token={} task={task} attempt={attempt} waited_s={:.3}",
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -19,7 +19,7 @@
 const DIRECT_TIME: Duration = Duration::from_millis(1500);
 /// Many machines may be suspected at once: asking them mustn't hold up orders for the others.
 const PROBE_TIME: Duration = Duration::from_millis(500);
-const MAX_KNOCKS: usize = 64;
+const MAX_REFUSED_HEARTBEATS: usize = 64;
 /// Longer than a watch on the leader takes.
 const VOUCHED: Micros = Micros::from_secs(6);
 /// A connection to a worker that wasn't used for this long may go when there are many.
@@ -68,15 +68,15 @@
 impl Controller {
     pub fn heartbeat(&self, body: &[u8]) -> Response {
         {
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
-            if core.acting(now).is_none() {
-                core.knocks.push_back(now);
-                while core.knocks.len() > MAX_KNOCKS {
-                    core.knocks.pop_front();
+            if state.acting(now).is_none() {
+                state.refused_heartbeats.push_back(now);
+                while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
+                    state.refused_heartbeats.pop_front();
                 }
-                let response = self.misdirected(&core);
-                drop(core);
+                let response = self.misdirected(&state);
+                drop(state);
                 self.note_refused(body, now);
                 return response;
             }
@@ -88,18 +88,18 @@
                 return Response::new(400, Vec::new());
             }
         };
-        let mut core = self.core();
+        let mut state = self.state();
         // The clock is read under the lock: a process may stand still at any point, and what was
         // allowed before it may be another's by now.
         let now = self.now();
-        let Some((lead, cluster)) = core.acting(now) else {
-            return self.misdirected(&core);
+        let Some((lead, scheduler)) = state.acting(now) else {
+            return self.misdirected(&state);
         };
         let (term, valid_until) = (lead.term, lead.valid_until);
-        match cluster.heartbeat(&report, now) {
+        match scheduler.heartbeat(&report, now) {
             HeartbeatReply::Commands { token, orders } => {
-                self.wake(cluster);
-                drop(core);
+                self.wake(scheduler);
+                drop(state);
                 let body = encode(&HeartbeatReplyBody { token, orders });
                 Response {
                     valid_until: Some(valid_until),
@@ -109,7 +109,7 @@
             HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(1),
             HeartbeatReply::Deposed => {
                 log::info!("a worker knows a higher term than {term}");
-                core.step_down = true;
+                state.step_down = true;
                 Response::busy(1)
             }
         }
@@ -126,9 +126,9 @@
 
     /// Names the leader only while the state service vouched for it lately: a node that lost
     /// touch would send workers in circles.
-    fn misdirected(&self, core: &crate::controller::ControllerState) -> Response {
-        let vouched = self.now() - core.leader_seen < VOUCHED;
-        let foreman = core
+    fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
+        let vouched = self.now() - state.leader_seen < VOUCHED;
+        let foreman = state
             .known_leader
             .as_ref()
             .filter(|_| vouched)
@@ -138,11 +138,11 @@
     }
 
     /// Wakes the threads that have something to do after a decision.
-    pub fn wake(&self, cluster: &mut crate::scheduler::SchedulerState) {
-        if std::mem::take(&mut cluster.urgent_rounds) {
+    pub fn wake(&self, scheduler: &mut crate::scheduler::SchedulerState) {
+        if std::mem::take(&mut scheduler.writes_due) {
             self.changed.notify_all();
         }
-        if !cluster.direct_due.is_empty() {
+        if !scheduler.direct_due.is_empty() {
             self.direct_due.notify_one();
         }
     }
@@ -151,14 +151,14 @@
     pub fn direct_loop(&self) {
         loop {
             let call = {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
-                let call = core
+                let call = state
                     .acting(now)
-                    .and_then(|(_, cluster)| cluster.next_direct(now));
+                    .and_then(|(_, scheduler)| scheduler.next_direct(now));
                 match call {
                     Some(call) => {
-                        if core
+                        if state
                             .acting(now)
                             .is_some_and(|(_, c)| !c.direct_due.is_empty())
                         {
@@ -168,21 +168,21 @@
                     }
                     None => {
                         let ticket = self.direct_due.ticket();
-                        drop(core);
+                        drop(state);
                         self.direct_due.wait(ticket, Duration::from_secs(60));
                         continue;
                     }
                 }
             };
             let result = self.call_worker(&call);
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
             // Even if the lead is in doubt by now: what is known of the start must be kept.
-            let Some(cluster) = core.cluster.as_mut().filter(|c| c.term == call.term) else {
+            let Some(scheduler) = state.scheduler.as_mut().filter(|c| c.term == call.term) else {
                 continue;
             };
-            cluster.direct_done(&call, result, now);
-            self.wake(cluster);
+            scheduler.direct_done(&call, result, now);
+            self.wake(scheduler);
         }
     }
 
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -41,14 +41,14 @@
         machine.type_name.clone_from(&report.type_name);
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
-        machine.total = self.fleet.room_of(&report.type_name);
+        machine.total = self.provisioning.room_of(&report.type_name);
         machine.recalled = report.recall.is_some();
         machine.recall_at = report.recall.map(|s| now + Micros::from_secs_f64(s.0));
         machine.seen_token = machine.seen_token.max(report.token);
-        if !machine.counted_in && report.token >= self.term {
-            machine.counted_in = true;
+        if !machine.reconciled && report.token >= self.term {
+            machine.reconciled = true;
             log::debug!("machine {} counted in", machine.name);
-            self.dirty = true;
+            self.placement_due = true;
         }
         self.settle_doubts(&report.machine, now);
         self.apply_tasks(report, by_heartbeat, now);
@@ -125,7 +125,7 @@
     /// What one task's line in a report shows.
     fn take_task(&mut self, report: &Heartbeat, key: AttemptKey, task: &ReportedTask, now: Moment) {
         let (job_id, number, _) = key;
-        let cache_gb = self.fleet.cache_of(&report.type_name);
+        let cache_gb = self.provisioning.cache_of(&report.type_name);
         let (Some(job), Some(machine)) = (
             self.jobs.table.get_mut(&job_id),
             self.machines.get_mut(&report.machine),
@@ -148,8 +148,8 @@
                 at: now,
             };
             let effect = settle_exit(&exit, job, machine, &mut attempt);
-            self.dirty = true;
-            self.urgent_rounds |= effect.completes_job;
+            self.placement_due = true;
+            self.writes_due |= effect.completes_job;
             ran = effect.ran;
         }
         let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -153,7 +153,7 @@
     /// The highest token that a report of it told.
     pub seen_token: u64,
     /// A report carried the current token: no older leader's order can land here any more.
-    pub counted_in: bool,
+    pub reconciled: bool,
     /// Its lease ran out without a report: nothing is on it.
     pub lost: bool,
     /// Its lease ran out under this term, or it stopped for good: nothing of an earlier term can be
@@ -219,7 +219,7 @@
             tick: 0,
             token: 0,
             seen_token: 0,
-            counted_in: false,
+            reconciled: false,
             lost: false,
             session_over: false,
             recorded: false,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -44,14 +44,14 @@
         if report.token > self.fencing.newest() {
             return HeartbeatReply::Deposed;
         }
-        if self.fleet.is_gone(&report.machine) {
+        if self.provisioning.is_gone(&report.machine) {
             return HeartbeatReply::Stale;
         }
         if !self.machines.contains_key(&report.machine) {
             if self.machines.len() >= self.config.most_machines {
                 return HeartbeatReply::Stale;
             }
-            let total = self.fleet.room_of(&report.type_name);
+            let total = self.provisioning.room_of(&report.type_name);
             let mut machine = Machine::new(
                 &report.machine,
                 &report.type_name,
@@ -62,10 +62,10 @@
             );
             machine.lease_from = self.started;
             // A report may be late, and its machine gone: only a list or a rental proves more.
-            machine.exists_since = self.old_records.get(&report.machine).copied();
+            machine.exists_since = self.prior_term_machines.get(&report.machine).copied();
             self.machines.insert(report.machine.clone(), machine);
         }
-        let recorded = self.enroll(&report.machine, now);
+        let recorded = self.register(&report.machine, now);
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.recorded = recorded;
         }
@@ -82,7 +82,7 @@
             return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
-        self.dirty |= !machine.is_alive(self.config.report, now);
+        self.placement_due |= !machine.is_alive(self.config.report, now);
         machine.checked = seen;
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
@@ -98,7 +98,7 @@
             machine.lease_from = now;
         }
         self.review_suspicion(&report.machine, now);
-        self.release_seen(now);
+        self.release_prior_term(now);
         self.place_soon(now);
         let token = self.token_for(&report.machine);
         let orders = self.orders(&report.machine, now);
--- a/src/workers/orders.rs
+++ b/src/workers/orders.rs
@@ -81,7 +81,7 @@
                         dropped.push(*key);
                         continue;
                     }
-                    if key.1 >= job.claimed || !machine.recorded {
+                    if key.1 >= job.start_watermark || !machine.recorded {
                         continue;
                     }
                     attempt.sent = Some(here);
@@ -99,7 +99,7 @@
             machine.attempts.remove(&key);
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
                 job.unbind(key.1);
-                self.dirty = true;
+                self.placement_due = true;
             }
         }
         orders.extend(starts);
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -15,7 +15,7 @@
         };
         if suspicion.is_refuted(span, now) {
             machine.suspicion = None;
-            self.dirty = true;
+            self.placement_due = true;
         } else if suspicion.may_probe(now) {
             self.direct_due.insert(name.to_string());
         }
@@ -39,7 +39,7 @@
                 job.unbind(key.1);
             }
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 
     /// Sessions end when nobody can have renewed their lease for its full time.
@@ -64,6 +64,6 @@
             }
             self.end_session(&name);
         }
-        self.release_seen(now);
+        self.release_prior_term(now);
     }
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -18,7 +18,7 @@
 use std::fmt::Write;
 
 pub struct World {
-    pub cluster: SchedulerState,
+    pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
     /// The state service takes higher tokens.
@@ -120,10 +120,10 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = SchedulerState::new(config, term, at(0.0), 7);
-        cluster.fleet.catalog = catalog().types();
+        let mut scheduler = SchedulerState::new(config, term, at(0.0), 7);
+        scheduler.provisioning.catalog = catalog().types();
         World {
-            cluster,
+            scheduler,
             log: String::new(),
             now: at(0.0),
             raises_tokens: true,
@@ -150,21 +150,23 @@
 
     /// A job of which an earlier term claimed every task.
     pub fn old_job(&mut self, submission: Submission) -> &mut Self {
-        let claimed = submission.pieces as u32;
-        self.accepted(submission, claimed)
+        let start_watermark = submission.pieces as u32;
+        self.accepted(submission, start_watermark)
     }
 
     /// A job of which an earlier term claimed the first tasks.
-    pub fn accepted(&mut self, s: Submission, claimed: u32) -> &mut Self {
+    pub fn accepted(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
         self.epoch += 1;
         let mut earlier = String::new();
-        if claimed > 0 {
+        if start_watermark > 0 {
             let page = self.epoch as u32;
-            let entries = vec![(s.id.clone(), claimed)];
-            self.cluster.claims.load(page, self.epoch, entries);
-            earlier = format!(" under an earlier term, {claimed} claimed");
+            let entries = vec![(s.id.clone(), start_watermark)];
+            self.scheduler
+                .start_watermarks
+                .load(page, self.epoch, entries);
+            earlier = format!(" under an earlier term, {start_watermark} claimed");
         }
-        self.cluster
+        self.scheduler
             .add_job(&s, self.epoch, self.now, WallTime(s.accepted_us));
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
@@ -201,7 +203,7 @@
     /// The highest token that a worker which takes every answer has seen.
     fn token_of(&self, machine: &str) -> u64 {
         let told = self.told.get(machine).copied();
-        told.unwrap_or(self.cluster.term)
+        told.unwrap_or(self.scheduler.term)
     }
 
     pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
@@ -212,9 +214,9 @@
     /// Sends a report; the token of its answer, if it is answered.
     pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace claims and the roster are written as soon as they are due.
-        self.cluster.place(self.now);
+        self.scheduler.place(self.now);
         self.record_fleet();
-        let answer = self.cluster.heartbeat(report, self.now);
+        let answer = self.scheduler.heartbeat(report, self.now);
         let token = match answer {
             HeartbeatReply::Commands { token, .. } => Some(token),
             _ => None,
@@ -229,7 +231,7 @@
                     true => "nothing to do".to_string(),
                     false => orders.join(", "),
                 };
-                match token == self.cluster.term {
+                match token == self.scheduler.term {
                     true => text,
                     false => format!("{text} (token {token})"),
                 }
@@ -254,8 +256,8 @@
             tasks.join(", ")
         ));
         // What passes too close to the last one left undone is done by the next tick.
-        if self.cluster.dirty {
-            self.cluster.place(self.now);
+        if self.scheduler.placement_due {
+            self.scheduler.place(self.now);
         }
         self.record_fleet();
         token
@@ -263,9 +265,9 @@
 
     /// Puts a higher token on record, if one is wanted.
     fn raise_token(&mut self) {
-        if self.raises_tokens && self.cluster.token_raise_due(self.now) {
-            let token = self.cluster.fencing.newest() + 1;
-            self.cluster.token_raised(token, self.now);
+        if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
+            let token = self.scheduler.fencing.newest() + 1;
+            self.scheduler.token_raised(token, self.now);
             self.note(&format!("token {token} is on record"));
         }
     }
@@ -273,11 +275,11 @@
     /// Writes what starts wait for.
     pub fn record_fleet(&mut self) {
         self.raise_token();
-        let mut writes = self.cluster.due_claims();
-        writes.extend(self.cluster.due_roster(true));
+        let mut writes = self.scheduler.pending_watermark_writes();
+        writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
     }
 
@@ -286,21 +288,24 @@
         self.epoch += 1;
         let page = self.epoch as u32;
         let entries = vec![(machine.to_string(), 0)];
-        self.cluster.fleet.roster.load(page, self.epoch, entries);
-        self.cluster.note_unseen(machine, at(since));
+        self.scheduler
+            .provisioning
+            .registry
+            .load(page, self.epoch, entries);
+        self.scheduler.note_unreconciled(machine, at(since));
         self
     }
 
     pub fn tick(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
-        self.cluster.tick(self.now);
+        self.scheduler.tick(self.now);
         self.record_fleet();
         self
     }
 
     /// Sends one direct call, if there is one, and ends it as told.
     pub fn direct(&mut self, result: impl FnOnce(&mut World) -> DirectResult) -> &mut Self {
-        let Some(call) = self.cluster.next_direct(self.now) else {
+        let Some(call) = self.scheduler.next_direct(self.now) else {
             self.note("no direct call");
             return self;
         };
@@ -317,19 +322,19 @@
             call.machine,
             orders.join(", ")
         ));
-        self.cluster.direct_done(&call, result, self.now);
+        self.scheduler.direct_done(&call, result, self.now);
         self
     }
 
     /// One write round; `commit` says whether the state service took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
-        let mut writes: Vec<RecordWrite> = self.cluster.due_finals(12);
-        writes.extend(self.cluster.due_sets(100));
-        writes.extend(self.cluster.due_retirements(100, 12));
+        let mut writes: Vec<RecordWrite> = self.scheduler.pending_final_writes(12);
+        writes.extend(self.scheduler.pending_done_sets(100));
+        writes.extend(self.scheduler.pending_retirements(100, 12));
         let told: Vec<String> = writes
             .iter()
             .map(|w| {
-                let id = |job| &self.cluster.jobs.table[job].spec.id;
+                let id = |job| &self.scheduler.jobs.table[job].spec.id;
                 match &w.kind {
                     WriteKind::Final(j, o) => format!("{} is {o:?}", id(j)),
                     WriteKind::Set { job, chunk, text } => {
@@ -345,14 +350,14 @@
         if commit {
             for write in &writes {
                 self.epoch += 1;
-                self.cluster.written(write, self.epoch);
+                self.scheduler.written(write, self.epoch);
             }
         }
         self
     }
 
     pub fn view(&mut self, id: &str) -> &mut Self {
-        let text = match self.cluster.view(id) {
+        let text = match self.scheduler.view(id) {
             LocalStatus::View(v) => format!(
                 "{} ({} done, {} running)",
                 v.state.name(),
@@ -377,7 +382,7 @@
                 decode(&encode(&wire)).unwrap()
             })
             .collect();
-        self.cluster.listed(&list, self.now, self.now);
+        self.scheduler.listed(&list, self.now, self.now);
         self.record_fleet();
         let names: Vec<&str> = machines.iter().map(|(n, _)| *n).collect();
         self.note(&format!("the cloud lists [{}]", names.join(", ")));
@@ -385,10 +390,10 @@
     }
 
     pub fn rentals(&mut self) -> &mut Self {
-        self.cluster.plan_rentals(self.now);
+        self.scheduler.plan_rentals(self.now);
         let rental_requests: Vec<String> = self
-            .cluster
-            .fleet
+            .scheduler
+            .provisioning
             .rental_requests
             .iter()
             .map(|h| {
@@ -405,12 +410,12 @@
     /// What is bound, by machine.
     pub fn bound(&mut self) -> &mut Self {
         let mut lines = Vec::new();
-        for m in self.cluster.machines.values() {
+        for m in self.scheduler.machines.values() {
             let tasks: Vec<String> = m
                 .attempts
                 .iter()
                 .filter(|(_, a)| a.holds())
-                .map(|(k, _)| format!("{}/{}", self.cluster.jobs.table[&k.0].spec.id, k.1))
+                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.0].spec.id, k.1))
                 .collect();
             lines.push(format!("{}: {}", m.name, tasks.join(" ")));
         }
@@ -457,11 +462,11 @@
                 attempt & 0xffff_ffff
             ))
         };
-        let mut report = self.report(&worker.name, self.cluster.term, 1, &[]);
+        let mut report = self.report(&worker.name, self.scheduler.term, 1, &[]);
         let running = worker.tasks.iter().map(|t| show(&t.0, t.1, "running"));
         let done = worker.over.iter().map(|t| show(&t.0, t.1, "done"));
         report.tasks = running.chain(done).collect();
-        let answer = self.cluster.heartbeat(&report, self.now);
+        let answer = self.scheduler.heartbeat(&report, self.now);
         self.record_fleet();
         let HeartbeatReply::Commands { orders, .. } = answer else {
             panic!("{answer:?}");
@@ -478,12 +483,12 @@
                 CommandKind::Clear => worker.over.retain(|t| t.1 != order.attempt),
             }
         }
-        let mut writes = self.cluster.due_finals(12);
-        writes.extend(self.cluster.due_sets(100));
-        writes.extend(self.cluster.due_retirements(100, 12));
+        let mut writes = self.scheduler.pending_final_writes(12);
+        writes.extend(self.scheduler.pending_done_sets(100));
+        writes.extend(self.scheduler.pending_retirements(100, 12));
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -28,7 +28,7 @@
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.at(60.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
 }
 
@@ -36,11 +36,11 @@
 fn a_start_that_is_not_revoked() {
     let mut w = world();
     w.raises_tokens = false;
-    w.cluster.config.cancel = Micros::from_secs(5);
+    w.scheduler.config.cancel = Micros::from_secs(5);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
     w.tick(1.0).direct(|_| DirectResult::Unknown);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.tick(7.0);
 }
 
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -15,8 +15,8 @@
     let leader = w.leader()?;
     let node = w.state().nodes[leader].node.clone()?;
     let now = node.now();
-    let core = node.core();
-    let listed = core.cluster.as_ref()?.fleet.last_list?;
+    let state = node.state();
+    let listed = state.scheduler.as_ref()?.provisioning.last_list?;
     Some((now - listed).as_secs_f64())
 }
 
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -54,7 +54,7 @@
 }
 
 struct Replay {
-    cluster: SchedulerState,
+    scheduler: SchedulerState,
     workers: BTreeMap<String, Worker>,
     work: HashMap<String, Work>,
     rng: fastrand::Rng,
@@ -109,10 +109,10 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = SchedulerState::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
-        cluster.fleet.catalog = catalog.types();
+        let mut scheduler = SchedulerState::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
+        scheduler.provisioning.catalog = catalog.types();
         Replay {
-            cluster,
+            scheduler,
             workers: BTreeMap::new(),
             work: HashMap::new(),
             rng: fastrand::Rng::with_seed(11),
@@ -159,8 +159,8 @@
         s.accepted_us = self.wall().0;
         self.epoch += 1;
         let (epoch, now, wall) = (self.epoch, self.now(), self.wall());
-        self.cluster.add_job(&s, epoch, now, wall);
-        self.cluster.place_soon(now);
+        self.scheduler.add_job(&s, epoch, now, wall);
+        self.scheduler.place_soon(now);
         let work = Work {
             image,
             cpus,
@@ -266,7 +266,7 @@
             let body = self.report(&name);
             let report: Heartbeat = decode(&body).unwrap();
             let HeartbeatReply::Commands { orders, .. } =
-                self.cluster.heartbeat(&report, self.now())
+                self.scheduler.heartbeat(&report, self.now())
             else {
                 panic!("{name} is turned away");
             };
@@ -282,41 +282,50 @@
     }
 
     fn direct_calls(&mut self) {
-        while let Some(call) = self.cluster.next_direct(self.now()) {
+        while let Some(call) = self.scheduler.next_direct(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
             self.execute(&name, &call.orders);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
-            self.cluster
+            self.scheduler
                 .direct_done(&call, DirectResult::Answered(report), now);
         }
     }
 
     /// What the state service takes: as many changes as the leader may write in a step.
     fn write(&mut self, in_round: bool, mut left: usize) {
-        let mut writes = affordable(self.cluster.due_roster(false), &mut left);
-        writes.extend(affordable(self.cluster.due_claims(), &mut left));
-        writes.extend(affordable(self.cluster.due_finals(12), &mut left));
+        let mut writes = affordable(self.scheduler.pending_registry_writes(false), &mut left);
+        writes.extend(affordable(
+            self.scheduler.pending_watermark_writes(),
+            &mut left,
+        ));
+        writes.extend(affordable(
+            self.scheduler.pending_final_writes(12),
+            &mut left,
+        ));
         if in_round {
-            writes.extend(affordable(self.cluster.due_sets(left), &mut left));
             writes.extend(affordable(
-                self.cluster.due_retirements(left, 12),
+                self.scheduler.pending_done_sets(left),
+                &mut left,
+            ));
+            writes.extend(affordable(
+                self.scheduler.pending_retirements(left, 12),
                 &mut left,
             ));
         }
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
         let now = self.now();
-        self.cluster.place_soon(now);
+        self.scheduler.place_soon(now);
     }
 
-    fn fleet(&mut self) {
+    fn provisioning(&mut self) {
         let now = self.now();
-        self.cluster.plan_rentals(now);
-        for hire in self.cluster.fleet.rental_requests.clone() {
+        self.scheduler.plan_rentals(now);
+        for hire in self.scheduler.provisioning.rental_requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
             let count = u64::from(hire.count).min(left);
             let names: Vec<String> = (0..count)
@@ -343,9 +352,9 @@
                 true => RentalResult::NoCapacity,
                 false => RentalResult::Rented(names),
             };
-            self.cluster.rental_answered(&hire.name, result, now);
+            self.scheduler.rental_answered(&hire.name, result, now);
         }
-        let names = self.cluster.plan_returns(now);
+        let names = self.scheduler.plan_returns(now);
         for name in &names {
             let gone = self.workers.remove(name).unwrap();
             assert!(
@@ -353,7 +362,7 @@
                 "{name} is returned with work on it"
             );
         }
-        self.cluster.returned(&names);
+        self.scheduler.returned(&names);
     }
 
     fn list(&mut self) {
@@ -374,7 +383,7 @@
         let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
-        self.cluster.listed(&list.hosts, now, now);
+        self.scheduler.listed(&list.hosts, now, now);
     }
 
     fn step(&mut self) {
@@ -385,17 +394,17 @@
         self.write(self.now_ms.is_multiple_of(2000), 6);
         if self.now_ms.is_multiple_of(250) {
             let now = self.now();
-            self.cluster.tick(now);
+            self.scheduler.tick(now);
         }
         if self.now_ms.is_multiple_of(500) {
-            self.fleet();
+            self.provisioning();
         }
         if self.now_ms.is_multiple_of(3000) {
             self.list();
         }
         for job in self.work.keys() {
             if self.now_ms.is_multiple_of(5000) {
-                self.cluster.view(job);
+                self.scheduler.view(job);
             }
         }
     }
@@ -419,7 +428,7 @@
         r.step();
     }
     let most = r.workers.len();
-    while !r.cluster.jobs.table.is_empty() && r.now_ms < 900_000 {
+    while !r.scheduler.jobs.table.is_empty() && r.now_ms < 900_000 {
         r.step();
     }
     println!(
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -14,7 +14,7 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::Client;
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::leadership::{Take, take};
+use aspenreel::leadership::{ElectionOutcome, take};
 use aspenreel::os::System;
 use aspenreel::state_store::{Change, Commit, Store, Urgency, to_value};
 use aspenreel::time::Micros;
@@ -364,15 +364,15 @@
     let system = Arc::new(System::default());
     let store = Store::new(addr, 1000.0, system.clone());
     let life = Micros::from_secs(60);
-    let Take::Taken(old) = take(&store, &*system, "n-0", life).unwrap() else {
+    let ElectionOutcome::Taken(old) = take(&store, &*system, "n-0", life).unwrap() else {
         panic!("nobody else stood");
     };
     assert!(matches!(
         take(&store, &*system, "n-1", life).unwrap(),
-        Take::Lost
+        ElectionOutcome::Lost
     ));
     store.end_lease(old.lease).unwrap();
-    let Take::Taken(new) = take(&store, &*system, "n-1", life).unwrap() else {
+    let ElectionOutcome::Taken(new) = take(&store, &*system, "n-1", life).unwrap() else {
         panic!("the lead was free");
     };
     assert_eq!(new.term, old.term + 1);
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -6,7 +6,7 @@
 
 use crate::nodes::spawn_watching;
 use aspenreel_testbed::cuts::Way;
-use aspenreel_testbed::loopback::{NODES, SchedulerState};
+use aspenreel_testbed::loopback::{LoopbackCluster, NODES};
 use aspenreel_testbed::loopback_users::Users;
 use aspenreel_testbed::processes::Site;
 use aspenreel_testbed::relay::Traffic;
@@ -28,7 +28,7 @@
         Ok(rounds) => rounds.parse().unwrap(),
         Err(_) => 1,
     };
-    let cluster = SchedulerState::start(tag, &Site::default(), spawn_watching);
+    let cluster = LoopbackCluster::start(tag, &Site::default(), spawn_watching);
     let mut users = Users::new(&cluster, 1, 0);
     users.busy_for(Duration::from_millis(2500));
     for _ in 0..rounds {
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -2,7 +2,7 @@
 
 use crate::nodes::spawn;
 use aspenreel_testbed::checker::Checker;
-use aspenreel_testbed::loopback::SchedulerState;
+use aspenreel_testbed::loopback::LoopbackCluster;
 use aspenreel_testbed::loopback_users::Users;
 use aspenreel_testbed::processes::{CANCEL_S, Site};
 use aspenreel_testbed::relay::Traffic;
@@ -14,7 +14,7 @@
 #[test]
 fn held_orders_start_nothing_that_was_cancelled() {
     let held = Duration::from_secs_f64(CANCEL_S) + BEYOND;
-    let cluster = SchedulerState::start("held", &Site::default(), spawn);
+    let cluster = LoopbackCluster::start("held", &Site::default(), spawn);
     let mut users = Users::new(&cluster, 3, 0);
     users.cancels_one_in(2);
     users.busy_for(Duration::from_millis(2500));
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -104,8 +104,8 @@
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[("big-east-1", "running")]);
     w.at(5.0).list(&[("big-east-1", "running")]).bound();
-    let unseen = format!("unseen: {:?}", w.cluster.unseen);
-    w.note(&unseen);
+    let unreconciled = format!("unseen: {:?}", w.scheduler.unreconciled);
+    w.note(&unreconciled);
     w.at(12.0).list(&[("big-east-1", "running")]);
     w.at(15.0).list(&[("big-east-1", "running")]);
     w.tick(15.2).bound();
@@ -140,8 +140,8 @@
 fn room_is_kept_where_no_boot_fits_the_aim() {
     let rental_requests = |within_s: f64| {
         let mut w = World::new(2, one_team());
-        w.cluster.config.reserve = 4.0;
-        w.cluster.config.objectives = vec![Objective {
+        w.scheduler.config.reserve = 4.0;
+        w.scheduler.config.objectives = vec![Objective {
             kind: "wait".into(),
             class: Some("train".into()),
             within_s,
@@ -150,8 +150,8 @@
         w.at(1.0).job(submission("run-1", |_| ()));
         w.heartbeat("big-east-1", &[])
             .list(&[("big-east-1", "running")]);
-        w.cluster.plan_rentals(at(2.0));
-        w.cluster.fleet.rental_requests.len()
+        w.scheduler.plan_rentals(at(2.0));
+        w.scheduler.provisioning.rental_requests.len()
     };
     // The soonest machine boots in 20 s, and some take half as long again.
     assert_eq!((rental_requests(29.0), rental_requests(31.0)), (1, 0));
@@ -176,7 +176,7 @@
     w.at(8.0).list(&[("big-east-1", "running")]);
     w.tick(8.2).bound();
     w.at(11.0).list(&[("big-east-1", "running")]);
-    let known: Vec<&String> = w.cluster.machines.keys().collect();
+    let known: Vec<&String> = w.scheduler.machines.keys().collect();
     let known = format!("known: {known:?}");
     w.note(&known);
     assert_snapshot!(w.log);
@@ -188,17 +188,22 @@
 fn booting_machines_are_not_waited_for() {
     let mut w = World::new(2, one_team());
     w.job(submission("run-1", |s| s.pieces = 1));
-    w.cluster.fleet.listed = true;
-    w.cluster.plan_rentals(at(1.0));
-    let rental_requests = w.cluster.fleet.rental_requests.clone();
+    w.scheduler.provisioning.listed = true;
+    w.scheduler.plan_rentals(at(1.0));
+    let rental_requests = w.scheduler.provisioning.rental_requests.clone();
     let rented = RentalResult::Rented(vec!["small-east-7".to_string()]);
-    w.cluster
+    w.scheduler
         .rental_answered(&rental_requests[0].name, rented, at(1.0));
-    let due = |w: &World| format!("roster pages due: {}", w.cluster.due_roster(true).len());
+    let due = |w: &World| {
+        format!(
+            "roster pages due: {}",
+            w.scheduler.pending_registry_writes(true).len()
+        )
+    };
     let before = due(&w);
     w.note(&before);
     let first = w.report("small-east-7", 2, 1, &[]);
-    w.cluster.heartbeat(&first, at(9.0));
+    w.scheduler.heartbeat(&first, at(9.0));
     let after = due(&w);
     w.at(9.0).note(&after);
     w.bound();
@@ -240,13 +245,13 @@
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
     w.tick(1.0).direct(|_| DirectResult::Unknown).bound();
     let name = w
-        .cluster
+        .scheduler
         .machines
         .values()
         .find(|m| m.busy())
         .map(|m| m.name.clone())
         .unwrap();
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.round(true).view("run-1");
     w.at(3.0).heartbeat(&name, &[]);
     w.at(6.0).heartbeat(&name, &[]).bound();
@@ -269,7 +274,7 @@
     w.at(6.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.round(true);
     w.at(9.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
@@ -290,8 +295,8 @@
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-2/0#2.2 running"]);
-    w.cluster.ask_cancel("run-1", w.now);
-    w.cluster.ask_cancel("run-2", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-2", w.now);
     w.view("run-1").view("run-2");
     w.at(6.1).round(true).view("run-1").view("run-2");
     w.at(7.0)
@@ -383,7 +388,7 @@
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 error", "run-2/0#2.2 error"]);
-    let faulty = w.cluster.machines["big-east-1"].faulty;
+    let faulty = w.scheduler.machines["big-east-1"].faulty;
     w.note(&format!("big-east-1 faulty: {faulty}"));
     for (i, t) in [(2, 3.0), (3, 5.0), (4, 7.0)] {
         let name = format!("big-east-{i}");
@@ -398,11 +403,11 @@
 fn large_job() {
     let mut w = World::new(2, one_team());
     w.job(submission("run-1", |s| s.pieces = 100_000));
-    let id = w.cluster.jobs.find("run-1").unwrap();
+    let id = w.scheduler.jobs.find("run-1").unwrap();
     for task in (0..100_000).filter(|t| t % 7 != 3) {
-        w.cluster.jobs.table.get_mut(&id).unwrap().settle(task);
+        w.scheduler.jobs.table.get_mut(&id).unwrap().settle(task);
     }
-    let writes = w.cluster.due_sets(1000);
+    let writes = w.scheduler.pending_done_sets(1000);
     let longest = writes
         .iter()
         .flat_map(|x| &x.changes)
@@ -416,18 +421,18 @@
     let mut next = World::new(3, one_team());
     next.old_job(submission("run-1", |s| s.pieces = 100_000));
     for write in &writes {
-        w.cluster.written(write, 500);
+        w.scheduler.written(write, 500);
         if let WriteKind::Set { chunk, text, .. } = &write.kind {
             let record = aspenreel::jobs::DoneRecord {
                 state: None,
                 set: text.clone(),
             };
-            next.cluster.load_done("run-1", *chunk, &record, 500);
+            next.scheduler.load_done("run-1", *chunk, &record, 500);
         }
     }
-    let remaining = next.cluster.jobs.get("run-1").unwrap().remaining();
+    let remaining = next.scheduler.jobs.get("run-1").unwrap().remaining();
     w.note(&format!("the next leader finds {remaining} tasks left"));
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.round(true);
     // More chunks than a transaction holds: they go in steps, the final record last.
     w.round(true).round(true).view("run-1");
@@ -445,7 +450,7 @@
     }));
     w.rentals();
     w.at(1.0).list(&[]).rentals();
-    w.cluster.rental_answered(
+    w.scheduler.rental_answered(
         "r-4-1",
         RentalResult::Rented(vec!["small-west-7".into()]),
         at(2.0),
@@ -457,10 +462,10 @@
         s.loaners = false;
     }));
     w.rentals();
-    w.cluster
+    w.scheduler
         .rental_answered("r-4-2", RentalResult::Unknown, at(4.0));
     w.at(4.0).rentals();
-    w.cluster
+    w.scheduler
         .rental_answered("r-4-2", RentalResult::NoCapacity, at(5.0));
     w.at(5.0).rentals();
     assert_snapshot!(w.log);
@@ -473,15 +478,15 @@
     w.recorded("big-east-1", -300.0);
     w.at(1.0)
         .list(&[("big-east-1", "running"), ("small-west-2", "starting")]);
-    let due = w.cluster.plan_returns(at(1.0));
+    let due = w.scheduler.plan_returns(at(1.0));
     w.note(&format!("to return: {due:?}"));
     for t in [5.0, 30.0, 60.0, 140.0] {
         w.at(t).heartbeat("big-east-1", &[]);
         w.tick(t);
-        let due = w.cluster.plan_returns(at(t));
+        let due = w.scheduler.plan_returns(at(t));
         w.note(&format!("to return: {due:?}"));
     }
-    w.cluster.returned(&["big-east-1".into()]);
+    w.scheduler.returned(&["big-east-1".into()]);
     w.at(141.0).heartbeat("big-east-1", &[]);
     assert_snapshot!(w.log);
 }
@@ -519,24 +524,24 @@
 fn no_start_before_the_record() {
     let mut w = World::new(2, one_team());
     let first = w.report("big-east-1", 2, 1, &[]);
-    w.cluster.heartbeat(&first, at(0.0));
+    w.scheduler.heartbeat(&first, at(0.0));
     w.at(1.0).job(submission("run-1", |s| s.pieces = 9));
-    w.cluster.tick(at(1.0));
+    w.scheduler.tick(at(1.0));
     w.bound();
-    for write in w.cluster.due_roster(false) {
-        w.cluster.written(&write, 7);
+    for write in w.scheduler.pending_registry_writes(false) {
+        w.scheduler.written(&write, 7);
     }
-    w.cluster.tick(at(1.01));
+    w.scheduler.tick(at(1.01));
     w.bound().direct(|_| unreachable!());
-    let claims = w.cluster.due_claims();
-    for write in &claims {
+    let start_watermarks = w.scheduler.pending_watermark_writes();
+    for write in &start_watermarks {
         w.note(&format!("to be written: {:?}", write.kind));
     }
     // The page changes while it is being written: it stays due, over its own revision.
     w.job(submission("run-2", |s| s.pieces = 1));
-    w.cluster.tick(at(1.02));
-    w.cluster.written(&claims[0], 8);
-    for write in w.cluster.due_claims() {
+    w.scheduler.tick(at(1.02));
+    w.scheduler.written(&start_watermarks[0], 8);
+    for write in w.scheduler.pending_watermark_writes() {
         w.note(&format!("to be written: {:?}", write.kind));
     }
     w.at(1.1)
@@ -551,7 +556,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
-    w.cluster.place(at(1.0));
+    w.scheduler.place(at(1.0));
     w.record_fleet();
     w.bound().direct(|_| DirectResult::Unreached);
     w.bound().direct(|_| unreachable!());
@@ -582,23 +587,23 @@
             s.ram_gb = decimal(100.0);
         }));
     }
-    w.cluster.place(at(0.0));
+    w.scheduler.place(at(0.0));
     w.record_fleet();
     let calls = |w: &mut World, seconds: f64| {
-        let calls: Vec<_> = std::iter::from_fn(|| w.cluster.next_direct(at(seconds))).collect();
+        let calls: Vec<_> = std::iter::from_fn(|| w.scheduler.next_direct(at(seconds))).collect();
         let names: Vec<&str> = calls.iter().map(|c| c.machine.as_str()).collect();
         let text = format!("called: [{}]", names.join(", "));
         w.at(seconds).note(&text);
         calls
     };
     let first = calls(&mut w, 1.0);
-    w.cluster
+    w.scheduler
         .direct_done(&first[0], DirectResult::Unsent, at(1.01));
     calls(&mut w, 1.02);
     calls(&mut w, 1.15);
-    w.cluster.note_pace(true, at(1.3));
+    w.scheduler.note_overload(true, at(1.3));
     calls(&mut w, 1.3);
-    w.cluster.note_pace(false, at(1.4));
+    w.scheduler.note_overload(false, at(1.4));
     calls(&mut w, 1.4);
     assert_snapshot!(w.log);
 }
@@ -607,13 +612,13 @@
 /// lost term after term to its own work, and each cost more than it had.
 #[test]
 fn a_slow_leader_keeps_its_term() {
-    let silent = |behind: bool, at_seconds: f64| {
+    let silent = |overloaded: bool, at_seconds: f64| {
         let mut w = World::new(2, one_team());
         for n in 1..=4 {
             w.heartbeat(&format!("big-east-{n}"), &[]);
         }
-        w.cluster.note_pace(behind, at(4.0));
-        w.cluster.unheard(at(0.0), at(at_seconds))
+        w.scheduler.note_overload(overloaded, at(4.0));
+        w.scheduler.unheard(at(0.0), at(at_seconds))
     };
     assert!(!silent(false, 4.0), "nobody is silent yet");
     assert!(silent(false, 10.0));
@@ -627,31 +632,31 @@
 #[test]
 fn memory_is_bounded() {
     let mut w = World::new(2, one_team());
-    w.cluster.config.job_bytes = 100_000;
-    w.cluster.config.most_machines = 2;
+    w.scheduler.config.job_bytes = 100_000;
+    w.scheduler.config.most_machines = 2;
     let mut n = 0;
-    while !w.cluster.is_full(false) {
+    while !w.scheduler.is_full(false) {
         n += 1;
         w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
     }
     w.note(&format!("full after {n} small jobs"));
-    w.cluster.forget_job("run-1");
-    let states = (w.cluster.is_full(false), w.cluster.is_full(true));
+    w.scheduler.forget_job("run-1");
+    let states = (w.scheduler.is_full(false), w.scheduler.is_full(true));
     w.note(&format!(
         "one less: full {states:?} if it was not, if it was"
     ));
     for n in 2..=8 {
-        w.cluster.forget_job(&format!("run-{n}"));
+        w.scheduler.forget_job(&format!("run-{n}"));
     }
-    let full = w.cluster.is_full(true);
+    let full = w.scheduler.is_full(true);
     w.note(&format!("a tenth less: full {full}"));
     w.job(submission("run-999", |s| s.pieces = 100_000));
-    let full = w.cluster.is_full(false);
+    let full = w.scheduler.is_full(false);
     w.note(&format!("one of 100,000 tasks more: full {full}"));
     for n in 1..=3 {
         w.heartbeat(&format!("big-east-{n}"), &[]);
     }
-    let m = w.cluster.machines.get_mut("big-east-1").unwrap();
+    let m = w.scheduler.machines.get_mut("big-east-1").unwrap();
     for n in 0..1000 {
         m.note_image(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
     }
@@ -743,7 +748,7 @@
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     w.at(12.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 stopped"]);
-    let begun = |w: &World| w.cluster.jobs.get("run-1").unwrap().begun();
+    let begun = |w: &World| w.scheduler.jobs.get("run-1").unwrap().begun();
     let early = begun(&w);
     w.note(&format!("run-1 has begun: {early}"));
     w.at(95.0)
@@ -762,14 +767,14 @@
 #[test]
 fn waiting_wins_through_a_takeover() {
     let mut w = World::new(3, vec![team("a", 100.0, 100.0), team("b", 0.0, 8.0)]);
-    w.cluster.wall_at_start = aspenreel::time::WallTime(85_000_000);
+    w.scheduler.wall_at_start = aspenreel::time::WallTime(85_000_000);
     let mut worker = SimWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
     w.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
     // Accepted 85 s ago by the time of day.
     let old = submission("run-1", |s| s.pieces = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
-    w.cluster.add_job(&old, 50, at(0.0), wall);
+    w.scheduler.add_job(&old, 50, at(0.0), wall);
     crowded(&mut w, &mut worker, &mut begun, 1..40);
     let at = begun.get("run-1").copied().unwrap_or(f64::INFINITY);
     assert!((5.0..30.0).contains(&at), "run-1 began at {at} s");
@@ -780,7 +785,7 @@
 #[test]
 fn one_way_silence() {
     let mut w = World::new(2, one_team());
-    w.cluster.config.idle = aspenreel::time::Micros::from_secs(1000);
+    w.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
     w.tick(1.0);
@@ -803,7 +808,7 @@
         w.at(t).send(&next);
         w.direct(|_| DirectResult::Unknown);
     }
-    let due = w.cluster.plan_returns(at(126.0));
+    let due = w.scheduler.plan_returns(at(126.0));
     w.note(&format!("to return: {due:?}"));
     assert_snapshot!(w.log);
 }
@@ -846,7 +851,7 @@
     w.at(41.0).send(&next).bound();
     w.at(42.0).send(&idle).send(&running).bound();
     // The machine is gone.
-    w.cluster.returned(&["big-east-1".into()]);
+    w.scheduler.returned(&["big-east-1".into()]);
     w.at(60.0).send(&next).bound();
     assert_snapshot!(w.log);
 }
@@ -865,8 +870,8 @@
         &["run-1/0#4.1 done", "run-1/1#4.2 running"],
     );
     w.at(1.0).send(&copy).bound();
-    let unseen = format!("unseen: {:?}", w.cluster.unseen);
-    w.note(&unseen);
+    let unreconciled = format!("unseen: {:?}", w.scheduler.unreconciled);
+    w.note(&unreconciled);
     w.round(true).view("run-1");
     let own = w.report("big-east-1", 5, 2, &[]);
     w.at(2.0).send(&own).bound();
@@ -882,30 +887,30 @@
     w.at(1.0).list(&[]).job(first.clone()).job(first.clone());
     w.rentals();
     let rented = || RentalResult::Rented(vec!["big-east-7".into()]);
-    w.cluster.rental_answered("r-4-1", rented(), at(2.0));
-    w.cluster.rental_answered("r-4-1", rented(), at(2.0));
+    w.scheduler.rental_answered("r-4-1", rented(), at(2.0));
+    w.scheduler.rental_answered("r-4-1", rented(), at(2.0));
     w.at(2.0).rentals();
     w.at(9.0).heartbeat("big-east-7", &[]);
     w.at(10.0).heartbeat("big-east-7", &["run-1/0#4.1 running"]);
-    w.cluster.ask_cancel("run-1", w.now);
-    w.cluster.ask_cancel("run-1", w.now);
-    let writes = w.cluster.due_finals(12);
+    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
+    let writes = w.scheduler.pending_final_writes(12);
     w.round(true).view("run-1");
     // The same transaction again fails on its revision; what is read back changes nothing.
     let record = aspenreel::jobs::DoneRecord {
         state: Some(aspenreel::jobs::Outcome::Cancelled),
         set: String::new(),
     };
-    w.cluster.load_done("run-1", 0, &record, 105);
+    w.scheduler.load_done("run-1", 0, &record, 105);
     w.note(&format!("{} final state written once", writes.len()));
     w.view("run-1").job(first).view("run-1");
     w.at(11.0)
         .heartbeat("big-east-7", &["run-1/0#4.1 stopped"])
         .round(true);
-    w.cluster.returned(&["big-east-7".into()]);
-    w.cluster.returned(&["big-east-7".into()]);
+    w.scheduler.returned(&["big-east-7".into()]);
+    w.scheduler.returned(&["big-east-7".into()]);
     // A repeated rental that the cloud answers late names a machine that is gone.
-    w.cluster.rental_answered("r-4-1", rented(), at(12.0));
+    w.scheduler.rental_answered("r-4-1", rented(), at(12.0));
     w.at(12.0).bound();
     assert_snapshot!(w.log);
 }
@@ -918,20 +923,20 @@
     w.heartbeat("big-east-1", &[]);
     for n in 1..=40 {
         w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
-        let id = w.cluster.jobs.find(&format!("run-{n}")).unwrap();
-        w.cluster.jobs.table.get_mut(&id).unwrap().settle(0);
+        let id = w.scheduler.jobs.find(&format!("run-{n}")).unwrap();
+        w.scheduler.jobs.table.get_mut(&id).unwrap().settle(0);
     }
     w.job(submission("run-99", |s| s.pieces = 1));
-    w.cluster.tick(at(1.0));
+    w.scheduler.tick(at(1.0));
     let mut left = 12;
-    let mut writes = affordable(w.cluster.due_claims(), &mut left);
-    writes.extend(affordable(w.cluster.due_finals(12), &mut left));
+    let mut writes = affordable(w.scheduler.pending_watermark_writes(), &mut left);
+    writes.extend(affordable(w.scheduler.pending_final_writes(12), &mut left));
     let changes: usize = writes.iter().map(|x| x.changes.len()).sum();
     assert!(matches!(writes[0].kind, WriteKind::Claims(_)));
     assert_eq!((writes.len(), changes, left), (6, 11, 1));
     // A large write that must wait isn't passed by later, smaller ones.
-    w.cluster.ask_cancel("run-99", w.now);
-    let due = w.cluster.due_finals(12);
+    w.scheduler.ask_cancel("run-99", w.now);
+    let due = w.scheduler.pending_final_writes(12);
     assert_eq!(affordable(due, &mut 1).len(), 0);
 }
 
@@ -946,21 +951,21 @@
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.view("run-1");
-    w.cluster.ask_cancel("run-1", w.now);
-    let writes = w.cluster.due_finals(12);
-    w.cluster.sending(&writes);
+    w.scheduler.ask_cancel("run-1", w.now);
+    let writes = w.scheduler.pending_final_writes(12);
+    w.scheduler.sending(&writes);
     w.note("the cancellation is sent").view("run-1");
-    w.cluster.not_written(&writes);
+    w.scheduler.not_written(&writes);
     w.at(6.1).note("it was surely refused").view("run-1");
-    w.cluster.sending(&writes);
-    w.cluster.unanswered(&writes);
+    w.scheduler.sending(&writes);
+    w.scheduler.unanswered(&writes);
     w.at(6.2).note("sent again, it got no answer").view("run-1");
-    w.cluster.sending(&writes);
-    w.cluster.not_written(&writes);
+    w.scheduler.sending(&writes);
+    w.scheduler.not_written(&writes);
     w.at(6.3)
         .note("sent once more, that one was refused")
         .view("run-1");
-    w.cluster.written(&writes[0], 200);
+    w.scheduler.written(&writes[0], 200);
     w.at(6.4).note("the fourth was written").view("run-1");
     assert_snapshot!(w.log);
 }
@@ -979,8 +984,8 @@
     w.at(1.0).send(&copy).bound();
     w.at(2.0).send(&next_session).bound();
     w.at(3.0).heartbeat("big-east-2", &[]).bound();
-    let counted_in = w.report("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
-    w.at(4.0).send(&counted_in).bound();
+    let reconciled = w.report("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
+    w.at(4.0).send(&reconciled).bound();
     assert_snapshot!(w.log);
 }
 
@@ -994,11 +999,11 @@
     w.tick(21.0);
     w.record_fleet();
     w.job(submission("run-1", |s| s.pieces = 1));
-    let due = |w: &World| w.cluster.due_roster(false).len();
+    let due = |w: &World| w.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
         let report = w.report("big-east-1", 5, 2, &[]);
-        w.cluster.heartbeat(&report, at(t));
-        let recorded = w.cluster.machines["big-east-1"].recorded;
+        w.scheduler.heartbeat(&report, at(t));
+        let recorded = w.scheduler.machines["big-east-1"].recorded;
         let pages = due(&w);
         w.at(t).note(&format!(
             "reports; recorded: {recorded}, pages due: {pages}"
@@ -1020,7 +1025,7 @@
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(4.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.at(9.9);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
     w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
     w.tick(10.5).direct(|_| DirectResult::Unknown).bound();
@@ -1035,7 +1040,7 @@
     let mut w = World::new(5, vec![team("a", 40.0, 40.0)]);
     w.recorded("small-east-9", -1.0);
     w.old_job(submission("run-1", |s| s.pieces = 3));
-    w.cluster.load_done("run-1", 0, &done_record("0-1"), 50);
+    w.scheduler.load_done("run-1", 0, &done_record("0-1"), 50);
     w.job(submission("run-2", |s| s.pieces = 10));
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).heartbeat("big-east-1", &[]).bound();
@@ -1086,9 +1091,9 @@
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 2));
     w.tick(1.0);
-    let call = w.cluster.next_direct(at(1.0)).unwrap();
+    let call = w.scheduler.next_direct(at(1.0)).unwrap();
     w.note("a direct call with its starts is under way");
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
     let report = w.report(
         "big-east-1",
@@ -1096,7 +1101,7 @@
         1,
         &["run-1/0#2.1 fetching", "run-1/1#2.2 fetching"],
     );
-    w.cluster
+    w.scheduler
         .direct_done(&call, DirectResult::Answered(report), at(1.2));
     w.at(1.2).note("answered").round(true).view("run-1");
     w.direct(|w| {
@@ -1105,7 +1110,7 @@
     });
     w.at(2.0).round(true);
     w.job(submission("run-2", |s| s.pieces = 1));
-    w.cluster.ask_cancel("run-2", w.now);
+    w.scheduler.ask_cancel("run-2", w.now);
     w.note("run-2 is cancelled before anything of it starts")
         .round(true);
     assert_snapshot!(w.log);
@@ -1120,7 +1125,7 @@
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
     w.tick(1.0).direct(|_| DirectResult::Unknown);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
@@ -1192,7 +1197,7 @@
     w.at(69.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.at(70.0).round(true).view("run-1");
     assert_snapshot!(w.log);
 }
@@ -1208,7 +1213,7 @@
         s.pieces = 1;
     };
     // The roster's page has revision 101, the jobs the next ones.
-    w.cluster.older_led_at = 103;
+    w.scheduler.older_version_led_at = 103;
     w.accepted(submission("run-1", standing), 0);
     w.accepted(submission("run-2", standing), 0);
     w.accepted(submission("run-3", standing), 0);
@@ -1231,13 +1236,13 @@
     w.list(&[("big-east-1", "running")]);
     w.rentals();
     w.note("an objective: services start within 2 s");
-    w.cluster.config.objectives = vec![Objective {
+    w.scheduler.config.objectives = vec![Objective {
         kind: "wait".into(),
         class: Some("portal".into()),
         within_s: 2.0,
     }];
     w.at(3.0).rentals();
-    w.cluster
+    w.scheduler
         .rental_answered("r-2-1", RentalResult::Rented(Vec::new()), at(3.0));
     w.note("two other machines are up");
     let reports = |w: &mut World| {
@@ -1277,10 +1282,10 @@
     ];
     let all_but = |w: &mut World, silent: &[&str]| {
         for name in names.iter().filter(|name| !silent.contains(name)) {
-            let tasks: Vec<String> = w.cluster.machines.get(*name).map_or(Vec::new(), |m| {
+            let tasks: Vec<String> = w.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
                 let held = m.attempts.keys();
                 let text = |k: &(_, u32, u64)| {
-                    let job = &w.cluster.jobs.table[&k.0].spec.id;
+                    let job = &w.scheduler.jobs.table[&k.0].spec.id;
                     format!("{job}/{}#2.{} running", k.1, k.2 & 0xffff_ffff)
                 };
                 held.map(text).collect()
@@ -1297,8 +1302,8 @@
     w.job(submission("run-2", |s| s.pieces = 12));
     w.tick(1.0).bound();
     let holds = |w: &World, job: &str| -> Vec<String> {
-        let id = w.cluster.jobs.find(job).unwrap();
-        let machines = w.cluster.machines.values();
+        let id = w.scheduler.jobs.find(job).unwrap();
+        let machines = w.scheduler.machines.values();
         let holding = machines.filter(|m| m.attempts.keys().any(|k| k.0 == id));
         holding.map(|m| m.name.clone()).collect()
     };
@@ -1314,7 +1319,7 @@
         let now = 24.0 + 3.0 * f64::from(k);
         w.at(now);
         all_but(&mut w, &silent);
-        let due = w.cluster.plan_returns(at(now + 1.0));
+        let due = w.scheduler.plan_returns(at(now + 1.0));
         assert!(!due.contains(&silent[1].to_string()), "{due:?}");
         if due.contains(&replica_on[0]) {
             returned_at.push(now + 1.0);
@@ -1322,13 +1327,13 @@
     }
     // Silent since 21 s.
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
-    w.cluster.returned(&replica_on);
+    w.scheduler.returned(&replica_on);
     w.tick(38.0);
     assert_eq!(holds(&w, "run-1").len(), 1, "it runs elsewhere");
 
     // Half are silent at once: it is rather this node that is cut off.
     let again_on = holds(&w, "run-1");
-    let known = |name: &&&str| w.cluster.machines.contains_key(**name);
+    let known = |name: &&&str| w.scheduler.machines.contains_key(**name);
     let mut others = names.iter().filter(known).filter(|n| **n != again_on[0]);
     let half = [
         again_on[0].as_str(),
@@ -1339,7 +1344,7 @@
         let now = 39.0 + 3.0 * f64::from(k);
         w.at(now);
         all_but(&mut w, &half);
-        let due = w.cluster.plan_returns(at(now + 1.0));
+        let due = w.scheduler.plan_returns(at(now + 1.0));
         assert!(!due.contains(&again_on[0]), "{due:?}");
     }
 }
@@ -1394,7 +1399,7 @@
         s.pieces = 1;
     }));
     let wait = |w: &World| {
-        let job = w.cluster.jobs.get("run-1").unwrap();
+        let job = w.scheduler.jobs.get("run-1").unwrap();
         (job.retry_at - w.now).as_secs_f64()
     };
     let mut waits = Vec::new();
@@ -1403,7 +1408,7 @@
         let start = 100.0 * f64::from(k);
         w.at(start).heartbeat(&name, &[]);
         w.tick(start + 1.0);
-        let attempt = w.cluster.machines[&name].attempts.keys().next().copied();
+        let attempt = w.scheduler.machines[&name].attempts.keys().next().copied();
         let (_, _, attempt) = attempt.expect("it is tried on the machine that is there");
         let ended = format!("run-1/0#2.{} done", attempt & 0xffff_ffff);
         w.at(start + 3.0).heartbeat(&name, &[]);
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -86,7 +86,7 @@
 fn a_held_start_is_revoked_before_its_cancellation_must_be_complete() {
     let (mut w, mut worker, held) = a_start_in_doubt(Tokens::Raised);
     w.at(2.0);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.round(true);
     for second in (3..=72).step_by(3) {
         worker.heartbeat(&mut w, f64::from(second), &[]);
@@ -103,17 +103,17 @@
 #[test]
 fn a_preempted_start_holds_its_task_until_it_is_revoked() {
     let (mut w, mut worker, held) = a_start_in_doubt(Tokens::Raised);
-    let key = *w.cluster.machines["big-east-1"]
+    let key = *w.scheduler.machines["big-east-1"]
         .attempts
         .keys()
         .next()
         .unwrap();
-    w.cluster.stop_attempt("big-east-1", key);
+    w.scheduler.stop_attempt("big-east-1", key);
     w.at(2.0)
         .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     for second in (3..=60).step_by(3) {
         worker.heartbeat(&mut w, f64::from(second), &[]);
-        let is_bound = w.cluster.machines["big-east-1"]
+        let is_bound = w.scheduler.machines["big-east-1"]
             .attempts
             .get(&key)
             .is_some_and(|attempt| attempt.holds());
@@ -130,7 +130,7 @@
 fn a_start_that_cannot_be_fenced_off_ends_with_its_session() {
     let (mut w, mut worker, held) = a_start_in_doubt(Tokens::Refused);
     w.at(2.0);
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.round(true);
     for second in (6..=54).step_by(4) {
         let second = f64::from(second);
@@ -151,13 +151,13 @@
     worker.heartbeat(&mut w, 0.0, &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
     w.tick(1.0);
-    let call = w.cluster.next_direct(w.now).unwrap();
+    let call = w.scheduler.next_direct(w.now).unwrap();
     assert_eq!(call.token, 2);
-    w.cluster.token_raised(3, w.now);
+    w.scheduler.token_raised(3, w.now);
     worker.token = 3;
     worker.heartbeat(&mut w, 2.0, &[]);
-    w.cluster.direct_done(&call, DirectResult::Unknown, w.now);
-    assert_eq!(w.cluster.fencing.doubted(), 0);
+    w.scheduler.direct_done(&call, DirectResult::Unknown, w.now);
+    assert_eq!(w.scheduler.fencing.doubted(), 0);
     worker.heartbeat(&mut w, 5.0, &[]);
     w.bound();
     assert_snapshot!(w.log);
@@ -179,22 +179,22 @@
         s.cpus = trace_cpus();
     }));
     w.tick(1.0);
-    while w.cluster.fencing.doubted() < MACHINES as usize {
+    while w.scheduler.fencing.doubted() < MACHINES as usize {
         w.direct(|_| DirectResult::Unknown);
     }
-    w.cluster.ask_cancel("run-1", w.now);
+    w.scheduler.ask_cancel("run-1", w.now);
     w.raises_tokens = true;
     for name in &names {
         w.at(2.0).heartbeat(name, &[]);
     }
-    assert_eq!(w.cluster.fencing.counters.raises, 1);
+    assert_eq!(w.scheduler.fencing.counters.raises, 1);
     for name in &names {
         w.at(5.0).heartbeat(name, &[]);
     }
-    let counters = w.cluster.fencing.counters;
-    assert_eq!((w.cluster.fencing.doubted(), counters.raises), (0, 1));
+    let counters = w.scheduler.fencing.counters;
+    assert_eq!((w.scheduler.fencing.doubted(), counters.raises), (0, 1));
     assert_eq!(counters.ended_by_token, u64::from(MACHINES));
-    assert!(w.cluster.machines.values().all(|m| !m.busy()));
+    assert!(w.scheduler.machines.values().all(|m| !m.busy()));
 }
 
 /// A task takes all of a machine.
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -185,7 +185,7 @@
     let expected = TermRecord {
         term: 6,
         fenced: false,
-        older_led_at: 70,
+        older_version_led_at: 70,
         raised_by: None,
     };
     assert_eq!(found, expected, "who leaves the field out led then");
@@ -211,7 +211,7 @@
     let taken = TermRecord {
         term: 7,
         fenced: false,
-        older_led_at: 12,
+        older_version_led_at: 12,
         raised_by: None,
     };
     // Without a raise the bytes are what they were.
