--- a/src/controller.rs
+++ b/src/controller.rs
@@ -292,7 +292,7 @@
                 acting_since.get_or_insert(now);
             }
             if let Some((_, scheduler)) = state.acting(now) {
-                scheduler.note_overload(overloaded, now);
+                scheduler.overload.note(overloaded, now);
                 scheduler.tick(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -299,7 +299,10 @@
             && let Ok(number) = number.parse()
         {
             self.with_scheduler(term, |scheduler| match prefix {
-                "claims" => scheduler.start_watermarks.set_revision(number, revision),
+                "claims" => scheduler
+                    .jobs
+                    .start_watermarks
+                    .set_revision(number, revision),
                 _ => scheduler
                     .provisioning
                     .registry
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: what was accepted, which tasks are done, and what is written down about it.
+//! JobTable: what was accepted, which tasks are done, and what is written down about it.
 //!
 //! An outcome is held in memory until its done set is written; only then is the task done for
 //! anybody outside. A job is final (done, cancelled) once that is recorded, never before.
@@ -9,6 +9,7 @@
 pub mod spec;
 pub mod users;
 
+use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment};
 use doneset::TaskSet;
 use serde::{Deserialize, Serialize};
@@ -339,16 +340,30 @@
     }
 }
 
-#[derive(Debug, Default)]
-pub struct Jobs {
+/// The jobs that the leader knows, and which of their tasks may start.
+#[derive(Debug)]
+pub struct JobTable {
     next: u32,
+    /// Of each job, below which number its tasks may have started.
+    pub start_watermarks: Pages<u32>,
     /// The sum of the jobs' weights.
     weight: usize,
     pub table: BTreeMap<JobId, Job>,
     by_ref: HashMap<String, JobId>,
 }
 
-impl Jobs {
+impl JobTable {
+    /// No jobs yet; pages of start watermarks hold at most so many bytes.
+    pub fn new(value_bytes: usize) -> JobTable {
+        JobTable {
+            next: 0,
+            start_watermarks: Pages::new(value_bytes),
+            weight: 0,
+            table: BTreeMap::new(),
+            by_ref: HashMap::new(),
+        }
+    }
+
     pub fn find(&self, id: &str) -> Option<JobId> {
         self.by_ref.get(id).copied()
     }
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -75,7 +75,7 @@
 
     /// Pages of claims that starts wait for.
     pub fn pending_watermark_writes(&self) -> Vec<Write> {
-        let due = self.start_watermarks.due(false).into_iter();
+        let due = self.jobs.start_watermarks.due(false).into_iter();
         due.map(|image| page_write(WATERMARKS_PREFIX, image, WriteKind::Claims))
             .collect()
     }
@@ -279,7 +279,8 @@
                 }
             }
             WriteKind::Claims(image) => {
-                self.start_watermarks
+                self.jobs
+                    .start_watermarks
                     .written(image.number, image.version, revision);
                 for (id, below) in &image.entries {
                     let Some(id) = self.jobs.find(id) else {
@@ -289,8 +290,8 @@
                         && job.start_watermark < *below
                     {
                         job.start_watermark = *below;
-                        let waiting = self.awaiting_watermark.remove(&id);
-                        self.direct_due.extend(waiting.into_iter().flatten());
+                        let waiting = self.commands.awaiting_watermark.remove(&id);
+                        self.commands.due.extend(waiting.into_iter().flatten());
                     }
                 }
             }
@@ -303,7 +304,7 @@
                         && !m.recorded
                     {
                         m.recorded = true;
-                        self.placement_due = true;
+                        self.placement.due = true;
                     }
                 }
             }
@@ -324,8 +325,8 @@
         }
         log::debug!("job retired: job={id} term={}", self.term);
         self.jobs.remove(job_id);
-        self.start_watermarks.remove(id);
-        self.awaiting_watermark.remove(&job_id);
+        self.jobs.start_watermarks.remove(id);
+        self.commands.awaiting_watermark.remove(&job_id);
         for m in self.machines.values_mut() {
             let before = m.attempts.len();
             m.attempts.retain(|k, _| k.0 != job_id);
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -144,7 +144,7 @@
                 lead.term,
                 scheduler.jobs.table.len(),
                 self.state().jobs_revision,
-                scheduler.unreconciled.len()
+                scheduler.prior_term.unreconciled.len()
             );
             {
                 let mut state = self.state();
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -35,7 +35,7 @@
             scheduler.provisioning.catalog = catalog.to_vec();
         }
         scheduler.wall_at_start = self.os.wall();
-        scheduler.older_version_led_at = lead.older_version_led_at;
+        scheduler.prior_term.older_version_led_at = lead.older_version_led_at;
         let skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut jobs_revision = None;
         // Roster and claims first: they tell what of a job may have started.
@@ -103,10 +103,10 @@
             match prefix {
                 REGISTRY_PREFIX => {
                     // Whatever it named may hold any task of any job.
-                    self.note_unreconciled(&row.key, reading.now);
-                    self.watermarks_lost = true;
+                    self.prior_term.note_machine(&row.key, reading.now);
+                    self.prior_term.watermarks_lost = true;
                 }
-                WATERMARKS_PREFIX => self.watermarks_lost = true,
+                WATERMARKS_PREFIX => self.prior_term.watermarks_lost = true,
                 _ => {}
             }
         }
@@ -119,7 +119,7 @@
             let age = reading.wall.0.saturating_sub(*at);
             let age = age.saturating_sub(reading.skew.0);
             let since = Moment(reading.now.0.saturating_sub(age));
-            self.note_unreconciled(name, since);
+            self.prior_term.note_machine(name, since);
         }
         self.provisioning
             .registry
@@ -129,7 +129,8 @@
 
     fn load_claims_page(&mut self, number: &str, row: &Row) -> Option<()> {
         let number = number.parse().ok()?;
-        self.start_watermarks
+        self.jobs
+            .start_watermarks
             .load(number, row.revision, from_value(&row.data)?);
         Some(())
     }
--- a/src/links/handover.rs
+++ b/src/links/handover.rs
@@ -92,7 +92,7 @@
             state
                 .scheduler
                 .as_ref()
-                .is_some_and(|c| !c.calls.is_empty())
+                .is_some_and(|c| !c.commands.calls_in_flight.is_empty())
         };
         while under_way() && self.now() - began < CALLS_END {
             self.os.sleep(LOOK_EVERY);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -4,16 +4,18 @@
 mod order;
 mod preemption;
 mod resources;
+mod schedule;
 mod usage;
 mod zones;
 
 pub use order::QueueOrder;
 pub use resources::Resources;
+pub use schedule::PlacementSchedule;
 
 use crate::jobs::JobId;
 use crate::jobs::spec::Priority;
 use crate::scheduler::SchedulerState;
-use crate::time::{Micros, Moment};
+use crate::time::Moment;
 use crate::workers::{Attempt, Machine};
 use preemption::Victim;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,9 +26,6 @@
 /// One machine in this many, and one more, may be kept for jobs that waited too long.
 const MOST_RESERVED: usize = 32;
 
-/// Passes are at least this long apart for each machine.
-const PASS_SPACING: Micros = Micros(100);
-
 /// A machine as one pass sees it.
 struct Place {
     name: String,
@@ -75,19 +74,17 @@
             && m.is_alive(self.config.report, now)
     }
 
-    /// A pass, if something changed and the last one was long enough ago. A pass looks at every
-    /// machine and waiting job, so passes are spaced by how many machines there are.
+    /// A pass, if something changed and the last one was long enough ago.
     pub fn place_soon(&mut self, now: Moment) {
-        let spacing = Micros(PASS_SPACING.0 * self.machines.len() as u64);
-        if self.permissions().assign && self.placement_due && now - self.last_pass >= spacing {
+        if self.permissions().assign && self.placement.may_run(self.machines.len(), now) {
             self.place(now);
         }
     }
 
     /// One pass: binds waiting tasks to machines and marks what must make room.
     pub fn place(&mut self, now: Moment) {
-        self.placement_due = false;
-        self.last_pass = now;
+        self.placement.due = false;
+        self.placement.last_pass = now;
         let (order, beyond) = self.order_and_beyond(now);
         if order.is_empty() {
             return;
@@ -211,18 +208,18 @@
         let job = self.jobs.table.get_mut(&id)?;
         let task = job.next_ready()?;
         let machine = self.machines.get_mut(&place.name)?;
-        self.counter += 1;
-        let number = (self.term << 32) | u64::from(self.counter);
+        self.attempt_counter += 1;
+        let number = (self.term << 32) | u64::from(self.attempt_counter);
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
         machine.attempts.insert((id, task, number), attempt);
         machine.rooms.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
-            self.direct_due.insert(place.name.clone());
+            self.commands.due.insert(place.name.clone());
         } else {
             job.request_watermark(task);
-            let waiting = self.awaiting_watermark.entry(id).or_default();
+            let waiting = self.commands.awaiting_watermark.entry(id).or_default();
             waiting.insert(place.name.clone());
         }
         let cache_gb = self.provisioning.cache_of(&machine.type_name);
@@ -245,11 +242,12 @@
         let wanted = std::mem::take(&mut job.requested_watermark);
         if wanted > job.start_watermark
             && self
+                .jobs
                 .start_watermarks
                 .get(&job.spec.id)
                 .is_none_or(|c| *c < wanted)
         {
-            self.start_watermarks.put(&job.spec.id, wanted);
+            self.jobs.start_watermarks.put(&job.spec.id, wanted);
             self.writes_due = true;
         }
         left
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -182,7 +182,7 @@
             a.desired = DesiredState::Stop { leeway };
             m.rooms.set(None);
             log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
-            self.direct_due.insert(machine.to_string());
+            self.commands.due.insert(machine.to_string());
         }
     }
 }
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -65,7 +65,7 @@
 
     /// What all unseen machines together have; None if nobody knows.
     fn unseen_room(&self) -> Option<Resources> {
-        if self.watermarks_lost {
+        if self.prior_term.watermarks_lost {
             return None;
         }
         let types = self.provisioning.catalog.iter().map(|t| t.room);
@@ -78,7 +78,7 @@
             Some(m) if m.total.cpu > 0 => m.total,
             _ => largest,
         };
-        let all = self.unreconciled.iter().map(room);
+        let all = self.prior_term.unreconciled.iter().map(room);
         Some(all.fold(Resources::default(), Resources::plus))
     }
 
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -125,7 +125,7 @@
                 let Some((lead, scheduler)) = state.acting(now) else {
                     continue;
                 };
-                let every = if scheduler.released {
+                let every = if scheduler.prior_term.released {
                     LIST_EVERY
                 } else {
                     LIST_SOON
--- a/src/provisioning/list.rs
+++ b/src/provisioning/list.rs
@@ -72,7 +72,7 @@
             } else {
                 now
             };
-            let existed = match self.prior_term_machines.get(&l.name) {
+            let existed = match self.prior_term.machines.get(&l.name) {
                 Some(recorded) => existed.min(*recorded),
                 None => existed,
             };
@@ -119,13 +119,13 @@
         let names: BTreeSet<&String> = self
             .machines
             .keys()
-            .chain(self.unreconciled.iter())
+            .chain(self.prior_term.unreconciled.iter())
             .filter(|n| !named.contains(n.as_str()))
             .collect();
         for name in names {
             let existed = match self.machines.get(name) {
                 Some(m) => m.exists_since,
-                None => self.prior_term_machines.get(name).copied(),
+                None => self.prior_term.machines.get(name).copied(),
             };
             if existed.is_some_and(|t| t + oldest < asked) {
                 if self.provisioning.unlisted.contains(name) {
@@ -141,7 +141,7 @@
         for name in &gone {
             log::info!("machine {name}: gone from the list");
             self.provisioning.unlisted.remove(name);
-            self.unreconciled.remove(name);
+            self.prior_term.unreconciled.remove(name);
         }
         self.returned(&gone);
     }
@@ -166,7 +166,7 @@
         self.end_session(name);
         self.machines.remove(name);
         self.provisioning.registry.remove(name);
-        self.prior_term_machines.remove(name);
+        self.prior_term.machines.remove(name);
     }
 
     /// The cloud said that these machines, and everything on them, are gone.
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -96,6 +96,14 @@
 const MAX_RETURN: usize = 100;
 
 impl Provisioning {
+    /// Nothing known yet; pages of the registry hold at most so many bytes.
+    pub fn new(value_bytes: usize) -> Provisioning {
+        Provisioning {
+            registry: Pages::new(value_bytes),
+            ..Provisioning::default()
+        }
+    }
+
     pub fn is_gone(&self, name: &str) -> bool {
         self.gone.contains(name)
     }
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -51,7 +51,7 @@
         let waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
         waits.filter(|o| {
             let class = o.class.as_ref();
-            class.is_none_or(|c| self.array_classes.contains(c))
+            class.is_none_or(|c| self.classes.with_arrays.contains(c))
         })
     }
 
@@ -126,7 +126,7 @@
     fn expects_services(&self) -> bool {
         let soonest = self.provisioning.soonest_boot();
         let mut waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
-        let has_no_arrays = |class: &String| !self.array_classes.contains(class);
+        let has_no_arrays = |class: &String| !self.classes.with_arrays.contains(class);
         waits.any(|o| {
             let too_short = Micros::from_secs_f64(o.within_s) < soonest;
             too_short && o.class.as_ref().is_some_and(has_no_arrays)
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -136,7 +136,9 @@
     /// or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
         let patience = self.config.report.scaled(SILENT_REPORTS);
-        let falls_behind = self.was_overloaded_within(now, patience.scaled(2.0));
+        let falls_behind = self
+            .overload
+            .was_overloaded_within(patience.scaled(2.0), now);
         if falls_behind || now - self.started < patience.scaled(2.0) {
             return Vec::new();
         }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -3,20 +3,25 @@
 //! Everything here is deterministic: events, `now` and a seeded generator go in, the wanted
 //! state comes out. Threads, sockets and clocks stay outside, so that a test replays a trace.
 
+mod overload;
+mod prior_term;
 mod reachability;
 mod run_times;
 mod status;
 
 use crate::jobs::spec::Submission;
-use crate::jobs::{DoneRecord, FinalWrite, Job, JobId, Jobs, Outcome, new_job};
+use crate::jobs::{DoneRecord, FinalWrite, Job, JobId, JobTable, Outcome, new_job};
+use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
 use crate::settings::{Objective, TeamSettings};
-use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment, WallTime, at_most};
 use crate::workers::fencing::Fencing;
-use crate::workers::{DesiredState, Machine};
+use crate::workers::{CommandQueue, DesiredState, Machine};
 use aspenreel_links::permissions::Permissions;
-use std::collections::{BTreeMap, BTreeSet};
+use overload::OverloadMonitor;
+use prior_term::PriorTerm;
+use run_times::ClassStatistics;
+use std::collections::BTreeMap;
 
 /// What an operator and the platform set.
 #[derive(Clone, Debug)]
@@ -52,96 +57,67 @@
 /// Classes of jobs whose run times are learned.
 const MOST_CLASSES: usize = 1000;
 
+/// The leader's state, each part with its owner.
 #[derive(Debug)]
 pub struct SchedulerState {
+    /// What operator and platform set.
     pub config: SchedulerConfig,
+    /// The term that this leader won.
     pub term: u64,
-    /// Attempts are `term << 32 | counter`: they rise across leaders with nothing written.
-    pub counter: u32,
+    /// Attempt numbers are `term << 32 | attempt_counter`: they rise across leaders with nothing written.
+    pub attempt_counter: u32,
     /// When the lead was surely ours: older leaders answered nobody after this.
     pub started: Moment,
-    pub jobs: Jobs,
-    pub machines: BTreeMap<String, Machine>,
-    pub provisioning: Provisioning,
-    pub rng: fastrand::Rng,
-    /// Jobs of earlier terms may be placed: a full lease passed under this term.
-    pub released: bool,
-    /// Something changed that a placement pass should look at.
-    pub placement_due: bool,
-    /// When the last placement pass was.
-    pub last_pass: Moment,
-    /// How long tasks of a class ran, against their owners' estimates.
-    pub estimate_ratio: BTreeMap<String, f64>,
-    /// Classes of which an array was seen: aims at their starting times are aims for work that ends.
-    pub array_classes: BTreeSet<String>,
-    /// Machines on record that may hold tasks of earlier terms, not counted in yet.
-    pub unreconciled: BTreeSet<String>,
-    /// When the machines that earlier terms recorded existed, at the latest.
-    pub prior_term_machines: BTreeMap<String, Moment>,
-    /// Which tasks may have started: of each job those numbered below its entry.
-    pub start_watermarks: Pages<u32>,
-    /// A page of claims could not be read: any task of an earlier job may have started.
-    pub watermarks_lost: bool,
-    /// Revision at which a controller of an earlier version last took the lead, 0 if none ever did. It
-    /// dropped the claims of standing jobs, which it didn't know.
-    pub older_version_led_at: u64,
-    /// Machines with tasks that wait for their job's claim.
-    pub awaiting_watermark: BTreeMap<JobId, BTreeSet<String>>,
     /// The time of day at `started`.
     pub wall_at_start: WallTime,
-    /// Machines with orders that go straight to them.
-    pub direct_due: BTreeSet<String>,
-    /// When the direct calls that are under way began.
-    pub calls: Vec<Moment>,
-    /// The process falls behind for want of processor time: what heartbeat answers carry as well
-    /// isn't sent directly.
-    pub(crate) overloaded: bool,
-    /// When it was last seen to fall behind.
-    overloaded_at: Moment,
-    /// A job's final state waits for its record.
+    /// The source of all random choices.
+    pub rng: fastrand::Rng,
+    /// Accepted jobs, and which of their tasks may start.
+    pub jobs: JobTable,
+    /// What was learned of each class of jobs.
+    pub classes: ClassStatistics,
+    /// Machines and the attempts on them, by name.
+    pub machines: BTreeMap<String, Machine>,
+    /// Machines to which commands go at once.
+    pub commands: CommandQueue,
+    /// The machine registry, the cloud's catalog and list, and provisioning requests.
+    pub provisioning: Provisioning,
+    /// What earlier terms left behind.
+    pub prior_term: PriorTerm,
+    /// The fencing tokens given out, and the unconfirmed starts that they revoke.
+    pub fencing: Fencing,
+    /// When placement passes run.
+    pub placement: PlacementSchedule,
+    /// Whether this process gets enough processor time.
+    pub overload: OverloadMonitor,
+    /// Somebody waits for a record: the writer doesn't wait for its next round.
     pub writes_due: bool,
     /// Which decisions may be made now.
     permissions: Permissions,
-    /// The tokens given out, and the starts in doubt that they fence off.
-    pub fencing: Fencing,
 }
 
 impl SchedulerState {
+    /// The state of a leader that knows nothing yet.
     pub fn new(config: SchedulerConfig, term: u64, started: Moment, seed: u64) -> SchedulerState {
-        let (start_watermarks, registry) = (
-            Pages::new(config.value_bytes),
-            Pages::new(config.value_bytes),
-        );
-        let mut provisioning = Provisioning::default();
-        provisioning.registry = registry;
+        let value_bytes = config.value_bytes;
         SchedulerState {
             config,
             term,
-            counter: 0,
+            attempt_counter: 0,
             started,
-            jobs: Jobs::default(),
-            machines: BTreeMap::new(),
-            provisioning,
-            rng: fastrand::Rng::with_seed(seed),
-            released: false,
-            placement_due: true,
-            last_pass: Moment(0),
-            estimate_ratio: BTreeMap::new(),
-            array_classes: BTreeSet::new(),
-            unreconciled: BTreeSet::new(),
-            prior_term_machines: BTreeMap::new(),
-            start_watermarks,
-            watermarks_lost: false,
-            older_version_led_at: 0,
-            awaiting_watermark: BTreeMap::new(),
             wall_at_start: WallTime(0),
-            direct_due: BTreeSet::new(),
-            calls: Vec::new(),
-            overloaded: false,
-            overloaded_at: Moment(0),
+            rng: fastrand::Rng::with_seed(seed),
+            jobs: JobTable::new(value_bytes),
+            classes: ClassStatistics::default(),
+            machines: BTreeMap::new(),
+            commands: CommandQueue::default(),
+            provisioning: Provisioning::new(value_bytes),
+            prior_term: PriorTerm::default(),
+            fencing: Fencing::new(term),
+            placement: PlacementSchedule::default(),
+            overload: OverloadMonitor::default(),
             writes_due: false,
             permissions: Permissions::ALL,
-            fencing: Fencing::new(term),
         }
     }
 
@@ -162,20 +138,27 @@
             return id;
         }
         let spec = submission.spec();
-        if !spec.standing && self.array_classes.len() < MOST_CLASSES {
-            self.array_classes.insert(spec.class.clone());
+        if !spec.standing && self.classes.with_arrays.len() < MOST_CLASSES {
+            self.classes.with_arrays.insert(spec.class.clone());
         }
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
         let age = wall.0.saturating_sub(spec.accepted.0);
         let accepted_at = Moment(now.0.saturating_sub(age));
-        self.placement_due = true;
-        let mut start_watermark = self.start_watermarks.get(&spec.id).copied().unwrap_or(0);
-        if self.watermarks_lost || (spec.standing && revision <= self.older_version_led_at) {
+        self.placement.due = true;
+        let mut start_watermark = self
+            .jobs
+            .start_watermarks
+            .get(&spec.id)
+            .copied()
+            .unwrap_or(0);
+        if self.prior_term.watermarks_lost
+            || (spec.standing && revision <= self.prior_term.older_version_led_at)
+        {
             // Any of its tasks may have started, whatever the pages say.
             start_watermark = spec.tasks;
         }
         let mut job = new_job(spec, team, revision, accepted_at, start_watermark);
-        if self.released {
+        if self.prior_term.released {
             job.release();
         }
         self.jobs.insert(job)
@@ -244,23 +227,24 @@
             }
             if any {
                 m.rooms.set(None);
-                self.direct_due.insert(m.name.clone());
+                self.commands.due.insert(m.name.clone());
             }
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 
     /// Claims of jobs that were retired: nothing of them is left.
     pub fn drop_stale_watermarks(&mut self) {
         let jobs = &self.jobs;
         let stale: Vec<String> = self
+            .jobs
             .start_watermarks
             .keys()
             .filter(|id| jobs.find(id).is_none())
             .cloned()
             .collect();
         for id in stale {
-            self.start_watermarks.remove(&id);
+            self.jobs.start_watermarks.remove(&id);
         }
     }
 
@@ -296,33 +280,33 @@
     /// the roster. Once each of these was counted in under this term, or its session surely
     /// ended, nothing is unseen, and the wait for a full lease ends early.
     pub fn release_prior_term(&mut self, now: Moment) {
-        if self.released {
+        if self.prior_term.released {
             return;
         }
         let machines = &self.machines;
         let provisioning = &self.provisioning;
-        self.unreconciled.retain(|name| {
+        self.prior_term.unreconciled.retain(|name| {
             let seen = machines
                 .get(name)
                 .is_some_and(|m| m.reconciled || m.session_over);
             !seen && !provisioning.is_gone(name)
         });
         let lease_over = now - self.started >= self.lease_span();
-        if !lease_over && !self.unreconciled.is_empty() {
+        if !lease_over && !self.prior_term.unreconciled.is_empty() {
             return;
         }
         log::info!(
             "earlier jobs are released, {} machines unseen",
-            self.unreconciled.len()
+            self.prior_term.unreconciled.len()
         );
-        for name in std::mem::take(&mut self.unreconciled) {
+        for name in std::mem::take(&mut self.prior_term.unreconciled) {
             if !self.machines.contains_key(&name) {
                 self.provisioning.registry.remove(&name);
-                self.prior_term_machines.remove(&name);
+                self.prior_term.machines.remove(&name);
             }
         }
-        self.released = true;
-        self.placement_due = true;
+        self.prior_term.released = true;
+        self.placement.due = true;
         for job in self.jobs.table.values_mut() {
             job.release();
         }
@@ -343,37 +327,18 @@
     pub fn set_permissions(&mut self, permissions: Permissions) -> bool {
         let before = std::mem::replace(&mut self.permissions, permissions);
         // What waited for the permission is looked at again.
-        self.placement_due |= permissions.assign && !before.assign;
+        self.placement.due |= permissions.assign && !before.assign;
         let may_record_again = permissions.record && !before.record;
         self.writes_due |= may_record_again;
         may_record_again
     }
 
-    /// Notes whether the process falls behind.
-    pub fn note_overload(&mut self, overloaded: bool, now: Moment) {
-        self.overloaded = overloaded;
-        if overloaded {
-            self.overloaded_at = now;
-        }
-    }
-
-    /// True if the process fell behind within that time.
-    pub(crate) fn was_overloaded_within(&self, now: Moment, span: Micros) -> bool {
-        self.overloaded || (self.overloaded_at > Moment(0) && now - self.overloaded_at < span)
-    }
-
-    /// A machine that an earlier term recorded, and when it existed at the latest.
-    pub fn note_unreconciled(&mut self, name: &str, since: Moment) {
-        self.unreconciled.insert(name.to_string());
-        self.prior_term_machines.insert(name.to_string(), since);
-    }
-
     /// What time alone changes.
     pub fn tick(&mut self, now: Moment) {
         self.expire_leases(now);
         self.check_revocations(now);
         let retry = self.jobs.table.values().any(retry_due(now));
-        self.placement_due |= retry;
+        self.placement.due |= retry;
         self.place_soon(now);
     }
 }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -26,7 +26,7 @@
 
     /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
     pub fn hearing_is_settled(&self, now: Moment) -> bool {
-        now - self.started.max(self.overloaded_at) >= self.silence().scaled(2.0)
+        now - self.started.max(self.overload.last_overloaded()) >= self.silence().scaled(2.0)
     }
 
     /// How many of the machines that should report do.
@@ -47,7 +47,7 @@
             .machines
             .values()
             .filter(|m| !m.lost && !m.returning && !m.recalled)
-            .filter(|m| m.last_report.is_some() || self.unreconciled.contains(&m.name))
+            .filter(|m| m.last_report.is_some() || self.prior_term.unreconciled.contains(&m.name))
             .collect();
         let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
         let silent = silent.count();
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -3,6 +3,7 @@
 use super::{MOST_CLASSES, SchedulerState};
 use crate::jobs::{Job, JobId};
 use crate::time::{Micros, Moment};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a replica of a standing job is expected to run: nobody waits for its end.
 const FOR_GOOD: Micros = Micros::from_secs(24 * 3600);
@@ -10,6 +11,15 @@
 /// A finished task moves its class's ratio of run time to estimate by this part of the difference.
 const LEARNING_RATE: f64 = 0.05;
 
+/// What was learned of each class of jobs.
+#[derive(Debug, Default)]
+pub struct ClassStatistics {
+    /// How long tasks of a class ran, as a multiple of their owners' estimates.
+    pub run_time_ratio: BTreeMap<String, f64>,
+    /// Classes of which an array was seen: objectives for their starting times are for work that ends.
+    pub with_arrays: BTreeSet<String>,
+}
+
 impl SchedulerState {
     /// Learns from a finished task.
     pub fn note_run(&mut self, id: JobId, ran: Micros) {
@@ -22,12 +32,13 @@
         if guess > 0.0 {
             let seen = (ran.as_secs_f64() / guess).clamp(0.1, 10.0);
             // Classes are what users say they are: beyond a thousand the estimates stay as given.
-            let known = self.estimate_ratio.contains_key(&job.spec.class);
-            if !known && self.estimate_ratio.len() >= MOST_CLASSES {
+            let known = self.classes.run_time_ratio.contains_key(&job.spec.class);
+            if !known && self.classes.run_time_ratio.len() >= MOST_CLASSES {
                 return;
             }
             let ratio = self
-                .estimate_ratio
+                .classes
+                .run_time_ratio
                 .entry(job.spec.class.clone())
                 .or_insert(1.0);
             *ratio += LEARNING_RATE * (seen - *ratio);
@@ -40,7 +51,8 @@
             return FOR_GOOD;
         }
         let ratio = self
-            .estimate_ratio
+            .classes
+            .run_time_ratio
             .get(&job.spec.class)
             .copied()
             .unwrap_or(1.0);
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -82,7 +82,7 @@
                 && let Some(job) = self.jobs.table.get_mut(&key.0)
             {
                 job.unbind(key.1);
-                self.placement_due = true;
+                self.placement.due = true;
             }
         }
     }
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -82,10 +82,12 @@
     /// The next machine with orders that need not wait for its heartbeat.
     pub fn next_direct(&mut self, now: Moment) -> Option<DirectCall> {
         let prompt = |t: &&Moment| now - **t < SILENT_AFTER;
-        if self.overloaded || self.calls.iter().filter(prompt).count() >= CALLS_AT_ONCE {
+        if self.overload.is_overloaded()
+            || self.commands.calls_in_flight.iter().filter(prompt).count() >= CALLS_AT_ONCE
+        {
             return None;
         }
-        while let Some(name) = self.direct_due.pop_first() {
+        while let Some(name) = self.commands.due.pop_first() {
             if let Some(call) = self.direct_call(&name, now) {
                 let to = Recipient {
                     machine: &call.machine,
@@ -93,7 +95,7 @@
                     token: call.token,
                 };
                 note_orders(OrderPath::Direct, &to, &call.orders);
-                self.calls.push(call.began);
+                self.commands.calls_in_flight.push(call.began);
                 return Some(call);
             }
         }
@@ -194,14 +196,19 @@
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
                 job.unbind(key.1);
             }
-            self.placement_due = true;
+            self.placement.due = true;
         }
     }
 
     /// Settles a direct call. It renews no lease.
     pub fn direct_done(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
-        if let Some(at) = self.calls.iter().position(|t| *t == call.began) {
-            self.calls.swap_remove(at);
+        if let Some(at) = self
+            .commands
+            .calls_in_flight
+            .iter()
+            .position(|t| *t == call.began)
+        {
+            self.commands.calls_in_flight.swap_remove(at);
         }
         note_result(call, &result, (now - call.began).as_secs_f64());
         let Some(machine) = self.machines.get_mut(&call.machine) else {
@@ -232,7 +239,7 @@
             && report.session == machine.session
         {
             // It hears.
-            self.placement_due |= machine.suspicion.take().is_some();
+            self.placement.due |= machine.suspicion.take().is_some();
         }
         let answered = matches!(result, DirectResult::Answered(_));
         if let DirectResult::Answered(report) = result
@@ -250,7 +257,7 @@
         } else if answered && !call.probe {
             // What was decided meanwhile waits for the next call. Without an answer it waits for
             // a heartbeat: a machine that refuses connections would be called without end.
-            self.direct_due.insert(call.machine.clone());
+            self.commands.due.insert(call.machine.clone());
         }
     }
 
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -142,7 +142,7 @@
         if std::mem::take(&mut scheduler.writes_due) {
             self.changed.notify_all();
         }
-        if !scheduler.direct_due.is_empty() {
+        if !scheduler.commands.due.is_empty() {
             self.direct_due.notify_one();
         }
     }
@@ -160,7 +160,7 @@
                     Some(call) => {
                         if state
                             .acting(now)
-                            .is_some_and(|(_, c)| !c.direct_due.is_empty())
+                            .is_some_and(|(_, c)| !c.commands.due.is_empty())
                         {
                             self.direct_due.notify_one();
                         }
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -48,7 +48,7 @@
         if !machine.reconciled && report.token >= self.term {
             machine.reconciled = true;
             log::debug!("machine {} counted in", machine.name);
-            self.placement_due = true;
+            self.placement.due = true;
         }
         self.settle_doubts(&report.machine, now);
         self.apply_tasks(report, by_heartbeat, now);
@@ -148,7 +148,7 @@
                 at: now,
             };
             let effect = settle_exit(&exit, job, machine, &mut attempt);
-            self.placement_due = true;
+            self.placement.due = true;
             self.writes_due |= effect.completes_job;
             ran = effect.ran;
         }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,6 +2,7 @@
 //! between what is wanted of a machine and what it reports.
 
 mod absence;
+mod command_queue;
 pub mod delivery;
 pub mod direct;
 pub mod edge;
@@ -14,6 +15,7 @@
 mod sessions;
 pub mod wire;
 
+pub use command_queue::CommandQueue;
 pub use delivery::StartDelivery;
 pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Suspicion};
 
@@ -62,7 +64,7 @@
             );
             machine.lease_from = self.started;
             // A report may be late, and its machine gone: only a list or a rental proves more.
-            machine.exists_since = self.prior_term_machines.get(&report.machine).copied();
+            machine.exists_since = self.prior_term.machines.get(&report.machine).copied();
             self.machines.insert(report.machine.clone(), machine);
         }
         let recorded = self.register(&report.machine, now);
@@ -82,7 +84,7 @@
             return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
-        self.placement_due |= !machine.is_alive(self.config.report, now);
+        self.placement.due |= !machine.is_alive(self.config.report, now);
         machine.checked = seen;
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
--- a/src/workers/orders.rs
+++ b/src/workers/orders.rs
@@ -99,7 +99,7 @@
             machine.attempts.remove(&key);
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
                 job.unbind(key.1);
-                self.placement_due = true;
+                self.placement.due = true;
             }
         }
         orders.extend(starts);
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -15,9 +15,9 @@
         };
         if suspicion.is_refuted(span, now) {
             machine.suspicion = None;
-            self.placement_due = true;
+            self.placement.due = true;
         } else if suspicion.may_probe(now) {
-            self.direct_due.insert(name.to_string());
+            self.commands.due.insert(name.to_string());
         }
     }
 
@@ -39,7 +39,7 @@
                 job.unbind(key.1);
             }
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 
     /// Sessions end when nobody can have renewed their lease for its full time.
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -162,6 +162,7 @@
             let page = self.epoch as u32;
             let entries = vec![(s.id.clone(), start_watermark)];
             self.scheduler
+                .jobs
                 .start_watermarks
                 .load(page, self.epoch, entries);
             earlier = format!(" under an earlier term, {start_watermark} claimed");
@@ -256,7 +257,7 @@
             tasks.join(", ")
         ));
         // What passes too close to the last one left undone is done by the next tick.
-        if self.scheduler.placement_due {
+        if self.scheduler.placement.due {
             self.scheduler.place(self.now);
         }
         self.record_fleet();
@@ -292,7 +293,7 @@
             .provisioning
             .registry
             .load(page, self.epoch, entries);
-        self.scheduler.note_unreconciled(machine, at(since));
+        self.scheduler.prior_term.note_machine(machine, at(since));
         self
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -104,7 +104,7 @@
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[("big-east-1", "running")]);
     w.at(5.0).list(&[("big-east-1", "running")]).bound();
-    let unreconciled = format!("unseen: {:?}", w.scheduler.unreconciled);
+    let unreconciled = format!("unseen: {:?}", w.scheduler.prior_term.unreconciled);
     w.note(&unreconciled);
     w.at(12.0).list(&[("big-east-1", "running")]);
     w.at(15.0).list(&[("big-east-1", "running")]);
@@ -601,9 +601,9 @@
         .direct_done(&first[0], DirectResult::Unsent, at(1.01));
     calls(&mut w, 1.02);
     calls(&mut w, 1.15);
-    w.scheduler.note_overload(true, at(1.3));
+    w.scheduler.overload.note(true, at(1.3));
     calls(&mut w, 1.3);
-    w.scheduler.note_overload(false, at(1.4));
+    w.scheduler.overload.note(false, at(1.4));
     calls(&mut w, 1.4);
     assert_snapshot!(w.log);
 }
@@ -617,7 +617,7 @@
         for n in 1..=4 {
             w.heartbeat(&format!("big-east-{n}"), &[]);
         }
-        w.scheduler.note_overload(overloaded, at(4.0));
+        w.scheduler.overload.note(overloaded, at(4.0));
         w.scheduler.unheard(at(0.0), at(at_seconds))
     };
     assert!(!silent(false, 4.0), "nobody is silent yet");
@@ -870,7 +870,7 @@
         &["run-1/0#4.1 done", "run-1/1#4.2 running"],
     );
     w.at(1.0).send(&copy).bound();
-    let unreconciled = format!("unseen: {:?}", w.scheduler.unreconciled);
+    let unreconciled = format!("unseen: {:?}", w.scheduler.prior_term.unreconciled);
     w.note(&unreconciled);
     w.round(true).view("run-1");
     let own = w.report("big-east-1", 5, 2, &[]);
@@ -1213,7 +1213,7 @@
         s.pieces = 1;
     };
     // The roster's page has revision 101, the jobs the next ones.
-    w.scheduler.older_version_led_at = 103;
+    w.scheduler.prior_term.older_version_led_at = 103;
     w.accepted(submission("run-1", standing), 0);
     w.accepted(submission("run-2", standing), 0);
     w.accepted(submission("run-3", standing), 0);
