--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -122,17 +122,17 @@
     decode(&encode(&wire.expect("it is CBOR"))).expect("it is a catalog")
 }
 
-fn report(number: u32, tick: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
+fn report(number: u32, sequence: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
     Heartbeat {
         machine: name(number),
         addr: "10.1.0.1:9000".into(),
         type_name: "small".into(),
         zone: "east".into(),
         spot: true,
-        session: 1,
-        tick,
-        token: TERM,
-        recall: None,
+        agent_epoch: 1,
+        sequence,
+        fencing_token: TERM,
+        preemption_notice_s: None,
         tasks,
     }
 }
@@ -141,11 +141,11 @@
 fn running(scheduler: &SchedulerState, number: u32) -> Vec<ReportedTask> {
     let machine = &scheduler.machines[&name(number)];
     let task = |key: &(aspenreel::jobs::JobId, u32, u64)| ReportedTask {
-        piece: format!("run-1/{}", key.1),
+        task_id: format!("run-1/{}", key.1),
         attempt: key.2,
         status: TaskStatus::Running,
-        cause: None,
-        stored: None,
+        exit_reason: None,
+        checkpointed: None,
     };
     machine.attempts.keys().map(task).collect()
 }
--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct Task {
     status: TaskStatus,
-    cause: Option<ExitReason>,
+    exit_reason: Option<ExitReason>,
     /// When what it does now ends, and a count that tells its timers apart.
     ends: Time,
     timer: u64,
@@ -41,9 +41,9 @@
     pub(crate) up_at: Time,
     pub(crate) gone_at: Option<Time>,
     pub(crate) died_at: Option<Time>,
-    session: u64,
-    tick: u64,
-    token: u64,
+    agent_epoch: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// When the last answered report was sent, or the session began.
     lease_from: Time,
     tasks: BTreeMap<(String, u64), Task>,
@@ -63,7 +63,7 @@
     pub mute_until: Time,
     pub deaf_until: Time,
     /// When the cloud takes it, once it has said so.
-    recall_at: Option<Time>,
+    preempted_at: Option<Time>,
 }
 
 impl Machine {
@@ -78,32 +78,32 @@
     fn free(&self, plans: impl Fn(&str) -> f64) -> f64 {
         let held = self.tasks.iter();
         let held = held.filter(|(_, t)| t.status != TaskStatus::Exited);
-        self.cpus - held.map(|((piece, _), _)| plans(piece)).sum::<f64>()
+        self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
     }
 
     fn report(&mut self, now: Time) -> Heartbeat {
-        self.tick += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            tick: self.tick,
-            token: self.token,
-            recall: self
-                .recall_at
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: self
+                .preempted_at
                 .map(|at| Decimal(at.saturating_sub(now) as f64 / 1e6)),
             tasks: self
                 .tasks
                 .iter()
-                .map(|((piece, attempt), t)| ReportedTask {
-                    piece: piece.clone(),
+                .map(|((task_id, attempt), t)| ReportedTask {
+                    task_id: task_id.clone(),
                     attempt: *attempt,
                     status: t.status,
-                    cause: t.cause,
-                    stored: None,
+                    exit_reason: t.exit_reason,
+                    checkpointed: None,
                 })
                 .collect(),
         }
@@ -119,7 +119,7 @@
 
     /// True if the job could start one more task here: the worker serves and has room.
     pub fn could_take(&self, plan: &JobPlan) -> bool {
-        let serves = self.alive() && self.lease_from > 0 && self.token > 0;
+        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > 0;
         // Whatever runs here takes as much at least: good enough for a bound on waits.
         let held = self.tasks.values();
         let held = held.filter(|t| t.status != TaskStatus::Exited).count() as f64;
@@ -130,14 +130,14 @@
     }
 }
 
-fn split(piece: &str) -> (&str, u32) {
-    let (id, task) = piece.rsplit_once('/').unwrap();
+fn split(task_id: &str) -> (&str, u32) {
+    let (id, task) = task_id.rsplit_once('/').unwrap();
     (id, task.parse().unwrap())
 }
 
 impl State {
-    fn plan(&self, piece: &str) -> Option<&JobPlan> {
-        Some(&self.users.get(split(piece).0)?.plan)
+    fn plan(&self, task_id: &str) -> Option<&JobPlan> {
+        Some(&self.users.get(split(task_id).0)?.plan)
     }
 
     fn machine_at(&mut self, addr: SocketAddr) -> Option<&mut Machine> {
@@ -169,9 +169,9 @@
                 up_at: first,
                 gone_at: None,
                 died_at: None,
-                session: 1,
-                tick: 0,
-                token: 0,
+                agent_epoch: 1,
+                sequence: 0,
+                fencing_token: 0,
                 lease_from: first,
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
@@ -187,7 +187,7 @@
                 holds: false,
                 mute_until: 0,
                 deaf_until: 0,
-                recall_at: None,
+                preempted_at: None,
             };
             state.machines.insert(name.clone(), machine);
             (name, first)
@@ -213,13 +213,13 @@
             drop(state);
             return self.at_time(ends, move |w| w.watch_lease(&worker));
         }
-        m.session += 1;
+        m.agent_epoch += 1;
         m.lease_from = now;
         m.in_flight = None;
         let lost = std::mem::take(&mut m.tasks);
-        for ((piece, _), task) in lost {
+        for ((task_id, _), task) in lost {
             if on_machine(&task) {
-                let (id, n) = split(&piece);
+                let (id, n) = split(&task_id);
                 state.checker.leaves(id, n, name, false);
             }
         }
@@ -394,7 +394,7 @@
         let back = self.latency();
         let name = report.machine.clone();
         self.after(back, move |w| {
-            w.answer_arrives(&name, report.session, flight, sent, answer);
+            w.answer_arrives(&name, report.agent_epoch, flight, sent, answer);
         });
     }
 
@@ -409,7 +409,7 @@
     fn answer_arrives(
         self: &Arc<Self>,
         name: &str,
-        session: u64,
+        agent_epoch: u64,
         flight: u64,
         sent: Time,
         answer: Option<(u16, Vec<u8>)>,
@@ -427,7 +427,7 @@
             let (until, name) = (m.hung_until, name.to_string());
             drop(state);
             return self.at_time(until, move |w| {
-                w.answer_arrives(&name, session, flight, sent, answer);
+                w.answer_arrives(&name, agent_epoch, flight, sent, answer);
             });
         }
         if now - sent > PATIENCE || m.cut_until > now || m.deaf_until > now {
@@ -435,17 +435,17 @@
         }
         m.in_flight = None;
         let mut next = now + (REPORT_S * 1e6) as Time;
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         match answer {
             Some((200, body)) => {
                 let answer: aspenreel::workers::wire::HeartbeatReplyBody = decode(&body).unwrap();
-                if answer.token >= m.token && session == m.session {
-                    if answer.token > m.token {
+                if answer.fencing_token >= m.fencing_token && agent_epoch == m.agent_epoch {
+                    if answer.fencing_token > m.fencing_token {
                         next = now + 500_000;
                     }
-                    m.token = answer.token;
+                    m.fencing_token = answer.fencing_token;
                     m.lease_from = sent;
-                    orders = answer.orders;
+                    commands = answer.commands;
                 }
             }
             Some((421, body)) => {
@@ -474,7 +474,7 @@
             next
         };
         self.report_at(name, next);
-        self.execute(name, &orders);
+        self.execute(name, &commands);
     }
 
     /// Commands reach a worker's address, or don't; `then` gets what it answers.
@@ -512,7 +512,8 @@
         struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<WorkerCommand>,
+            #[serde(rename = "orders")]
+            commands: Vec<WorkerCommand>,
         }
         let commands: DirectCommands = decode(&body).unwrap();
         let name = {
@@ -520,15 +521,15 @@
             let Some(m) = state.machine_at(addr) else {
                 return;
             };
-            if commands.baton < m.token || commands.shift != m.session {
+            if commands.baton < m.fencing_token || commands.shift != m.agent_epoch {
                 let report = m.report(now);
                 drop(state);
                 return then(self, (409, encode(&report)));
             }
-            m.token = commands.baton;
+            m.fencing_token = commands.baton;
             m.name.clone()
         };
-        self.execute(&name, &commands.orders);
+        self.execute(&name, &commands.commands);
         let mut state = self.state();
         let report = state.machines.get_mut(&name).map(|m| m.report(now));
         drop(state);
@@ -538,12 +539,12 @@
         }
     }
 
-    fn execute(self: &Arc<Self>, name: &str, orders: &[WorkerCommand]) {
+    fn execute(self: &Arc<Self>, name: &str, commands: &[WorkerCommand]) {
         let now = self.now();
         let fetch = secs(self.setup.fetch_s);
         let mut changed = false;
-        for o in orders {
-            let key = (o.piece.clone(), o.attempt);
+        for o in commands {
+            let key = (o.task_id.clone(), o.attempt);
             let mut state = self.state();
             let State {
                 machines,
@@ -556,16 +557,16 @@
             let Some(m) = machines.get_mut(name) else {
                 return;
             };
-            let plan_of = |piece: &str| users.get(split(piece).0).map(|u| &u.plan);
-            match o.verb {
+            let plan_of = |task_id: &str| users.get(split(task_id).0).map(|u| &u.plan);
+            match o.kind {
                 CommandKind::Run if !m.tasks.contains_key(&key) => {
                     starts_by_term.push((now, o.attempt >> 32));
                     changed = true;
-                    let here = |(p, _): &(String, u64)| *p == o.piece;
+                    let here = |(p, _): &(String, u64)| *p == o.task_id;
                     let mut other = m.tasks.iter().filter(|(k, _)| here(k));
                     let busy = other.any(|(_, t)| t.status != TaskStatus::Exited);
                     let cpus = |p: &str| plan_of(p).map_or(0.0, |p| p.cpus);
-                    let refused = match plan_of(&o.piece) {
+                    let refused = match plan_of(&o.task_id) {
                         None => Some(ExitReason::NoSuch),
                         Some(_) if busy => Some(ExitReason::Busy),
                         Some(plan) if plan.cpus > m.free(cpus) => Some(ExitReason::Full),
@@ -582,7 +583,7 @@
                             None => TaskStatus::Fetching,
                             Some(_) => TaskStatus::Exited,
                         },
-                        cause: refused,
+                        exit_reason: refused,
                         ends: now + wait,
                         timer: m.timers,
                     };
@@ -595,15 +596,15 @@
                     }
                 }
                 CommandKind::Stop => {
-                    let save = plan_of(&o.piece).map_or(0.0, |p| p.save_s);
+                    let save = plan_of(&o.task_id).map_or(0.0, |p| p.save_s);
                     let Some(t) = m.tasks.get_mut(&key) else {
                         continue;
                     };
                     let saves = save > 0.0
-                        && o.leeway_s.is_some_and(|l| l >= save)
+                        && o.grace_period_s.is_some_and(|l| l >= save)
                         && t.status == TaskStatus::Running;
                     if t.status == TaskStatus::Exited
-                        || (t.status == TaskStatus::Flushing && o.leeway_s != Some(0.0))
+                        || (t.status == TaskStatus::Flushing && o.grace_period_s != Some(0.0))
                     {
                         continue;
                     }
@@ -619,9 +620,9 @@
                     } else {
                         let left = on_machine(t);
                         t.status = TaskStatus::Exited;
-                        t.cause = Some(ExitReason::Stopped);
+                        t.exit_reason = Some(ExitReason::Stopped);
                         if left {
-                            let (id, n) = split(&o.piece);
+                            let (id, n) = split(&o.task_id);
                             checker.leaves(id, n, name, false);
                         }
                     }
@@ -677,7 +678,7 @@
             }
             TaskStatus::Running => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(ExitReason::Done);
+                t.exit_reason = Some(ExitReason::Done);
                 let ends = plan.is_none_or(|p| !p.standing);
                 checker.leaves(id, n, name, ends);
                 let id = id.to_string();
@@ -686,7 +687,7 @@
             }
             TaskStatus::Flushing => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(ExitReason::Stopped);
+                t.exit_reason = Some(ExitReason::Stopped);
                 checker.leaves(id, n, name, false);
                 drop(state);
             }
@@ -756,8 +757,8 @@
     }
 
     /// The cloud takes spot machines, after a notice.
-    pub fn recall(self: &Arc<Self>, names: &[String], notice: f64) {
-        self.change_machines(names, notice, |m, until| m.recall_at = Some(until));
+    pub fn give_preemption_notice(self: &Arc<Self>, names: &[String], notice: f64) {
+        self.change_machines(names, notice, |m, until| m.preempted_at = Some(until));
         for name in names {
             self.report_soon(name);
             let name = name.clone();
@@ -785,9 +786,9 @@
             return;
         };
         change(m, now);
-        for ((piece, _), task) in std::mem::take(&mut m.tasks) {
+        for ((task_id, _), task) in std::mem::take(&mut m.tasks) {
             if on_machine(&task) {
-                let (id, n) = split(&piece);
+                let (id, n) = split(&task_id);
                 checker.leaves(id, n, name, false);
             }
         }
@@ -798,10 +799,11 @@
 pub fn foreman_of(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct Hint {
-        foreman: Option<String>,
+        #[serde(rename = "foreman")]
+        leader: Option<String>,
     }
     let hint: Hint = decode(body).unwrap();
-    hint.foreman
+    hint.leader
 }
 
 /// It has its image and has not ended.
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -62,9 +62,9 @@
 
 struct Inner {
     tasks: Vec<Task>,
-    token: u64,
-    session: u64,
-    tick: u64,
+    fencing_token: u64,
+    agent_epoch: u64,
+    sequence: u64,
     /// When the last report that was answered was sent, or the session began.
     lease_from: Instant,
     /// The cloud took the machine back.
@@ -110,8 +110,8 @@
         }
     }
 
-    fn note_start(&self, piece: &str, machine: &str) {
-        let (job, task) = parts(piece);
+    fn note_start(&self, task_id: &str, machine: &str) {
+        let (job, task) = parts(task_id);
         let place = Place {
             machine: machine.into(),
             zone: "east".into(),
@@ -120,14 +120,14 @@
         self.note(|checker, now| checker.starts(job, task, &place, now));
     }
 
-    fn note_end(&self, piece: &str, machine: &str, done: bool) {
-        let (job, task) = parts(piece);
+    fn note_end(&self, task_id: &str, machine: &str, done: bool) {
+        let (job, task) = parts(task_id);
         self.note(|checker, _| checker.leaves(job, task, machine, done));
     }
 }
 
-fn parts(piece: &str) -> (&str, u32) {
-    let (job, task) = piece.rsplit_once('/').unwrap();
+fn parts(task_id: &str) -> (&str, u32) {
+    let (job, task) = task_id.rsplit_once('/').unwrap();
     (job, task.parse().unwrap())
 }
 
@@ -140,9 +140,9 @@
             at: AtomicUsize::new(0),
             inner: Mutex::new(Inner {
                 tasks: Vec::new(),
-                token: 0,
-                session: 1,
-                tick: 0,
+                fencing_token: 0,
+                agent_epoch: 1,
+                sequence: 0,
                 lease_from: Instant::now(),
                 gone: false,
             }),
@@ -171,36 +171,40 @@
         self.inner.lock().unwrap().gone
     }
 
-    fn execute(&self, orders: &[WorkerCommand]) {
+    fn execute(&self, commands: &[WorkerCommand]) {
         let mut inner = self.inner.lock().unwrap();
-        for o in orders {
+        for o in commands {
             let at = inner
                 .tasks
                 .iter()
-                .position(|t| t.report.piece == o.piece && t.report.attempt == o.attempt);
-            match (o.verb, at) {
+                .position(|t| t.report.task_id == o.task_id && t.report.attempt == o.attempt);
+            match (o.kind, at) {
                 (CommandKind::Run, None) => {
                     let twice = self
                         .ground
                         .running
                         .lock()
                         .unwrap()
-                        .insert(o.piece.clone(), self.name.clone());
+                        .insert(o.task_id.clone(), self.name.clone());
                     if let Some(other) = twice {
-                        let text = format!("{} on {other} and {}", o.piece, self.name);
+                        let text = format!("{} on {other} and {}", o.task_id, self.name);
                         self.ground.broken.lock().unwrap().push(text);
                     }
-                    self.ground.note_start(&o.piece, &self.name);
-                    self.ground.started.lock().unwrap().insert(o.piece.clone());
-                    let job = o.piece.split('/').next().unwrap();
+                    self.ground.note_start(&o.task_id, &self.name);
+                    self.ground
+                        .started
+                        .lock()
+                        .unwrap()
+                        .insert(o.task_id.clone());
+                    let job = o.task_id.split('/').next().unwrap();
                     let endless = self.ground.endless.lock().unwrap().contains(job);
                     inner.tasks.push(Task {
                         report: ReportedTask {
-                            piece: o.piece.clone(),
+                            task_id: o.task_id.clone(),
                             attempt: o.attempt,
                             status: TaskStatus::Running,
-                            cause: None,
-                            stored: None,
+                            exit_reason: None,
+                            checkpointed: None,
                         },
                         ends: (!endless).then(|| Instant::now() + self.ground.task_time()),
                     });
@@ -214,17 +218,17 @@
         }
     }
 
-    fn exit(&self, task: &mut Task, cause: ExitReason) {
+    fn exit(&self, task: &mut Task, exit_reason: ExitReason) {
         if task.report.status != TaskStatus::Exited {
             task.report.status = TaskStatus::Exited;
-            task.report.cause = Some(cause);
-            let done = cause == ExitReason::Done;
-            self.ground.note_end(&task.report.piece, &self.name, done);
+            task.report.exit_reason = Some(exit_reason);
+            let done = exit_reason == ExitReason::Done;
+            self.ground.note_end(&task.report.task_id, &self.name, done);
             self.ground
                 .running
                 .lock()
                 .unwrap()
-                .remove(&task.report.piece);
+                .remove(&task.report.task_id);
         }
     }
 
@@ -236,17 +240,17 @@
                 self.exit(task, ExitReason::Done);
             }
         }
-        inner.tick += 1;
+        inner.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             addr: self.addr_for(controller),
             type_name: "small".into(),
             zone: "east".into(),
             spot: true,
-            session: inner.session,
-            tick: inner.tick,
-            token: inner.token,
-            recall: None,
+            agent_epoch: inner.agent_epoch,
+            sequence: inner.sequence,
+            fencing_token: inner.fencing_token,
+            preemption_notice_s: None,
             tasks: inner.tasks.iter().map(|t| t.report.clone()).collect(),
         }
     }
@@ -266,23 +270,26 @@
                 self.exit(task, ExitReason::Stopped);
             }
             inner.tasks.clear();
-            inner.session += 1;
+            inner.agent_epoch += 1;
             inner.lease_from = Instant::now();
         }
     }
 
     /// The answer to a heartbeat of that session.
-    fn take_answer(&self, answer: &HeartbeatReplyBody, session: u64, sent: Instant) {
+    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: u64, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
             let mut inner = self.inner.lock().unwrap();
-            if answer.token < inner.token || session != inner.session || inner.gone {
+            if answer.fencing_token < inner.fencing_token
+                || agent_epoch != inner.agent_epoch
+                || inner.gone
+            {
                 return;
             }
-            inner.token = answer.token;
+            inner.fencing_token = answer.fencing_token;
             inner.lease_from = sent;
         }
-        self.execute(&answer.orders);
+        self.execute(&answer.commands);
     }
 
     /// Checks in until the test ends, following hints and trying others after failures.
@@ -298,7 +305,9 @@
             let body = encode(&report);
             let result = client.call("POST", "/checkin", &body, ANSWER_TIME);
             match result {
-                Ok((200, body)) => self.take_answer(&decode(&body).unwrap(), report.session, sent),
+                Ok((200, body)) => {
+                    self.take_answer(&decode(&body).unwrap(), report.agent_epoch, sent)
+                }
                 Ok((421, body)) => {
                     let named = foreman_of(&body)
                         .and_then(|f| controllers.iter().position(|(n, _)| *n == f));
@@ -316,7 +325,8 @@
         struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<WorkerCommand>,
+            #[serde(rename = "orders")]
+            commands: Vec<WorkerCommand>,
         }
         let commands: DirectCommands = decode(&r.body).unwrap();
         let controller = self.at.load(Ordering::Relaxed);
@@ -325,17 +335,18 @@
         let _acting = self.acting.lock().unwrap();
         let is_refused = {
             let mut inner = self.inner.lock().unwrap();
-            let refused =
-                inner.gone || commands.baton < inner.token || commands.shift != inner.session;
+            let refused = inner.gone
+                || commands.baton < inner.fencing_token
+                || commands.shift != inner.agent_epoch;
             if !refused {
-                inner.token = commands.baton;
+                inner.fencing_token = commands.baton;
             }
             refused
         };
         if is_refused {
             return Response::new(409, encode(&self.report(controller)));
         }
-        self.execute(&commands.orders);
+        self.execute(&commands.commands);
         Response::new(200, encode(&self.report(controller)))
     }
 }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -16,7 +16,7 @@
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::settings::Settings;
 use aspenreel::state_store::{from_value, to_value};
-use aspenreel::workers::fencing::OrderCounters;
+use aspenreel::workers::fencing::CommandCounters;
 use aspenreel::workers::wire::Heartbeat;
 use ciborium::cbor;
 use clap::Parser;
@@ -559,7 +559,7 @@
             questions_in_vain: state.checker.questions_in_vain,
             turnaround_s: state.checker.turnaround_s(),
             seconds: self.now() / 1_000_000,
-            orders: order_counters(&state.nodes),
+            commands: command_counters(&state.nodes),
             transcript: state.transcript.summary(),
         };
         drop(state);
@@ -588,7 +588,7 @@
     }
 }
 
-fn order_counters(nodes: &[NodeState]) -> OrderCounters {
+fn command_counters(nodes: &[NodeState]) -> CommandCounters {
     let counters = |node: &Arc<Controller>| Some(node.state().scheduler.as_ref()?.fencing.counters);
     let running = nodes.iter().filter_map(|n| n.node.as_ref());
     running.filter_map(counters).next().unwrap_or_default()
@@ -624,7 +624,7 @@
     pub turnaround_s: Vec<f64>,
     pub seconds: u64,
     /// What the last leader counted of its orders.
-    pub orders: OrderCounters,
+    pub commands: CommandCounters,
     /// The digest of all messages.
     pub transcript: String,
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -28,7 +28,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const TICK: Micros = Micros::from_millis(250);
+const TIMER_INTERVAL: Micros = Micros::from_millis(250);
 /// A timer that fires this late tells that the process has used up its share of the processor: no
 /// other measure of a share that the system enforces from outside is at hand everywhere.
 const LATE: Micros = Micros::from_millis(25);
@@ -218,7 +218,7 @@
             ("rounds", duty(Controller::rounds_loop)),
             ("jobs", duty(Controller::jobs_loop)),
             ("fleet", duty(Controller::fleet_loop)),
-            ("tick", duty(Controller::tick_loop)),
+            ("tick", duty(Controller::timer_loop)),
             ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
         ];
@@ -266,23 +266,23 @@
         serve(public, self, system, limits, open)
     }
 
-    fn tick_loop(&self) {
+    fn timer_loop(&self) {
         // Silence counts only while this node answers: during an outage it turns workers away.
         let mut acting_since: Option<Moment> = None;
         let mut told = Moment(0);
         // Ticks and late ones of the last while, for a word to the operator.
-        let (mut ticks, mut late, mut counted) = (0u32, 0u32, self.now());
+        let (mut timers, mut late, mut counted) = (0u32, 0u32, self.now());
         loop {
-            let due = self.now() + TICK;
-            self.os.sleep(TICK.duration());
+            let due = self.now() + TIMER_INTERVAL;
+            self.os.sleep(TIMER_INTERVAL.duration());
             let overloaded = self.now() - due > LATE;
-            ticks += 1;
+            timers += 1;
             late += u32::from(overloaded);
             if self.now() - counted > PACE_EVERY {
-                if late * 2 > ticks {
-                    log::warn!("short of processor: {late} of {ticks} timers fired late");
+                if late * 2 > timers {
+                    log::warn!("short of processor: {late} of {timers} timers fired late");
                 }
-                (ticks, late, counted) = (0, 0, self.now());
+                (timers, late, counted) = (0, 0, self.now());
             }
             let mut state = self.state();
             let now = self.now();
@@ -293,11 +293,11 @@
             }
             if let Some((_, scheduler)) = state.acting(now) {
                 scheduler.overload.note(overloaded, now);
-                scheduler.tick(now);
+                scheduler.on_timer(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
                     log::debug!("{}", scheduler.summary(now));
-                    log::debug!("{}", scheduler.order_summary());
+                    log::debug!("{}", scheduler.command_summary());
                 }
                 self.wake(scheduler);
                 let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -27,13 +27,14 @@
     pub revision: u64,
     /// What was written last without an answer. It is written until it is known: the opposite, written
     /// over it, could be undone by it, and no node would accept anything any more.
-    pub in_doubt: Option<bool>,
+    pub unconfirmed: Option<bool>,
 }
 
 impl Fullness {
     /// What is to be written now, if anything.
     pub fn next(&self, is_full: bool) -> Option<bool> {
-        self.in_doubt.or((is_full != self.told).then_some(is_full))
+        self.unconfirmed
+            .or((is_full != self.told).then_some(is_full))
     }
 
     pub fn known(&mut self, told: bool, revision: u64) {
@@ -46,7 +47,7 @@
                 }
             );
         }
-        (self.told, self.revision, self.in_doubt) = (told, revision, None);
+        (self.told, self.revision, self.unconfirmed) = (told, revision, None);
     }
 }
 
@@ -87,7 +88,7 @@
                     let lead = lead.clone();
                     drop(state);
                     tokens.force(1.0, now);
-                    self.raise_token(&lead);
+                    self.raise_fencing_token(&lead);
                     continue;
                 }
                 let is_full = scheduler.is_full(fullness.told);
@@ -209,7 +210,7 @@
             Ok(Commit::Conflict { .. }) | Err(StoreError::Refused(_)) => {}
             Err(e) => {
                 log::debug!("not told whether jobs are accepted: {e}");
-                fullness.in_doubt = Some(target);
+                fullness.unconfirmed = Some(target);
             }
         }
     }
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::SchedulerState;
 use crate::state_store::pages::PageImage;
 use crate::state_store::{Change, Guard, to_value};
-use crate::workers::StartDelivery;
+use crate::workers::DeliveryStatus;
 
 /// The key prefix of claims: which tasks of which jobs may have started.
 pub const WATERMARKS_PREFIX: &str = "claims/";
@@ -191,14 +191,14 @@
     /// A start without an answer may still arrive: its attempt must not be cleared, so its job
     /// stays known.
     fn has_open_starts(&self, id: JobId) -> bool {
-        self.any_start(id, StartDelivery::may_arrive)
+        self.any_start(id, DeliveryStatus::may_arrive)
     }
 
     fn starts_under_way(&self, id: JobId) -> bool {
-        self.any_start(id, |delivery| delivery == StartDelivery::InFlight)
+        self.any_start(id, |delivery| delivery == DeliveryStatus::InFlight)
     }
 
-    fn any_start(&self, id: JobId, is: impl Fn(StartDelivery) -> bool) -> bool {
+    fn any_start(&self, id: JobId, is: impl Fn(DeliveryStatus) -> bool) -> bool {
         self.machines
             .values()
             .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
--- a/src/leadership/fencing.rs
+++ b/src/leadership/fencing.rs
@@ -15,7 +15,7 @@
     ///
     /// Without an answer the transaction may be applied yet. Nobody uses its token then: the next try
     /// guards the counter at the revision that it had before, so that only one of the two passes.
-    pub(crate) fn raise_token(&self, lead: &LeaderLease) {
+    pub(crate) fn raise_fencing_token(&self, lead: &LeaderLease) {
         let raised = lead.counter.raised(lead.revision);
         let guards = [lead.guard(), Guard::new(TERM_KEY, lead.counter_revision)];
         let changes = [Change::write(TERM_KEY, raised.to_value())];
@@ -24,26 +24,26 @@
                 self.note_counter(lead.term, raised, revision);
                 let now = self.now();
                 self.with_scheduler(lead.term, |scheduler| {
-                    scheduler.token_raised(raised.term, now)
+                    scheduler.fencing_token_raised(raised.term, now)
                 });
             }
             Ok(Commit::Conflict { failed }) => {
                 if failed.iter().any(|key| key == LEADER_KEY) {
                     self.lose_lead(lead.term);
                 }
-                self.token_not_raised(lead.term);
+                self.fencing_token_not_raised(lead.term);
                 self.read_counter(lead.term);
             }
             Err(e) => {
                 log::debug!("token not raised: term={} error={e}", lead.term);
-                self.token_not_raised(lead.term);
+                self.fencing_token_not_raised(lead.term);
             }
         }
     }
 
-    fn token_not_raised(&self, term: u64) {
+    fn fencing_token_not_raised(&self, term: u64) {
         let now = self.now();
-        self.with_scheduler(term, |scheduler| scheduler.token_not_raised(now));
+        self.with_scheduler(term, |scheduler| scheduler.fencing_token_not_raised(now));
     }
 
     /// Another transaction changed the counter: one of this leader's without an answer, or the change of
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -70,7 +70,7 @@
             && !m.lost
             && !m.returning
             && !m.faulty
-            && !m.recalled
+            && !m.has_preemption_notice
             && m.is_alive(self.config.report, now)
     }
 
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -171,7 +171,7 @@
         let Some(job) = self.jobs.table.get(&key.0) else {
             return;
         };
-        let leeway = if job.spec.checkpoint > Micros::ZERO {
+        let grace_period = if job.spec.checkpoint > Micros::ZERO {
             job.spec.save + Micros::from_secs(2)
         } else {
             Micros::ZERO
@@ -179,7 +179,7 @@
         if let Some(m) = self.machines.get_mut(machine)
             && let Some(a) = m.attempts.get_mut(&key)
         {
-            a.desired = DesiredState::Stop { leeway };
+            a.desired = DesiredState::Stop { grace_period };
             m.rooms.set(None);
             log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
             self.commands.due.insert(machine.to_string());
--- a/src/provisioning/list.rs
+++ b/src/provisioning/list.rs
@@ -96,9 +96,9 @@
                 // It stopped by itself, and everything on it with it.
                 log::info!("machine {}: failed", l.name);
                 m.lost = true;
-                m.session_over = true;
+                m.epoch_over = true;
                 m.returning = true;
-                self.end_session(&l.name);
+                self.end_epoch(&l.name);
             }
         }
         self.note_unlisted(list, asked);
@@ -163,7 +163,7 @@
     }
 
     fn drop_machine(&mut self, name: &str) {
-        self.end_session(name);
+        self.end_epoch(name);
         self.machines.remove(name);
         self.provisioning.registry.remove(name);
         self.prior_term.machines.remove(name);
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -104,7 +104,7 @@
         let mut bins: Vec<Bin> = self
             .machines
             .values()
-            .filter(|m| !m.returning && !m.faulty && !m.recalled && !m.lost)
+            .filter(|m| !m.returning && !m.faulty && !m.has_preemption_notice && !m.lost)
             .filter(|m| m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now))
             .filter_map(|m| self.bin_of(m, now))
             .collect();
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -41,7 +41,7 @@
 impl Machine {
     /// It may still take work, or will once it is up.
     fn stays(&self) -> bool {
-        !self.returning && !self.faulty && !self.recalled && !self.lost
+        !self.returning && !self.faulty && !self.has_preemption_notice && !self.lost
     }
 }
 
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -117,7 +117,7 @@
             return Some(ReturnReason::Faulty);
         }
         // It is charged to the end, and only its return proves it empty.
-        if m.recalled {
+        if m.has_preemption_notice {
             return Some(ReturnReason::Recalled);
         }
         // Its reports arrive, but it hears nothing, and not only for a while.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -222,7 +222,7 @@
             for (_, attempt) in m.attempts.range_mut(own) {
                 any = true;
                 attempt.desired = DesiredState::Stop {
-                    leeway: Micros::ZERO,
+                    grace_period: Micros::ZERO,
                 };
             }
             if any {
@@ -288,7 +288,7 @@
         self.prior_term.unreconciled.retain(|name| {
             let seen = machines
                 .get(name)
-                .is_some_and(|m| m.reconciled || m.session_over);
+                .is_some_and(|m| m.reconciled || m.epoch_over);
             !seen && !provisioning.is_gone(name)
         });
         let lease_over = now - self.started >= self.lease_span();
@@ -334,7 +334,7 @@
     }
 
     /// What time alone changes.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn on_timer(&mut self, now: Moment) {
         self.expire_leases(now);
         self.check_revocations(now);
         let retry = self.jobs.table.values().any(retry_due(now));
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -46,7 +46,7 @@
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| !m.lost && !m.returning && !m.recalled)
+            .filter(|m| !m.lost && !m.returning && !m.has_preemption_notice)
             .filter(|m| m.last_report.is_some() || self.prior_term.unreconciled.contains(&m.name))
             .collect();
         let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -44,16 +44,16 @@
     }
 
     /// One line on orders that went straight to workers, and those in doubt.
-    pub fn order_summary(&self) -> String {
+    pub fn command_summary(&self) -> String {
         let counters = &self.fencing.counters;
         format!(
             "orders: direct_calls={} starts_in_doubt={} ended_by_token={} ended_by_session={} \
              machines_in_doubt={} tokens_raised={} heartbeats_withheld={} invariants_violated={}",
             counters.calls,
-            counters.doubts,
+            counters.unconfirmed_starts,
             counters.ended_by_token,
             counters.ended_by_session,
-            self.fencing.doubted(),
+            self.fencing.unconfirmed_machines(),
             counters.raises,
             counters.withheld,
             violations()
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -1,6 +1,6 @@
 //! Attempts that a report doesn't show: which never began, which are gone, and which may yet begin.
 
-use super::order_log::note_release;
+use super::command_log::log_release;
 use super::wire::Heartbeat;
 use super::{Attempt, AttemptKey, DesiredState};
 use crate::scheduler::SchedulerState;
@@ -36,7 +36,7 @@
             Absence::Over
         };
     };
-    let answer_was_dropped = by_heartbeat && sent < (report.session, report.tick);
+    let answer_was_dropped = by_heartbeat && sent < (report.agent_epoch, report.sequence);
     match (answer_was_dropped, is_wanted) {
         (false, _) => Absence::Open,
         (true, true) => Absence::Lost,
@@ -77,7 +77,7 @@
                 Absence::Lost => "start_lost_with_its_answer",
                 _ => "not_in_report",
             };
-            note_release(&report.machine, key.1, key.2, why, attempt.placed_at, now);
+            log_release(&report.machine, key.1, key.2, why, attempt.placed_at, now);
             if attempt.holds()
                 && let Some(job) = self.jobs.table.get_mut(&key.0)
             {
--- a/src/workers/order_log.rs
+++ b/src/workers/command_log.rs
@@ -9,18 +9,18 @@
 
 /// How an order reaches a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum OrderPath {
+pub(super) enum CommandPath {
     /// In the answer to a heartbeat: dropped by the worker if it comes late.
     HeartbeatAnswer,
     /// Straight to the worker's address: executed however late, while token and session match.
     Direct,
 }
 
-impl fmt::Display for OrderPath {
+impl fmt::Display for CommandPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            OrderPath::HeartbeatAnswer => "heartbeat_answer",
-            OrderPath::Direct => "direct",
+            CommandPath::HeartbeatAnswer => "heartbeat_answer",
+            CommandPath::Direct => "direct",
         })
     }
 }
@@ -28,42 +28,42 @@
 /// For whom orders are, and what they carry beside themselves.
 pub(super) struct Recipient<'a> {
     pub machine: &'a str,
-    pub session: u64,
-    pub token: u64,
+    pub agent_epoch: u64,
+    pub fencing_token: u64,
 }
 
 /// Orders that are about to be sent.
-pub(super) fn note_orders(path: OrderPath, to: &Recipient<'_>, orders: &[WorkerCommand]) {
+pub(super) fn log_commands(path: CommandPath, to: &Recipient<'_>, commands: &[WorkerCommand]) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
-    for order in orders {
+    for command in commands {
         log::debug!(
             "order sent: path={path} machine={} session={} token={} verb={} task={} attempt={}",
             to.machine,
-            to.session,
-            to.token,
-            verb_name(order.verb),
-            order.piece,
-            order.attempt
+            to.agent_epoch,
+            to.fencing_token,
+            kind_name(command.kind),
+            command.task_id,
+            command.attempt
         );
     }
 }
 
 /// How a direct call ended.
-pub(super) fn note_result(call: &DirectCall, result: &DirectResult, took_s: f64) {
+pub(super) fn log_call_result(call: &DirectCall, result: &DirectResult, took_s: f64) {
     log::debug!(
         "direct call over: machine={} session={} token={} orders={} result={} took_s={took_s:.3}",
         call.machine,
-        call.session,
-        call.token,
-        call.orders.len(),
+        call.agent_epoch,
+        call.fencing_token,
+        call.commands.len(),
         result_name(result)
     );
 }
 
 /// An attempt was let go, so that its task may start elsewhere.
-pub(super) fn note_release(
+pub(super) fn log_release(
     machine: &str,
     task: u32,
     attempt: u64,
@@ -77,8 +77,8 @@
     );
 }
 
-fn verb_name(verb: CommandKind) -> &'static str {
-    match verb {
+fn kind_name(kind: CommandKind) -> &'static str {
+    match kind {
         CommandKind::Run => "run",
         CommandKind::Stop => "stop",
         CommandKind::Clear => "clear",
--- a/src/workers/orders.rs
+++ b/src/workers/commands.rs
@@ -6,33 +6,33 @@
 use crate::time::{Micros, Moment};
 
 /// At most this many orders go into one answer: it must stay below 64 KiB.
-pub(super) const MAX_ORDERS: usize = 300;
+pub(super) const MAX_COMMANDS: usize = 300;
 
 impl SchedulerState {
     /// The orders for one machine: the difference between wanted and reported.
-    pub(super) fn orders(&mut self, name: &str, now: Moment) -> Vec<WorkerCommand> {
+    pub(super) fn commands(&mut self, name: &str, now: Moment) -> Vec<WorkerCommand> {
         let may_release = self.permissions().release;
         let Some(machine) = self.machines.get_mut(name) else {
             return Vec::new();
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let orphans = machine.orphans.iter();
         for orphan in orphans.filter(|orphan| may_release || !orphan.exited) {
-            orders.push(WorkerCommand {
-                verb: if orphan.exited {
+            commands.push(WorkerCommand {
+                kind: if orphan.exited {
                     CommandKind::Clear
                 } else {
                     CommandKind::Stop
                 },
-                piece: orphan.piece.clone(),
+                task_id: orphan.task_id.clone(),
                 attempt: orphan.attempt,
-                leeway_s: (!orphan.exited).then_some(0.0),
+                grace_period_s: (!orphan.exited).then_some(0.0),
             });
         }
         machine.rooms.set(None);
         // Answers that may not arrive carry no starts.
         let is_suspected = machine.suspicion.is_some();
-        let here = (machine.session, machine.tick);
+        let here = (machine.agent_epoch, machine.sequence);
         let mut starts = Vec::new();
         let mut dropped = Vec::new();
         for (key, attempt) in &mut machine.attempts {
@@ -46,24 +46,24 @@
                 (Some(TaskStatus::Exited), _)
                     if !attempt.done || job.recorded.contains(key.1) || job.outcome.is_some() =>
                 {
-                    orders.push(attempt.order(job, *key, CommandKind::Clear));
+                    commands.push(attempt.command(job, *key, CommandKind::Clear));
                 }
                 (Some(TaskStatus::Exited), _) => {}
-                (Some(TaskStatus::Flushing), DesiredState::Stop { leeway }) => {
+                (Some(TaskStatus::Flushing), DesiredState::Stop { grace_period }) => {
                     let overdue = attempt
                         .stop_sent
-                        .is_some_and(|t| now - t > leeway + Micros::from_secs(5));
-                    if leeway == Micros::ZERO || overdue {
-                        let stop = attempt.order(job, *key, CommandKind::Stop);
-                        orders.push(WorkerCommand {
-                            leeway_s: Some(0.0),
+                        .is_some_and(|t| now - t > grace_period + Micros::from_secs(5));
+                    if grace_period == Micros::ZERO || overdue {
+                        let stop = attempt.command(job, *key, CommandKind::Stop);
+                        commands.push(WorkerCommand {
+                            grace_period_s: Some(0.0),
                             ..stop
                         });
                     }
                 }
                 (Some(_), DesiredState::Stop { .. }) => {
                     attempt.stop_sent.get_or_insert(now);
-                    orders.push(attempt.order(job, *key, CommandKind::Stop));
+                    commands.push(attempt.command(job, *key, CommandKind::Stop));
                 }
                 (None, DesiredState::Run) => {
                     if job.is_closed() {
@@ -71,7 +71,7 @@
                             dropped.push(*key);
                         } else {
                             attempt.desired = DesiredState::Stop {
-                                leeway: Micros::ZERO,
+                                grace_period: Micros::ZERO,
                             };
                         }
                         continue;
@@ -85,7 +85,7 @@
                         continue;
                     }
                     attempt.sent = Some(here);
-                    starts.push(attempt.order(job, *key, CommandKind::Run));
+                    starts.push(attempt.command(job, *key, CommandKind::Run));
                 }
                 (None, DesiredState::Stop { .. })
                     if attempt.sent.is_none() && !attempt.delivery.may_arrive() =>
@@ -102,8 +102,8 @@
                 self.placement.due = true;
             }
         }
-        orders.extend(starts);
-        orders.truncate(MAX_ORDERS);
-        orders
+        commands.extend(starts);
+        commands.truncate(MAX_COMMANDS);
+        commands
     }
 }
--- a/src/workers/delivery.rs
+++ b/src/workers/delivery.rs
@@ -11,8 +11,8 @@
 //! a report without the attempt takes it away, since heartbeats renew the session meanwhile. What does:
 //!
 //! - The session is over, or the machine is gone. All attempts of the session are dropped then
-//!   (`SchedulerState::end_session`), so that none is left in doubt.
-//! - A report of the same session tells a token above the order's ([`StartDelivery::settled_by`]). The
+//!   (`SchedulerState::end_epoch`), so that none is left in doubt.
+//! - A report of the same session tells a token above the order's ([`DeliveryStatus::settled_by`]). The
 //!   worker refuses the order from before that report on. If it had executed it earlier, the report, which
 //!   is taken in as a whole, shows the attempt: it isn't cleared while the start is in doubt.
 //!
@@ -25,52 +25,52 @@
 
 /// An order that may still be executed: no answer came to the call that carried it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OrderInDoubt {
+pub struct UnconfirmedStart {
     /// The token that the order carries.
-    pub token: u64,
+    pub fencing_token: u64,
     /// When the call began.
     pub since: Moment,
 }
 
 /// What became of a start that went straight to the worker's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartDelivery {
+pub enum DeliveryStatus {
     /// None is under way: it was answered, never sent, or can't be executed any more.
     Settled,
     /// The call that carries it is under way.
     InFlight,
     /// The call was given up, and nothing proves that the order won't be executed.
-    InDoubt(OrderInDoubt),
+    InDoubt(UnconfirmedStart),
 }
 
-impl StartDelivery {
+impl DeliveryStatus {
     /// True while the order may arrive and be executed.
     pub fn may_arrive(self) -> bool {
-        self != StartDelivery::Settled
+        self != DeliveryStatus::Settled
     }
 
     /// The order, if it is in doubt.
-    pub fn in_doubt(self) -> Option<OrderInDoubt> {
+    pub fn unconfirmed(self) -> Option<UnconfirmedStart> {
         match self {
-            StartDelivery::InDoubt(order) => Some(order),
-            StartDelivery::Settled | StartDelivery::InFlight => None,
+            DeliveryStatus::InDoubt(command) => Some(command),
+            DeliveryStatus::Settled | DeliveryStatus::InFlight => None,
         }
     }
 
     /// A start whose call got no answer, on a worker whose newest report told that token.
-    pub fn unanswered(order: OrderInDoubt, seen_token: u64) -> StartDelivery {
-        StartDelivery::InDoubt(order).after_token(seen_token)
+    pub fn unanswered(command: UnconfirmedStart, seen_fencing_token: u64) -> DeliveryStatus {
+        DeliveryStatus::InDoubt(command).after_token(seen_fencing_token)
     }
 
     /// True if a report that tells this token proves that the order in doubt won't be executed any more.
-    pub fn settled_by(self, seen_token: u64) -> bool {
-        self.in_doubt()
-            .is_some_and(|order| seen_token > order.token)
+    pub fn settled_by(self, seen_fencing_token: u64) -> bool {
+        self.unconfirmed()
+            .is_some_and(|command| seen_fencing_token > command.fencing_token)
     }
 
-    fn after_token(self, seen_token: u64) -> StartDelivery {
-        if self.settled_by(seen_token) {
-            StartDelivery::Settled
+    fn after_token(self, seen_fencing_token: u64) -> DeliveryStatus {
+        if self.settled_by(seen_fencing_token) {
+            DeliveryStatus::Settled
         } else {
             self
         }
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -1,8 +1,8 @@
 //! Orders that go straight to a worker's address: which may, and what their answers prove.
 
-use super::delivery::{OrderInDoubt, StartDelivery};
-use super::order_log::{OrderPath, Recipient, note_orders, note_result};
-use super::orders::MAX_ORDERS;
+use super::command_log::{CommandPath, Recipient, log_call_result, log_commands};
+use super::commands::MAX_COMMANDS;
+use super::delivery::{DeliveryStatus, UnconfirmedStart};
 use super::wire::{CommandKind, Heartbeat, TaskStatus, WorkerCommand};
 use super::{Attempt, AttemptKey, DesiredState};
 use crate::jobs::Job;
@@ -22,9 +22,9 @@
     pub addr: String,
     /// The term of the leader that decided on it.
     pub term: u64,
-    pub token: u64,
-    pub session: u64,
-    pub orders: Vec<WorkerCommand>,
+    pub fencing_token: u64,
+    pub agent_epoch: u64,
+    pub commands: Vec<WorkerCommand>,
     starts: Vec<AttemptKey>,
     began: Moment,
     /// Only asks whether orders reach the machine.
@@ -34,7 +34,7 @@
 impl DirectCall {
     /// Only the machine itself, in the session that it was called in, shows that the call reached it.
     fn is_answered_by(&self, report: &Heartbeat) -> bool {
-        report.machine == self.machine && report.session == self.session
+        report.machine == self.machine && report.agent_epoch == self.agent_epoch
     }
 }
 
@@ -52,8 +52,8 @@
 
 /// What one call carries.
 #[derive(Default)]
-struct DirectOrders {
-    orders: Vec<WorkerCommand>,
+struct DirectCommandBatch {
+    commands: Vec<WorkerCommand>,
     starts: Vec<AttemptKey>,
 }
 
@@ -91,10 +91,10 @@
             if let Some(call) = self.direct_call(&name, now) {
                 let to = Recipient {
                     machine: &call.machine,
-                    session: call.session,
-                    token: call.token,
+                    agent_epoch: call.agent_epoch,
+                    fencing_token: call.fencing_token,
                 };
-                note_orders(OrderPath::Direct, &to, &call.orders);
+                log_commands(CommandPath::Direct, &to, &call.commands);
                 self.commands.calls_in_flight.push(call.began);
                 return Some(call);
             }
@@ -116,62 +116,67 @@
                 return None;
             }
             suspicion.note_probe(now);
-            return self.begin_call(name, DirectOrders::default(), now);
+            return self.begin_call(name, DirectCommandBatch::default(), now);
         }
         if !machine.reconciled {
             return None;
         }
-        let content = self.direct_orders(name, now)?;
-        if content.orders.is_empty() {
+        let content = self.direct_command_batch(name, now)?;
+        if content.commands.is_empty() {
             return None;
         }
         self.begin_call(name, content, now)
     }
 
     /// A call with these orders, or a probe if there are none.
-    fn begin_call(&mut self, name: &str, content: DirectOrders, now: Moment) -> Option<DirectCall> {
-        let (term, token) = (self.term, self.token_for(name));
+    fn begin_call(
+        &mut self,
+        name: &str,
+        content: DirectCommandBatch,
+        now: Moment,
+    ) -> Option<DirectCall> {
+        let (term, fencing_token) = (self.term, self.fencing_token_for(name));
         let machine = self.machines.get_mut(name)?;
         machine.calling = true;
         Some(DirectCall {
             machine: name.to_string(),
             addr: machine.addr.clone(),
             term,
-            token,
-            session: machine.session,
-            probe: content.orders.is_empty(),
-            orders: content.orders,
+            fencing_token,
+            agent_epoch: machine.agent_epoch,
+            probe: content.commands.is_empty(),
+            commands: content.commands,
             starts: content.starts,
             began: now,
         })
     }
 
     /// What is to be said to a machine at once. Starts are under way from here on.
-    fn direct_orders(&mut self, name: &str, now: Moment) -> Option<DirectOrders> {
+    fn direct_command_batch(&mut self, name: &str, now: Moment) -> Option<DirectCommandBatch> {
         let machine = self.machines.get_mut(name)?;
         // Stops go to whoever answers; starts only where the lease is known to last.
         let takes_starts = machine.recorded && machine.is_alive(self.config.report, now);
-        let mut content = DirectOrders::default();
+        let mut content = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
             let Some(job) = self.jobs.table.get(&key.0) else {
                 continue;
             };
-            let Some(verb) = direct_verb(job, key.1, attempt, takes_starts) else {
+            let Some(kind) = direct_verb(job, key.1, attempt, takes_starts) else {
                 continue;
             };
-            content.orders.push(attempt.order(job, *key, verb));
-            if verb == CommandKind::Run {
-                attempt.delivery = StartDelivery::InFlight;
+            content.commands.push(attempt.command(job, *key, kind));
+            if kind == CommandKind::Run {
+                attempt.delivery = DeliveryStatus::InFlight;
                 content.starts.push(*key);
             } else {
                 attempt.stop_sent = Some(now);
             }
-            if content.orders.len() >= MAX_ORDERS {
+            if content.commands.len() >= MAX_COMMANDS {
                 break;
             }
         }
         // Stops go first: they make the room that the starts need.
-        content.orders.sort_by_key(|o| o.verb == CommandKind::Run);
+        content.commands.sort_by_key(|o| o.kind == CommandKind::Run);
         Some(content)
     }
 
@@ -210,20 +215,20 @@
         {
             self.commands.calls_in_flight.swap_remove(at);
         }
-        note_result(call, &result, (now - call.began).as_secs_f64());
+        log_call_result(call, &result, (now - call.began).as_secs_f64());
         let Some(machine) = self.machines.get_mut(&call.machine) else {
             return;
         };
         machine.calling = false;
         let delivery = match result {
             DirectResult::Unknown => {
-                let order = OrderInDoubt {
-                    token: call.token,
+                let command = UnconfirmedStart {
+                    fencing_token: call.fencing_token,
                     since: call.began,
                 };
-                StartDelivery::unanswered(order, machine.seen_token)
+                DeliveryStatus::unanswered(command, machine.seen_fencing_token)
             }
-            _ => StartDelivery::Settled,
+            _ => DeliveryStatus::Settled,
         };
         for key in &call.starts {
             if let Some(attempt) = machine.attempts.get_mut(key) {
@@ -236,7 +241,7 @@
         }
         if let DirectResult::Answered(report) = &result
             && call.is_answered_by(report)
-            && report.session == machine.session
+            && report.agent_epoch == machine.agent_epoch
         {
             // It hears.
             self.placement.due |= machine.suspicion.take().is_some();
@@ -244,9 +249,9 @@
         let answered = matches!(result, DirectResult::Answered(_));
         if let DirectResult::Answered(report) = result
             && report.machine == call.machine
-            && report.token <= self.fencing.newest()
+            && report.fencing_token <= self.fencing.newest()
             && !machine.lost
-            && (report.session, report.tick) > (machine.session, machine.tick)
+            && (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence)
         {
             self.take_in(&report, false, now);
             self.place_soon(now);
@@ -262,7 +267,7 @@
     }
 
     /// Keeps count of starts without an answer, and notes where they are in doubt.
-    fn note_delivery(&mut self, call: &DirectCall, delivery: StartDelivery, now: Moment) {
+    fn note_delivery(&mut self, call: &DirectCall, delivery: DeliveryStatus, now: Moment) {
         if call.starts.is_empty() {
             return;
         }
@@ -270,16 +275,17 @@
         if !delivery.may_arrive() {
             return;
         }
-        self.fencing.counters.doubts += call.starts.len() as u64;
-        self.fencing.note_doubt(&call.machine, call.token);
+        self.fencing.counters.unconfirmed_starts += call.starts.len() as u64;
+        self.fencing
+            .note_unconfirmed(&call.machine, call.fencing_token);
         // A higher token is written by the loop that writes records.
         self.writes_due = true;
         for (_, task, attempt) in &call.starts {
             log::debug!(
                 "start in doubt: machine={} session={} token={} task={task} attempt={attempt} waited_s={:.3}",
                 call.machine,
-                call.session,
-                call.token,
+                call.agent_epoch,
+                call.fencing_token,
                 (now - call.began).as_secs_f64()
             );
         }
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -97,10 +97,16 @@
         };
         let (term, valid_until) = (lead.term, lead.valid_until);
         match scheduler.heartbeat(&report, now) {
-            HeartbeatReply::Commands { token, orders } => {
+            HeartbeatReply::Commands {
+                fencing_token,
+                commands,
+            } => {
                 self.wake(scheduler);
                 drop(state);
-                let body = encode(&HeartbeatReplyBody { token, orders });
+                let body = encode(&HeartbeatReplyBody {
+                    fencing_token,
+                    commands,
+                });
                 Response {
                     valid_until: Some(valid_until),
                     ..Response::new(200, body)
@@ -120,7 +126,7 @@
         if let Some(links) = &self.links
             && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
-            links.refused_worker(&sender.host, now);
+            links.refused_worker(&sender.machine, now);
         }
     }
 
@@ -128,13 +134,13 @@
     /// touch would send workers in circles.
     fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
         let vouched = self.now() - state.leader_seen < VOUCHED;
-        let foreman = state
+        let leader = state
             .known_leader
             .as_ref()
             .filter(|_| vouched)
             .map(|l| l.node.clone())
             .filter(|n| *n != self.settings.node);
-        Response::new(421, encode(&NotLeaderReply { foreman }))
+        Response::new(421, encode(&NotLeaderReply { leader }))
     }
 
     /// Wakes the threads that have something to do after a decision.
@@ -194,9 +200,9 @@
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
         let body = encode(&DirectCommands {
-            token: call.token,
-            session: call.session,
-            orders: &call.orders,
+            fencing_token: call.fencing_token,
+            agent_epoch: call.agent_epoch,
+            commands: &call.commands,
         });
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -19,9 +19,9 @@
         let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
-        let new_session = report.session > machine.session && machine.session > 0;
+        let new_session = report.agent_epoch > machine.agent_epoch && machine.agent_epoch > 0;
         if new_session {
-            self.end_session(&report.machine);
+            self.end_epoch(&report.machine);
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
@@ -30,8 +30,8 @@
             // It may have been away. It may also hear nothing of what is answered.
             machine.note_loss(now);
         }
-        machine.session = report.session;
-        machine.tick = report.tick;
+        machine.agent_epoch = report.agent_epoch;
+        machine.sequence = report.sequence;
         machine.lost = false;
         if machine.last_report.is_none() {
             machine.known_since = now;
@@ -42,10 +42,12 @@
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
         machine.total = self.provisioning.room_of(&report.type_name);
-        machine.recalled = report.recall.is_some();
-        machine.recall_at = report.recall.map(|s| now + Micros::from_secs_f64(s.0));
-        machine.seen_token = machine.seen_token.max(report.token);
-        if !machine.reconciled && report.token >= self.term {
+        machine.has_preemption_notice = report.preemption_notice_s.is_some();
+        machine.preempted_at = report
+            .preemption_notice_s
+            .map(|s| now + Micros::from_secs_f64(s.0));
+        machine.seen_fencing_token = machine.seen_fencing_token.max(report.fencing_token);
+        if !machine.reconciled && report.fencing_token >= self.term {
             machine.reconciled = true;
             log::debug!("machine {} counted in", machine.name);
             self.placement.due = true;
@@ -61,7 +63,7 @@
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let Some(recall_at) = machine.recall_at else {
+        let Some(preempted_at) = machine.preempted_at else {
             return;
         };
         let doomed: Vec<AttemptKey> = machine
@@ -74,7 +76,7 @@
                     .table
                     .get(&k.0)
                     .map_or(Micros::ZERO, |j| self.expected_run(j));
-                a.running_since.unwrap_or(now) + run > recall_at
+                a.running_since.unwrap_or(now) + run > preempted_at
             })
             .map(|(k, _)| *k)
             .collect();
@@ -96,7 +98,7 @@
                 None => {
                     self.check_orphan(&report.machine, task, now);
                     orphans.push(Orphan {
-                        piece: task.piece.clone(),
+                        task_id: task.task_id.clone(),
                         attempt: task.attempt,
                         exited: task.status == TaskStatus::Exited,
                     });
@@ -144,7 +146,7 @@
         if task.status == TaskStatus::Exited && before != Some(TaskStatus::Exited) {
             let exit = Exit {
                 key,
-                cause: task.cause.unwrap_or(ExitReason::Other),
+                exit_reason: task.exit_reason.unwrap_or(ExitReason::Other),
                 at: now,
             };
             let effect = settle_exit(&exit, job, machine, &mut attempt);
@@ -172,7 +174,7 @@
                 Invariant::ReleasedWithoutProof,
                 format_args!(
                     "machine={machine} task={} attempt={}",
-                    task.piece, task.attempt
+                    task.task_id, task.attempt
                 ),
             );
         }
@@ -196,7 +198,7 @@
             Invariant::CancelledTaskStartedLate,
             format_args!(
                 "machine={machine} task={} attempt={}",
-                task.piece, task.attempt
+                task.task_id, task.attempt
             ),
         );
     }
@@ -225,7 +227,7 @@
         && attempt.desired == DesiredState::Run
     {
         attempt.desired = DesiredState::Stop {
-            leeway: Micros::ZERO,
+            grace_period: Micros::ZERO,
         };
     }
 }
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -14,7 +14,7 @@
 /// An attempt that a report shows as exited for the first time.
 pub(super) struct Exit {
     pub key: AttemptKey,
-    pub cause: ExitReason,
+    pub exit_reason: ExitReason,
     pub at: Moment,
 }
 
@@ -34,7 +34,7 @@
     machine: &mut Machine,
     attempt: &mut Attempt,
 ) -> ExitEffect {
-    attempt.done = exit.cause == ExitReason::Done && !job.spec.standing;
+    attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.standing;
     let since = attempt.running_since;
     let effect = if job.spec.standing {
         let lasted = since.is_some_and(|t| exit.at - t > COUNTS_AFTER);
@@ -52,7 +52,7 @@
 /// A replica's end is no outcome: it runs again elsewhere. One that ends soon after its start, on one
 /// machine after the other, waits longer and longer.
 fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
-    match exit.cause {
+    match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
         ExitReason::Done => job.note_failure(&machine.name, exit.at),
         ExitReason::Error => note_error(exit, job, machine),
@@ -66,7 +66,7 @@
     job: &mut Job,
     machine: &mut Machine,
 ) -> ExitEffect {
-    match exit.cause {
+    match exit.exit_reason {
         ExitReason::Done => {
             let is_first = job.settle(exit.key.1);
             job.failed_on.clear();
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -14,7 +14,7 @@
 //! are not answered: the session that the order names ends in time. A leader that has stopped answers
 //! nobody, and the next one begins with a higher token: both cover a change of leader at any moment.
 
-use super::StartDelivery;
+use super::DeliveryStatus;
 use crate::invariants::{self, Invariant};
 use crate::scheduler::{LEASE_MARGIN, SchedulerState};
 use crate::time::{Micros, Moment, at_least};
@@ -27,11 +27,11 @@
 
 /// How orders in doubt came about and ended, since this leader began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OrderCounters {
+pub struct CommandCounters {
     /// Direct calls with starts that were sent.
     pub calls: u64,
     /// Starts whose call got no answer.
-    pub doubts: u64,
+    pub unconfirmed_starts: u64,
     /// Doubts that ended since the worker told a higher token.
     pub ended_by_token: u64,
     /// Doubts that ended with the worker's session or its machine.
@@ -48,10 +48,10 @@
     /// The highest token on record for this leader.
     newest: u64,
     /// Machines with starts in doubt, and the highest token that one of these carries.
-    doubted: BTreeMap<String, u64>,
+    unconfirmed_machines: BTreeMap<String, u64>,
     /// No higher token is asked for before.
     not_before: Moment,
-    pub counters: OrderCounters,
+    pub counters: CommandCounters,
 }
 
 impl Fencing {
@@ -59,9 +59,9 @@
     pub fn new(term: u64) -> Fencing {
         Fencing {
             newest: term,
-            doubted: BTreeMap::new(),
+            unconfirmed_machines: BTreeMap::new(),
             not_before: Moment(0),
-            counters: OrderCounters::default(),
+            counters: CommandCounters::default(),
         }
     }
 
@@ -71,25 +71,30 @@
     }
 
     /// Machines with starts in doubt.
-    pub fn doubted(&self) -> usize {
-        self.doubted.len()
+    pub fn unconfirmed_machines(&self) -> usize {
+        self.unconfirmed_machines.len()
     }
 
-    pub(super) fn note_doubt(&mut self, machine: &str, token: u64) {
-        let highest = self.doubted.entry(machine.to_string()).or_insert(token);
-        *highest = token.max(*highest);
+    pub(super) fn note_unconfirmed(&mut self, machine: &str, fencing_token: u64) {
+        let highest = self
+            .unconfirmed_machines
+            .entry(machine.to_string())
+            .or_insert(fencing_token);
+        *highest = fencing_token.max(*highest);
     }
 
     pub(super) fn forget(&mut self, machine: &str) {
-        self.doubted.remove(machine);
+        self.unconfirmed_machines.remove(machine);
     }
 }
 
 impl SchedulerState {
     /// The token that goes with answers and orders to this machine.
-    pub fn token_for(&self, machine: &str) -> u64 {
+    pub fn fencing_token_for(&self, machine: &str) -> u64 {
         let own = self.machines.get(machine);
-        own.map_or(self.term, |m| self.term.max(m.token).max(m.seen_token))
+        own.map_or(self.term, |m| {
+            self.term.max(m.fencing_token).max(m.seen_fencing_token)
+        })
     }
 
     /// Gives the newest token to machines whose starts in doubt it fences off. True if some need a higher
@@ -97,11 +102,11 @@
     pub fn fence_doubted(&mut self) -> bool {
         let newest = self.fencing.newest;
         let mut needs_higher = false;
-        for (name, in_doubt) in &self.fencing.doubted {
-            if newest <= *in_doubt {
+        for (name, unconfirmed) in &self.fencing.unconfirmed_machines {
+            if newest <= *unconfirmed {
                 needs_higher = true;
             } else if let Some(machine) = self.machines.get_mut(name) {
-                machine.token = newest;
+                machine.fencing_token = newest;
             }
         }
         needs_higher
@@ -113,20 +118,20 @@
     }
 
     /// A higher token is on record for this leader alone.
-    pub fn token_raised(&mut self, token: u64, now: Moment) {
-        self.fencing.newest = self.fencing.newest.max(token);
+    pub fn fencing_token_raised(&mut self, fencing_token: u64, now: Moment) {
+        self.fencing.newest = self.fencing.newest.max(fencing_token);
         self.fencing.not_before = now + RAISE_PAUSE;
         self.fencing.counters.raises += 1;
         self.fence_doubted();
         log::debug!(
-            "token raised: term={} token={token} machines_in_doubt={}",
+            "token raised: term={} token={fencing_token} machines_in_doubt={}",
             self.term,
-            self.fencing.doubted()
+            self.fencing.unconfirmed_machines()
         );
     }
 
     /// A raise was refused or got no answer: it is tried again.
-    pub fn token_not_raised(&mut self, now: Moment) {
+    pub fn fencing_token_not_raised(&mut self, now: Moment) {
         self.fencing.not_before = now + RETRY_PAUSE;
     }
 
@@ -135,23 +140,23 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let seen = machine.seen_token;
+        let seen = machine.seen_fencing_token;
         let mut left = false;
         for (key, attempt) in &mut machine.attempts {
-            let Some(order) = attempt.delivery.in_doubt() else {
+            let Some(command) = attempt.delivery.unconfirmed() else {
                 continue;
             };
             if !attempt.delivery.settled_by(seen) {
                 left = true;
                 continue;
             }
-            attempt.delivery = StartDelivery::Settled;
+            attempt.delivery = DeliveryStatus::Settled;
             self.fencing.counters.ended_by_token += 1;
             log::debug!(
                 "doubt over: machine={name} attempt={} token={} seen_token={seen} age_s={:.3}",
                 key.2,
-                order.token,
-                (now - order.since).as_secs_f64()
+                command.fencing_token,
+                (now - command.since).as_secs_f64()
             );
         }
         if !left {
@@ -162,10 +167,10 @@
     /// True if this machine must not be answered, so that its session ends before a cancelled job's start
     /// in doubt could be executed too late.
     pub(super) fn must_withhold(&mut self, name: &str, now: Moment) -> bool {
-        let Some(in_doubt) = self.fencing.doubted.get(name) else {
+        let Some(unconfirmed) = self.fencing.unconfirmed_machines.get(name) else {
             return false;
         };
-        if self.token_for(name) > *in_doubt {
+        if self.fencing_token_for(name) > *unconfirmed {
             // Any answer that the worker takes fences the order off.
             return false;
         }
@@ -190,12 +195,12 @@
         let Some(machine) = self.machines.get(name) else {
             return false;
         };
-        let mut in_doubt = machine
+        let mut unconfirmed = machine
             .attempts
             .iter()
-            .filter(|(_, attempt)| attempt.delivery.in_doubt().is_some())
+            .filter(|(_, attempt)| attempt.delivery.unconfirmed().is_some())
             .filter(|(_, attempt)| attempt.status.is_none());
-        in_doubt.any(|(key, _)| {
+        unconfirmed.any(|(key, _)| {
             let job = self.jobs.table.get(&key.0);
             let asked = job.and_then(|job| job.cancel_asked_at);
             asked.is_some_and(|at| now - at >= span)
@@ -205,9 +210,9 @@
     /// No start of a cancelled job may be executable once the time for its cancellation is over.
     pub(crate) fn check_revocations(&mut self, now: Moment) {
         let longest = self.config.cancel;
-        let names = self.fencing.doubted.iter();
+        let names = self.fencing.unconfirmed_machines.iter();
         let answered: Vec<&String> = names
-            .filter(|(name, token)| self.token_for(name) <= **token)
+            .filter(|(name, fencing_token)| self.fencing_token_for(name) <= **fencing_token)
             .map(|(name, _)| name)
             .collect();
         for name in answered {
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,6 +1,6 @@
 //! What is known of one machine and of the attempts on it.
 
-use super::delivery::StartDelivery;
+use super::delivery::DeliveryStatus;
 use super::wire::{CommandKind, TaskStatus, WorkerCommand};
 use crate::jobs::{Job, JobId};
 use crate::placement::Resources;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DesiredState {
     Run,
-    Stop { leeway: Micros },
+    Stop { grace_period: Micros },
 }
 
 /// One attempt of a task on one machine, in one session.
@@ -22,7 +22,7 @@
     pub status: Option<TaskStatus>,
     /// The (session, tick) of the report in whose answer the start went out last.
     pub sent: Option<(u64, u64)>,
-    pub delivery: StartDelivery,
+    pub delivery: DeliveryStatus,
     pub stop_sent: Option<Moment>,
     pub placed_at: Moment,
     pub running_since: Option<Moment>,
@@ -39,7 +39,7 @@
             desired: DesiredState::Run,
             status: None,
             sent: None,
-            delivery: StartDelivery::Settled,
+            delivery: DeliveryStatus::Settled,
             stop_sent: None,
             placed_at: now,
             running_since: None,
@@ -55,16 +55,16 @@
     }
 
     /// The order with this verb for it.
-    pub(super) fn order(&self, job: &Job, key: AttemptKey, verb: CommandKind) -> WorkerCommand {
-        let leeway = match self.desired {
-            DesiredState::Stop { leeway } if verb == CommandKind::Stop => Some(leeway),
+    pub(super) fn command(&self, job: &Job, key: AttemptKey, kind: CommandKind) -> WorkerCommand {
+        let grace_period = match self.desired {
+            DesiredState::Stop { grace_period } if kind == CommandKind::Stop => Some(grace_period),
             _ => None,
         };
         WorkerCommand {
-            verb,
-            piece: format!("{}/{}", job.spec.id, key.1),
+            kind,
+            task_id: format!("{}/{}", job.spec.id, key.1),
             attempt: key.2,
-            leeway_s: leeway.map(Micros::as_secs_f64),
+            grace_period_s: grace_period.map(Micros::as_secs_f64),
         }
     }
 
@@ -79,7 +79,7 @@
 /// An attempt of a job that has no record any more: its job is over.
 #[derive(Clone, Debug)]
 pub struct Orphan {
-    pub piece: String,
+    pub task_id: String,
     pub attempt: u64,
     pub exited: bool,
 }
@@ -146,12 +146,12 @@
     pub zone: String,
     pub spot: bool,
     pub total: Resources,
-    pub session: u64,
-    pub tick: u64,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     /// The token that it is answered with, if it is above the term.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The highest token that a report of it told.
-    pub seen_token: u64,
+    pub seen_fencing_token: u64,
     /// A report carried the current token: no older leader's order can land here any more.
     pub reconciled: bool,
     /// Its lease ran out without a report: nothing is on it.
@@ -160,11 +160,11 @@
     /// on it, though it may not be counted in. A larger session in a report doesn't prove that: the
     /// smaller one may be known from a late copy only, and orders of the last leader for the larger
     /// one may be on their way.
-    pub session_over: bool,
+    pub epoch_over: bool,
     /// It is on the roster in the state service: tasks may start here.
     pub recorded: bool,
     /// The newest heartbeat taken: whatever is no newer is a copy.
-    pub checked: (u64, u64),
+    pub newest_heartbeat: (u64, u64),
     /// Set while it is suspected not to hear answers and orders.
     pub suspicion: Option<Suspicion>,
     /// The lease can't have been renewed by anyone after this.
@@ -176,9 +176,9 @@
     /// Time between its last two heartbeats. A worker that gets no answer tries another controller
     /// first, and comes back later than it would have.
     pub heartbeat_gap: Micros,
-    pub recalled: bool,
+    pub has_preemption_notice: bool,
     /// When the cloud takes it away, as last told.
-    pub recall_at: Option<Moment>,
+    pub preempted_at: Option<Moment>,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
     pub orphans: Vec<Orphan>,
     pub images: BTreeMap<String, Image>,
@@ -215,22 +215,22 @@
             zone: zone.to_string(),
             spot,
             total,
-            session: 0,
-            tick: 0,
-            token: 0,
-            seen_token: 0,
+            agent_epoch: 0,
+            sequence: 0,
+            fencing_token: 0,
+            seen_fencing_token: 0,
             reconciled: false,
             lost: false,
-            session_over: false,
+            epoch_over: false,
             recorded: false,
-            checked: (0, 0),
+            newest_heartbeat: (0, 0),
             suspicion: None,
             lease_from: now,
             last_report: None,
             last_heartbeat: None,
             heartbeat_gap: Micros::ZERO,
-            recalled: false,
-            recall_at: None,
+            has_preemption_notice: false,
+            preempted_at: None,
             attempts: BTreeMap::new(),
             orphans: Vec::new(),
             images: BTreeMap::new(),
@@ -250,7 +250,7 @@
     /// True if it checked in lately, in the session that it was last seen in.
     pub fn is_alive(&self, report: Micros, now: Moment) -> bool {
         let fresh = |t: Moment| now - t < report.scaled(2.0);
-        self.last_heartbeat.is_some_and(fresh) && self.checked.0 == self.session
+        self.last_heartbeat.is_some_and(fresh) && self.newest_heartbeat.0 == self.agent_epoch
     }
 
     pub fn busy(&self) -> bool {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,7 +2,9 @@
 //! between what is wanted of a machine and what it reports.
 
 mod absence;
+mod command_log;
 mod command_queue;
+mod commands;
 pub mod delivery;
 pub mod direct;
 pub mod edge;
@@ -10,18 +12,16 @@
 mod exits;
 pub mod fencing;
 mod machine;
-mod order_log;
-mod orders;
 mod sessions;
 pub mod wire;
 
 pub use command_queue::CommandQueue;
-pub use delivery::StartDelivery;
+pub use delivery::DeliveryStatus;
 pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Suspicion};
 
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
-use order_log::{OrderPath, Recipient, note_orders};
+use command_log::{CommandPath, Recipient, log_commands};
 use wire::{Heartbeat, WorkerCommand};
 
 /// What a heartbeat is answered with.
@@ -29,8 +29,8 @@
 pub enum HeartbeatReply {
     /// 200 with these orders, under this token.
     Commands {
-        token: u64,
-        orders: Vec<WorkerCommand>,
+        fencing_token: u64,
+        commands: Vec<WorkerCommand>,
     },
     /// It must not be answered, so that its session ends.
     Withheld,
@@ -43,7 +43,7 @@
 impl SchedulerState {
     /// Takes in a report and answers with what the machine is to do.
     pub fn heartbeat(&mut self, report: &Heartbeat, now: Moment) -> HeartbeatReply {
-        if report.token > self.fencing.newest() {
+        if report.fencing_token > self.fencing.newest() {
             return HeartbeatReply::Deposed;
         }
         if self.provisioning.is_gone(&report.machine) {
@@ -74,21 +74,23 @@
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return HeartbeatReply::Stale;
         };
-        if report.session < machine.session || (machine.lost && report.session <= machine.session) {
+        if report.agent_epoch < machine.agent_epoch
+            || (machine.lost && report.agent_epoch <= machine.agent_epoch)
+        {
             // After an expired lease the session is over, whatever a late report says.
             return HeartbeatReply::Stale;
         }
-        let seen = (report.session, report.tick);
-        if seen <= machine.checked {
+        let seen = (report.agent_epoch, report.sequence);
+        if seen <= machine.newest_heartbeat {
             // A copy: it renews nothing, and doesn't prove that its sender is alive.
             return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
         self.placement.due |= !machine.is_alive(self.config.report, now);
-        machine.checked = seen;
+        machine.newest_heartbeat = seen;
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
-        if (report.session, report.tick) > (machine.session, machine.tick) {
+        if (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence) {
             self.take_in(report, true, now);
         }
         // Else the answer of a direct call overtook this report, whose task list is older than
@@ -102,14 +104,17 @@
         self.review_suspicion(&report.machine, now);
         self.release_prior_term(now);
         self.place_soon(now);
-        let token = self.token_for(&report.machine);
-        let orders = self.orders(&report.machine, now);
+        let fencing_token = self.fencing_token_for(&report.machine);
+        let commands = self.commands(&report.machine, now);
         let to = Recipient {
             machine: &report.machine,
-            session: report.session,
-            token,
+            agent_epoch: report.agent_epoch,
+            fencing_token,
         };
-        note_orders(OrderPath::HeartbeatAnswer, &to, &orders);
-        HeartbeatReply::Commands { token, orders }
+        log_commands(CommandPath::HeartbeatAnswer, &to, &commands);
+        HeartbeatReply::Commands {
+            fencing_token,
+            commands,
+        }
     }
 }
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -22,7 +22,7 @@
     }
 
     /// Everything the machine had in its session is gone.
-    pub fn end_session(&mut self, name: &str) {
+    pub fn end_epoch(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -30,7 +30,7 @@
         machine.orphans.clear();
         self.fencing.forget(name);
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
-            if attempt.delivery.in_doubt().is_some() {
+            if attempt.delivery.unconfirmed().is_some() {
                 self.fencing.counters.ended_by_session += 1;
             }
             if attempt.holds()
@@ -55,14 +55,14 @@
             if let Some(machine) = self.machines.get_mut(&name) {
                 log::info!(
                     "session over: machine={name} session={} reason=lease renewed_s_ago={:.3}",
-                    machine.session,
+                    machine.agent_epoch,
                     (now - machine.lease_from).as_secs_f64()
                 );
                 machine.lost = true;
-                machine.session_over = true;
+                machine.epoch_over = true;
                 machine.idle_since = None;
             }
-            self.end_session(&name);
+            self.end_epoch(&name);
         }
         self.release_prior_term(now);
     }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -16,12 +16,13 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
-    pub tick: u64,
+    pub agent_epoch: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recallS", default)]
-    pub recall: Option<Decimal>,
+    pub preemption_notice_s: Option<Decimal>,
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<ReportedTask>,
 }
@@ -29,25 +30,27 @@
 /// Of a report, only whose it is.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HeartbeatSender {
-    pub host: String,
+    #[serde(rename = "host")]
+    pub machine: String,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReportedTask {
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskStatus,
-    #[serde(default)]
-    pub cause: Option<ExitReason>,
-    #[serde(default)]
-    pub stored: Option<bool>,
+    #[serde(rename = "cause", default)]
+    pub exit_reason: Option<ExitReason>,
+    #[serde(rename = "stored", default)]
+    pub checkpointed: Option<bool>,
 }
 
 impl ReportedTask {
     /// Job and task number.
     pub fn parts(&self) -> Option<(&str, u32)> {
-        let (id, number) = self.piece.rsplit_once('/')?;
+        let (id, number) = self.task_id.rsplit_once('/')?;
         Some((id, number.parse().ok()?))
     }
 }
@@ -87,12 +90,14 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommand {
-    pub verb: CommandKind,
-    pub piece: String,
+    #[serde(rename = "verb")]
+    pub kind: CommandKind,
+    #[serde(rename = "piece")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     #[serde(rename = "leewayS", default, skip_serializing_if = "Option::is_none")]
-    pub leeway_s: Option<f64>,
+    pub grace_period_s: Option<f64>,
 }
 
 impl Eq for WorkerCommand {}
@@ -100,21 +105,23 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatReplyBody {
     #[serde(rename = "baton")]
-    pub token: u64,
-    pub orders: Vec<WorkerCommand>,
+    pub fencing_token: u64,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Serialize)]
 pub struct NotLeaderReply {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub foreman: Option<String>,
+    #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
+    pub leader: Option<String>,
 }
 
 #[derive(Debug, Serialize)]
 pub struct DirectCommands<'a> {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "shift")]
-    pub session: u64,
-    pub orders: &'a [WorkerCommand],
+    pub agent_epoch: u64,
+    #[serde(rename = "orders")]
+    pub commands: &'a [WorkerCommand],
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -69,8 +69,8 @@
 /// `run-1/0#5 running`: a task as a worker reports it.
 fn task_report(text: &str) -> ReportedTask {
     let mut words = text.split(' ');
-    let (piece, attempt) = words.next().unwrap().split_once('#').unwrap();
-    let (status, cause) = match words.next().unwrap() {
+    let (task_id, attempt) = words.next().unwrap().split_once('#').unwrap();
+    let (status, exit_reason) = match words.next().unwrap() {
         "fetching" => (TaskStatus::Fetching, None),
         "running" => (TaskStatus::Running, None),
         "flushing" => (TaskStatus::Flushing, None),
@@ -82,22 +82,22 @@
     let (term, counter) = attempt.split_once('.').unwrap();
     let attempt = (term.parse::<u64>().unwrap() << 32) | counter.parse::<u64>().unwrap();
     ReportedTask {
-        piece: piece.into(),
+        task_id: task_id.into(),
         attempt,
         status,
-        cause,
-        stored: None,
+        exit_reason,
+        checkpointed: None,
     }
 }
 
-fn show(order: &WorkerCommand) -> String {
-    let verb = match order.verb {
+fn show(command: &WorkerCommand) -> String {
+    let kind = match command.kind {
         CommandKind::Run => "run",
         CommandKind::Stop => "stop",
         CommandKind::Clear => "clear",
     };
-    let (term, counter) = (order.attempt >> 32, order.attempt & 0xffff_ffff);
-    format!("{verb} {}#{term}.{counter}", order.piece)
+    let (term, counter) = (command.attempt >> 32, command.attempt & 0xffff_ffff);
+    format!("{kind} {}#{term}.{counter}", command.task_id)
 }
 
 impl World {
@@ -176,9 +176,15 @@
         self
     }
 
-    pub fn report(&mut self, machine: &str, token: u64, session: u64, tasks: &[&str]) -> Heartbeat {
-        let tick = self.ticks.entry(machine.to_string()).or_insert(0);
-        *tick += 1;
+    pub fn report(
+        &mut self,
+        machine: &str,
+        fencing_token: u64,
+        agent_epoch: u64,
+        tasks: &[&str],
+    ) -> Heartbeat {
+        let sequence = self.ticks.entry(machine.to_string()).or_insert(0);
+        *sequence += 1;
         // Names tell type and zone: `small-east-1`.
         let parts: Vec<&str> = machine.split('-').collect();
         Heartbeat {
@@ -187,17 +193,17 @@
             type_name: parts[0].into(),
             zone: parts[1].into(),
             spot: true,
-            session,
-            tick: *tick,
-            token,
-            recall: None,
+            agent_epoch,
+            sequence: *sequence,
+            fencing_token,
+            preemption_notice_s: None,
             tasks: tasks.iter().map(|t| task_report(t)).collect(),
         }
     }
 
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
-        let token = self.token_of(machine);
-        let report = self.report(machine, token, 1, tasks);
+        let fencing_token = self.token_of(machine);
+        let report = self.report(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
@@ -218,23 +224,26 @@
         self.scheduler.place(self.now);
         self.record_fleet();
         let answer = self.scheduler.heartbeat(report, self.now);
-        let token = match answer {
-            HeartbeatReply::Commands { token, .. } => Some(token),
+        let fencing_token = match answer {
+            HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token),
             _ => None,
         };
-        if let Some(token) = token {
-            self.told.insert(report.machine.clone(), token);
+        if let Some(fencing_token) = fencing_token {
+            self.told.insert(report.machine.clone(), fencing_token);
         }
         let text = match answer {
-            HeartbeatReply::Commands { token, orders } => {
-                let orders: Vec<String> = orders.iter().map(show).collect();
-                let text = match orders.is_empty() {
+            HeartbeatReply::Commands {
+                fencing_token,
+                commands,
+            } => {
+                let commands: Vec<String> = commands.iter().map(show).collect();
+                let text = match commands.is_empty() {
                     true => "nothing to do".to_string(),
-                    false => orders.join(", "),
+                    false => commands.join(", "),
                 };
-                match token == self.scheduler.term {
+                match fencing_token == self.scheduler.term {
                     true => text,
-                    false => format!("{text} (token {token})"),
+                    false => format!("{text} (token {fencing_token})"),
                 }
             }
             other => format!("{other:?}"),
@@ -244,16 +253,16 @@
             .iter()
             .map(|t| {
                 let (term, n) = (t.attempt >> 32, t.attempt & 0xffff_ffff);
-                let end = t.cause.map(|c| format!(" {c:?}")).unwrap_or_default();
-                format!("{}#{term}.{n} {:?}{end}", t.piece, t.status)
+                let end = t.exit_reason.map(|c| format!(" {c:?}")).unwrap_or_default();
+                format!("{}#{term}.{n} {:?}{end}", t.task_id, t.status)
             })
             .collect();
         self.note(&format!(
             "{} (session {}, tick {}, token {}) reports [{}] -> {text}",
             report.machine,
-            report.session,
-            report.tick,
-            report.token,
+            report.agent_epoch,
+            report.sequence,
+            report.fencing_token,
             tasks.join(", ")
         ));
         // What passes too close to the last one left undone is done by the next tick.
@@ -261,21 +270,21 @@
             self.scheduler.place(self.now);
         }
         self.record_fleet();
-        token
+        fencing_token
     }
 
     /// Puts a higher token on record, if one is wanted.
-    fn raise_token(&mut self) {
+    fn raise_fencing_token(&mut self) {
         if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
-            let token = self.scheduler.fencing.newest() + 1;
-            self.scheduler.token_raised(token, self.now);
-            self.note(&format!("token {token} is on record"));
+            let fencing_token = self.scheduler.fencing.newest() + 1;
+            self.scheduler.fencing_token_raised(fencing_token, self.now);
+            self.note(&format!("token {fencing_token} is on record"));
         }
     }
 
     /// Writes what starts wait for.
     pub fn record_fleet(&mut self) {
-        self.raise_token();
+        self.raise_fencing_token();
         let mut writes = self.scheduler.pending_watermark_writes();
         writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
@@ -297,9 +306,9 @@
         self
     }
 
-    pub fn tick(&mut self, seconds: f64) -> &mut Self {
+    pub fn on_timer(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
-        self.scheduler.tick(self.now);
+        self.scheduler.on_timer(self.now);
         self.record_fleet();
         self
     }
@@ -310,7 +319,7 @@
             self.note("no direct call");
             return self;
         };
-        let orders: Vec<String> = call.orders.iter().map(show).collect();
+        let commands: Vec<String> = call.commands.iter().map(show).collect();
         let result = result(self);
         let end = match &result {
             DirectResult::Answered(_) => "answered",
@@ -321,7 +330,7 @@
         self.note(&format!(
             "direct to {}: {} -> {end}",
             call.machine,
-            orders.join(", ")
+            commands.join(", ")
         ));
         self.scheduler.direct_done(&call, result, self.now);
         self
@@ -456,9 +465,9 @@
         let (over, tasks): (Vec<_>, Vec<_>) = worker.tasks.drain(..).partition(|t| t.2 <= seconds);
         worker.tasks = tasks;
         worker.over.extend(over.into_iter().map(|t| (t.0, t.1)));
-        let show = |piece: &str, attempt: u64, status: &str| {
+        let show = |task_id: &str, attempt: u64, status: &str| {
             task_report(&format!(
-                "{piece}#{}.{} {status}",
+                "{task_id}#{}.{} {status}",
                 attempt >> 32,
                 attempt & 0xffff_ffff
             ))
@@ -469,19 +478,19 @@
         report.tasks = running.chain(done).collect();
         let answer = self.scheduler.heartbeat(&report, self.now);
         self.record_fleet();
-        let HeartbeatReply::Commands { orders, .. } = answer else {
+        let HeartbeatReply::Commands { commands, .. } = answer else {
             panic!("{answer:?}");
         };
-        for order in orders {
-            match order.verb {
+        for command in commands {
+            match command.kind {
                 CommandKind::Run => {
-                    let job = order.piece.split('/').next().unwrap().to_string();
+                    let job = command.task_id.split('/').next().unwrap().to_string();
                     let ends = seconds + run(&job);
                     begun.entry(job).or_insert(seconds);
-                    worker.tasks.push((order.piece, order.attempt, ends));
+                    worker.tasks.push((command.task_id, command.attempt, ends));
                 }
-                CommandKind::Stop => worker.tasks.retain(|t| t.1 != order.attempt),
-                CommandKind::Clear => worker.over.retain(|t| t.1 != order.attempt),
+                CommandKind::Stop => worker.tasks.retain(|t| t.1 != command.attempt),
+                CommandKind::Clear => worker.over.retain(|t| t.1 != command.attempt),
             }
         }
         let mut writes = self.scheduler.pending_final_writes(12);
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -89,9 +89,12 @@
         }
     });
     for end in ends {
-        assert!(end.orders.doubts > 10 && end.cancelled > 30, "{end:?}");
-        assert!(end.orders.raises <= 3, "{end:?}");
-        let for_doubt = (end.orders.withheld, end.orders.ended_by_session);
+        assert!(
+            end.commands.unconfirmed_starts > 10 && end.cancelled > 30,
+            "{end:?}"
+        );
+        assert!(end.commands.raises <= 3, "{end:?}");
+        let for_doubt = (end.commands.withheld, end.commands.ended_by_session);
         assert_eq!(for_doubt, (0, 0), "{end:?}");
     }
 }
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -116,7 +116,7 @@
                     lock(&unreached).extend(on.iter().cloned());
                 }
                 match kind {
-                    0 => w.recall(&on, span),
+                    0 => w.give_preemption_notice(&on, span),
                     1 => w.hang(&on, span),
                     2 => w.cut(&on, span, false),
                     3 => w.cut(&on, span, true),
@@ -178,7 +178,7 @@
         w.at(45.0 + rng.f64() * 4.0, |w| w.crash(w.leader_or_any(), 0.5));
         w.at(60.0 + rng.f64() * 4.0, |w| {
             let some = share(w.machines_up(), 3);
-            w.recall(&some, 6.0);
+            w.give_preemption_notice(&some, 6.0);
         });
         w.at(62.0 + rng.f64() * 6.0, |w| w.crash(w.leader_or_any(), 3.0));
     });
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -28,7 +28,7 @@
 const FETCH_MS: u64 = 4_000;
 
 struct Task {
-    piece: String,
+    task_id: String,
     attempt: u64,
     runs_at: u64,
     ends_at: u64,
@@ -38,7 +38,7 @@
 struct Worker {
     name: String,
     up_at: u64,
-    tick: u64,
+    sequence: u64,
     next_report: u64,
     images: Vec<String>,
     tasks: Vec<Task>,
@@ -173,17 +173,17 @@
     fn report(&mut self, name: &str) -> Vec<u8> {
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
-        w.tick += 1;
+        w.sequence += 1;
         let tasks = w.tasks.iter().map(|t| ReportedTask {
-            piece: t.piece.clone(),
+            task_id: t.task_id.clone(),
             attempt: t.attempt,
             status: match t {
                 t if t.over => TaskStatus::Exited,
                 t if t.runs_at <= now => TaskStatus::Running,
                 _ => TaskStatus::Fetching,
             },
-            cause: t.over.then_some(ExitReason::Done),
-            stored: None,
+            exit_reason: t.over.then_some(ExitReason::Done),
+            checkpointed: None,
         });
         encode(&Heartbeat {
             machine: name.into(),
@@ -191,37 +191,39 @@
             type_name: "t64".into(),
             zone: "a".into(),
             spot: true,
-            session: 1,
-            tick: w.tick,
-            token: TERM,
-            recall: None,
+            agent_epoch: 1,
+            sequence: w.sequence,
+            fencing_token: TERM,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         })
     }
 
-    fn execute(&mut self, name: &str, orders: &[WorkerCommand]) {
+    fn execute(&mut self, name: &str, commands: &[WorkerCommand]) {
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
-        for order in orders {
+        for command in commands {
             let at = w
                 .tasks
                 .iter()
-                .position(|t| (&t.piece, t.attempt) == (&order.piece, order.attempt));
-            match (order.verb, at) {
+                .position(|t| (&t.task_id, t.attempt) == (&command.task_id, command.attempt));
+            match (command.kind, at) {
                 (CommandKind::Run, None) => {
-                    let work = &self.work[order.piece.split('/').next().unwrap()];
-                    let other = self.running.insert(order.piece.clone(), name.to_string());
-                    assert_eq!(other, None, "{} starts on {name} as well", order.piece);
+                    let work = &self.work[command.task_id.split('/').next().unwrap()];
+                    let other = self
+                        .running
+                        .insert(command.task_id.clone(), name.to_string());
+                    assert_eq!(other, None, "{} starts on {name} as well", command.task_id);
                     w.free -= work.cpus;
-                    assert!(w.free >= 0.0, "{name} has no room for {}", order.piece);
+                    assert!(w.free >= 0.0, "{name} has no room for {}", command.task_id);
                     let mut runs_at = now;
                     if !w.images.contains(&work.image) {
                         w.images.push(work.image.clone());
                         runs_at += FETCH_MS;
                     }
                     w.tasks.push(Task {
-                        piece: order.piece.clone(),
-                        attempt: order.attempt,
+                        task_id: command.task_id.clone(),
+                        attempt: command.attempt,
                         runs_at,
                         ends_at: runs_at + work.run_ms,
                         over: false,
@@ -231,8 +233,8 @@
                 (CommandKind::Stop | CommandKind::Clear, Some(at)) => {
                     let t = w.tasks.remove(at);
                     if !t.over {
-                        w.free += self.work[t.piece.split('/').next().unwrap()].cpus;
-                        self.running.remove(&t.piece);
+                        w.free += self.work[t.task_id.split('/').next().unwrap()].cpus;
+                        self.running.remove(&t.task_id);
                     }
                 }
             }
@@ -244,9 +246,9 @@
         for w in self.workers.values_mut() {
             for t in w.tasks.iter_mut().filter(|t| !t.over && t.ends_at <= now) {
                 t.over = true;
-                let job = t.piece.split('/').next().unwrap();
+                let job = t.task_id.split('/').next().unwrap();
                 w.free += self.work[job].cpus;
-                self.running.remove(&t.piece);
+                self.running.remove(&t.task_id);
                 *self.done.entry(job.to_string()).or_insert(0) += 1;
                 // What changed is told soon.
                 w.next_report = w.next_report.min(now + 100);
@@ -265,17 +267,17 @@
             self.heartbeats += 1;
             let body = self.report(&name);
             let report: Heartbeat = decode(&body).unwrap();
-            let HeartbeatReply::Commands { orders, .. } =
+            let HeartbeatReply::Commands { commands, .. } =
                 self.scheduler.heartbeat(&report, self.now())
             else {
                 panic!("{name} is turned away");
             };
             let answer = encode(&HeartbeatReplyBody {
-                token: TERM,
-                orders,
+                fencing_token: TERM,
+                commands,
             });
             let answer: HeartbeatReplyBody = decode(&answer).unwrap();
-            self.execute(&name, &answer.orders);
+            self.execute(&name, &answer.commands);
             let pause = self.rng.u64(2_250..3_750);
             self.workers.get_mut(&name).unwrap().next_report = now + pause;
         }
@@ -285,7 +287,7 @@
         while let Some(call) = self.scheduler.next_direct(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
-            self.execute(&name, &call.orders);
+            self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
             self.scheduler
@@ -340,7 +342,7 @@
                 let worker = Worker {
                     name: name.clone(),
                     up_at,
-                    tick: 0,
+                    sequence: 0,
                     next_report: up_at,
                     images: Vec::new(),
                     tasks: Vec::new(),
@@ -394,7 +396,7 @@
         self.write(self.now_ms.is_multiple_of(2000), 6);
         if self.now_ms.is_multiple_of(250) {
             let now = self.now();
-            self.scheduler.tick(now);
+            self.scheduler.on_timer(now);
         }
         if self.now_ms.is_multiple_of(500) {
             self.provisioning();
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -88,9 +88,9 @@
     w.old_job(submission("run-1", |s| s.pieces = 1));
     for t in [1.0, 10.0, 20.0, 20.4] {
         w.at(t).heartbeat("big-east-1", &[]);
-        w.tick(t).bound();
+        w.on_timer(t).bound();
     }
-    w.tick(20.6).bound();
+    w.on_timer(20.6).bound();
     assert_snapshot!(w.log);
 }
 
@@ -108,7 +108,7 @@
     w.note(&unreconciled);
     w.at(12.0).list(&[("big-east-1", "running")]);
     w.at(15.0).list(&[("big-east-1", "running")]);
-    w.tick(15.2).bound();
+    w.on_timer(15.2).bound();
     assert_snapshot!(w.log);
 }
 
@@ -174,7 +174,7 @@
     w.at(5.0).list(&[("big-east-1", "running")]).bound();
     w.at(7.0).heartbeat("big-east-1", &[]);
     w.at(8.0).list(&[("big-east-1", "running")]);
-    w.tick(8.2).bound();
+    w.on_timer(8.2).bound();
     w.at(11.0).list(&[("big-east-1", "running")]);
     let known: Vec<&String> = w.scheduler.machines.keys().collect();
     let known = format!("known: {known:?}");
@@ -219,11 +219,11 @@
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
     let overtaken = w.report("big-east-1", 2, 1, &[]);
-    w.at(1.0).tick(1.0);
+    w.at(1.0).on_timer(1.0);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
     w.at(1.1).send(&overtaken).bound();
     w.at(2.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
-    w.tick(30.0).bound();
+    w.on_timer(30.0).bound();
     let after_lease = w.report("big-east-1", 2, 1, &["run-1/0#2.1 done"]);
     w.send(&after_lease).view("run-1");
     let next_session = w.report("big-east-1", 2, 2, &[]);
@@ -243,7 +243,7 @@
     w.heartbeat("big-east-1", &[]);
     w.heartbeat("big-east-2", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.tick(1.0).direct(|_| DirectResult::Unknown).bound();
+    w.on_timer(1.0).direct(|_| DirectResult::Unknown).bound();
     let name = w
         .scheduler
         .machines
@@ -312,7 +312,7 @@
     w.recorded("big-east-9", -1.0);
     w.old_job(submission("run-1", |s| s.pieces = 2));
     w.at(0.1).job(submission("run-2", |s| s.pieces = 3));
-    w.at(1.0).heartbeat("big-east-1", &[]).tick(1.1).bound();
+    w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.1).bound();
     let seen = w.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
     w.at(2.0).send(&seen).bound();
     assert_snapshot!(w.log);
@@ -333,7 +333,7 @@
         s.pieces = 4;
         s.same_place = true;
     }));
-    w.tick(1.0).bound();
+    w.on_timer(1.0).bound();
     assert_snapshot!(w.log);
 }
 
@@ -482,7 +482,7 @@
     w.note(&format!("to return: {due:?}"));
     for t in [5.0, 30.0, 60.0, 140.0] {
         w.at(t).heartbeat("big-east-1", &[]);
-        w.tick(t);
+        w.on_timer(t);
         let due = w.scheduler.plan_returns(at(t));
         w.note(&format!("to return: {due:?}"));
     }
@@ -502,7 +502,7 @@
     w.accepted(submission("run-3", |s| s.pieces = 1), 0);
     w.at(1.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
-        .tick(1.2)
+        .on_timer(1.2)
         .bound();
     // A claimed task that comes back is not free either: a later attempt may be unseen.
     w.at(4.0)
@@ -515,7 +515,7 @@
     ];
     w.at(7.0).heartbeat("big-east-1", &back);
     w.at(20.0).heartbeat("big-east-1", &back);
-    w.tick(20.6).bound();
+    w.on_timer(20.6).bound();
     assert_snapshot!(w.log);
 }
 
@@ -526,12 +526,12 @@
     let first = w.report("big-east-1", 2, 1, &[]);
     w.scheduler.heartbeat(&first, at(0.0));
     w.at(1.0).job(submission("run-1", |s| s.pieces = 9));
-    w.scheduler.tick(at(1.0));
+    w.scheduler.on_timer(at(1.0));
     w.bound();
     for write in w.scheduler.pending_registry_writes(false) {
         w.scheduler.written(&write, 7);
     }
-    w.scheduler.tick(at(1.01));
+    w.scheduler.on_timer(at(1.01));
     w.bound().direct(|_| unreachable!());
     let start_watermarks = w.scheduler.pending_watermark_writes();
     for write in &start_watermarks {
@@ -539,7 +539,7 @@
     }
     // The page changes while it is being written: it stays due, over its own revision.
     w.job(submission("run-2", |s| s.pieces = 1));
-    w.scheduler.tick(at(1.02));
+    w.scheduler.on_timer(at(1.02));
     w.scheduler.written(&start_watermarks[0], 8);
     for write in w.scheduler.pending_watermark_writes() {
         w.note(&format!("to be written: {:?}", write.kind));
@@ -788,7 +788,7 @@
     w.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
-    w.tick(1.0);
+    w.on_timer(1.0);
     w.direct(|_| DirectResult::Unknown).bound();
     // Its lease runs out, and each session looks healthy.
     w.at(3.0).heartbeat("big-east-1", &[]);
@@ -800,11 +800,11 @@
     w.send(&next).bound().rentals();
     w.at(36.0)
         .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 2, &[])));
-    w.tick(36.5).bound();
+    w.on_timer(36.5).bound();
     // Another one never heals.
     w.at(50.0).heartbeat("small-west-1", &[]);
-    for (t, session) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
-        let next = w.report("small-west-1", 2, session, &[]);
+    for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
+        let next = w.report("small-west-1", 2, agent_epoch, &[]);
         w.at(t).send(&next);
         w.direct(|_| DirectResult::Unknown);
     }
@@ -835,7 +835,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
-    w.at(1.0).tick(1.0);
+    w.at(1.0).on_timer(1.0);
     let idle = w.report("big-east-1", 2, 1, &[]);
     w.at(3.0).send(&idle);
     let running = w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]);
@@ -843,8 +843,8 @@
     w.at(9.0).send(&idle).bound();
     // Copies don't keep a silent machine's session alive.
     w.at(20.0).send(&running);
-    w.tick(24.4).bound();
-    w.tick(24.6).bound();
+    w.on_timer(24.4).bound();
+    w.on_timer(24.6).bound();
     w.at(40.0).send(&running).bound();
     // Its next session runs the task anew: a copy of the old one frees nothing.
     let next = w.report("big-east-1", 2, 2, &["run-1/0#2.2 running"]);
@@ -927,7 +927,7 @@
         w.scheduler.jobs.table.get_mut(&id).unwrap().settle(0);
     }
     w.job(submission("run-99", |s| s.pieces = 1));
-    w.scheduler.tick(at(1.0));
+    w.scheduler.on_timer(at(1.0));
     let mut left = 12;
     let mut writes = affordable(w.scheduler.pending_watermark_writes(), &mut left);
     writes.extend(affordable(w.scheduler.pending_final_writes(12), &mut left));
@@ -996,7 +996,7 @@
 fn a_machine_that_is_back_waits_for_its_record() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -60.0);
-    w.tick(21.0);
+    w.on_timer(21.0);
     w.record_fleet();
     w.job(submission("run-1", |s| s.pieces = 1));
     let due = |w: &World| w.scheduler.pending_registry_writes(false).len();
@@ -1028,7 +1028,7 @@
     w.scheduler.ask_cancel("run-1", w.now);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
     w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
-    w.tick(10.5).direct(|_| DirectResult::Unknown).bound();
+    w.on_timer(10.5).direct(|_| DirectResult::Unknown).bound();
     w.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(w.log);
 }
@@ -1090,7 +1090,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 2));
-    w.tick(1.0);
+    w.on_timer(1.0);
     let call = w.scheduler.next_direct(at(1.0)).unwrap();
     w.note("a direct call with its starts is under way");
     w.scheduler.ask_cancel("run-1", w.now);
@@ -1124,7 +1124,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.tick(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
     w.scheduler.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
@@ -1142,11 +1142,11 @@
 fn the_mark_of_being_full_is_never_in_doubt_for_long() {
     let mut mark = aspenreel::jobs::edge::Fullness::default();
     assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
-    mark.in_doubt = Some(true);
+    mark.unconfirmed = Some(true);
     assert_eq!(mark.next(false), Some(true));
     mark.known(true, 7);
     assert_eq!((mark.next(true), mark.next(false)), (None, Some(false)));
-    mark.in_doubt = Some(false);
+    mark.unconfirmed = Some(false);
     assert_eq!(mark.next(true), Some(false));
     mark.known(false, 0);
     assert_eq!((mark.next(false), mark.revision), (None, 0));
@@ -1164,7 +1164,7 @@
         s.pieces = 4;
         s.spread = true;
     }));
-    w.tick(1.0).bound();
+    w.on_timer(1.0).bound();
     w.list(&[("big-east-1", "running"), ("big-east-2", "running")]);
     w.rentals();
     assert_snapshot!(w.log);
@@ -1218,10 +1218,10 @@
     w.accepted(submission("run-2", standing), 0);
     w.accepted(submission("run-3", standing), 0);
     w.accepted(submission("run-4", |s| s.pieces = 1), 0);
-    w.at(1.0).heartbeat("big-east-1", &[]).tick(1.2).bound();
+    w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.2).bound();
     let back = ["run-3/0#5.1 running", "run-4/0#5.2 running"];
     w.at(20.0).heartbeat("big-east-1", &back).bound();
-    w.tick(20.6).bound();
+    w.on_timer(20.6).bound();
     assert_snapshot!(w.log);
 }
 
@@ -1262,7 +1262,7 @@
             s.pieces = 1;
         }));
     }
-    w.tick(7.0).bound().rentals();
+    w.on_timer(7.0).bound().rentals();
     assert_snapshot!(w.log);
 }
 
@@ -1300,7 +1300,7 @@
         s.pieces = 1;
     }));
     w.job(submission("run-2", |s| s.pieces = 12));
-    w.tick(1.0).bound();
+    w.on_timer(1.0).bound();
     let holds = |w: &World, job: &str| -> Vec<String> {
         let id = w.scheduler.jobs.find(job).unwrap();
         let machines = w.scheduler.machines.values();
@@ -1328,7 +1328,7 @@
     // Silent since 21 s.
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
     w.scheduler.returned(&replica_on);
-    w.tick(38.0);
+    w.on_timer(38.0);
     assert_eq!(holds(&w, "run-1").len(), 1, "it runs elsewhere");
 
     // Half are silent at once: it is rather this node that is cut off.
@@ -1371,7 +1371,7 @@
         s.cpus = decimal(8.0);
         s.rank = Priority::High;
     }));
-    w.tick(3.0).bound();
+    w.on_timer(3.0).bound();
     let both = [
         (
             "small-east-1",
@@ -1407,7 +1407,7 @@
         let name = format!("big-east-{k}");
         let start = 100.0 * f64::from(k);
         w.at(start).heartbeat(&name, &[]);
-        w.tick(start + 1.0);
+        w.on_timer(start + 1.0);
         let attempt = w.scheduler.machines[&name].attempts.keys().next().copied();
         let (_, _, attempt) = attempt.expect("it is tried on the machine that is there");
         let ended = format!("run-1/0#2.{} done", attempt & 0xffff_ffff);
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -11,8 +11,8 @@
 /// A worker, as far as it decides whether a late order is executed.
 struct Worker {
     name: &'static str,
-    token: u64,
-    session: u64,
+    fencing_token: u64,
+    agent_epoch: u64,
     /// When the last answered heartbeat was sent.
     renewed: f64,
 }
@@ -20,16 +20,16 @@
 /// What a direct command carries.
 #[derive(Clone, Copy)]
 struct HeldOrder {
-    token: u64,
-    session: u64,
+    fencing_token: u64,
+    agent_epoch: u64,
 }
 
 impl Worker {
     fn new(name: &'static str) -> Worker {
         Worker {
             name,
-            token: 2,
-            session: 1,
+            fencing_token: 2,
+            agent_epoch: 1,
             renewed: 0.0,
         }
     }
@@ -37,23 +37,23 @@
     /// Sends a heartbeat that shows these tasks. True if it was answered.
     fn heartbeat(&mut self, world: &mut World, seconds: f64, tasks: &[&str]) -> bool {
         if seconds - self.renewed > LEASE_S {
-            self.session += 1;
+            self.agent_epoch += 1;
             self.renewed = seconds;
         }
         world.at(seconds);
-        let report = world.report(self.name, self.token, self.session, tasks);
+        let report = world.report(self.name, self.fencing_token, self.agent_epoch, tasks);
         let answer = world.send_to(&report);
-        if let Some(token) = answer
-            && token >= self.token
+        if let Some(fencing_token) = answer
+            && fencing_token >= self.fencing_token
         {
-            self.token = token;
+            self.fencing_token = fencing_token;
             self.renewed = seconds;
         }
         answer.is_some()
     }
 
-    fn executes(&self, order: HeldOrder) -> bool {
-        order.token >= self.token && order.session == self.session
+    fn executes(&self, command: HeldOrder) -> bool {
+        command.fencing_token >= self.fencing_token && command.agent_epoch == self.agent_epoch
     }
 }
 
@@ -71,10 +71,10 @@
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut w, 0.0, &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.tick(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
     let held = HeldOrder {
-        token: 2,
-        session: 1,
+        fencing_token: 2,
+        agent_epoch: 1,
     };
     (w, worker, held)
 }
@@ -135,7 +135,7 @@
     for second in (6..=54).step_by(4) {
         let second = f64::from(second);
         worker.heartbeat(&mut w, second, &[]);
-        w.tick(second);
+        w.on_timer(second);
         assert!(second < 2.0 + CANCEL_S || !worker.executes(held));
     }
     w.round(true);
@@ -150,14 +150,14 @@
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut w, 0.0, &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.tick(1.0);
+    w.on_timer(1.0);
     let call = w.scheduler.next_direct(w.now).unwrap();
-    assert_eq!(call.token, 2);
-    w.scheduler.token_raised(3, w.now);
-    worker.token = 3;
+    assert_eq!(call.fencing_token, 2);
+    w.scheduler.fencing_token_raised(3, w.now);
+    worker.fencing_token = 3;
     worker.heartbeat(&mut w, 2.0, &[]);
     w.scheduler.direct_done(&call, DirectResult::Unknown, w.now);
-    assert_eq!(w.scheduler.fencing.doubted(), 0);
+    assert_eq!(w.scheduler.fencing.unconfirmed_machines(), 0);
     worker.heartbeat(&mut w, 5.0, &[]);
     w.bound();
     assert_snapshot!(w.log);
@@ -178,8 +178,8 @@
         s.pieces = u64::from(MACHINES);
         s.cpus = trace_cpus();
     }));
-    w.tick(1.0);
-    while w.scheduler.fencing.doubted() < MACHINES as usize {
+    w.on_timer(1.0);
+    while w.scheduler.fencing.unconfirmed_machines() < MACHINES as usize {
         w.direct(|_| DirectResult::Unknown);
     }
     w.scheduler.ask_cancel("run-1", w.now);
@@ -192,7 +192,10 @@
         w.at(5.0).heartbeat(name, &[]);
     }
     let counters = w.scheduler.fencing.counters;
-    assert_eq!((w.scheduler.fencing.doubted(), counters.raises), (0, 1));
+    assert_eq!(
+        (w.scheduler.fencing.unconfirmed_machines(), counters.raises),
+        (0, 1)
+    );
     assert_eq!(counters.ended_by_token, u64::from(MACHINES));
     assert!(w.scheduler.machines.values().all(|m| !m.busy()));
 }
