--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -4,7 +4,7 @@
 use crate::cuts::End;
 use crate::sched::{Time, secs};
 use crate::world::{LEASE_S, REPORT_S, State, World};
-use aspenreel::http::cbor::{Decimal, decode, encode};
+use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
 use aspenreel::workers::wire::{Cause, Order, Report, TaskReport, TaskStatus, Verb};
 use serde::Deserialize;
@@ -92,7 +92,7 @@
             token: self.token,
             recall: self
                 .recall_at
-                .map(|at| Decimal(at.saturating_sub(now) as f64 / 1e6)),
+                .map(|at| Number(at.saturating_sub(now) as f64 / 1e6)),
             tasks: self
                 .tasks
                 .iter()
@@ -350,7 +350,9 @@
             path: "/checkin".into(),
             body: encode(report),
         };
-        let response = node.at_once(request).unwrap_or_else(|_| panic!("it waits"));
+        let response = node
+            .handle_without_blocking(request)
+            .unwrap_or_else(|_| panic!("it waits"));
         let late = response.valid_until.is_some_and(|t| node.os.now() >= t);
         Ok((if late { 503 } else { response.status }, response.body))
     }
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -8,7 +8,7 @@
 use aspenreel::http::client::CallError;
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
-use aspenreel::os::{HttpClient, Os, Signal};
+use aspenreel::os::{EventCount, HttpClient, Os};
 use aspenreel::time::{Moment, WallTime};
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
@@ -54,14 +54,14 @@
         self.world.sched.sleep_until(at);
     }
 
-    fn signal(&self) -> Arc<dyn Signal> {
+    fn event_count(&self) -> Arc<dyn EventCount> {
         Arc::new(SimSignal {
             world: self.world.clone(),
             state: Mutex::default(),
         })
     }
 
-    fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
+    fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         Arc::new(SimHttp {
             world: self.world.clone(),
             node: self.node,
@@ -70,7 +70,7 @@
         })
     }
 
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
         let IpAddr::V4(ip) = addr.ip() else {
             panic!("peers have IPv4 addresses");
         };
@@ -88,8 +88,8 @@
     state: Mutex<(u64, Vec<(u64, u64)>)>,
 }
 
-impl Signal for SimSignal {
-    fn ticket(&self) -> u64 {
+impl EventCount for SimSignal {
+    fn prepare_wait(&self) -> u64 {
         lock(&self.state).0
     }
 
@@ -374,7 +374,9 @@
                     path: request.path.clone(),
                     body: request.body.clone(),
                 };
-                let response = node.at_once(request).unwrap_or_else(|r| node.handle(r));
+                let response = node
+                    .handle_without_blocking(request)
+                    .unwrap_or_else(|r| node.handle(r));
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -6,7 +6,7 @@
 use crate::keys::{Answer, Keys, Watch};
 use crate::worker::{Ground, Worker, WorkerWays};
 use aspenreel::http::cbor::{decode, encode};
-use aspenreel::http::server::{Handler, Limits, Request, Response, serve};
+use aspenreel::http::server::{Handler, Request, Response, ServerLimits, serve};
 use ciborium::{Value, cbor};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -18,10 +18,10 @@
 pub fn listen(handler: Arc<dyn Handler>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let limits = Limits {
-        connections: 400,
-        threads: 100,
-        buffered: 1 << 24,
+    let limits = ServerLimits {
+        max_connections: 400,
+        max_pool_threads: 100,
+        max_buffered_bytes: 1 << 24,
     };
     std::thread::spawn(move || serve(listener, handler, Arc::default(), limits, Arc::default()));
     addr
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -525,7 +525,7 @@
             }
         }
         let mut state = self.state();
-        let violations = aspenreel::invariants::violations();
+        let violations = aspenreel::invariants::violation_count();
         if violations > 0 {
             // Counted for the whole process: whichever models run beside this one, one of them did it.
             let text =
--- a/src/cluster/views.rs
+++ b/src/cluster/views.rs
@@ -1,7 +1,7 @@
 //! What the leader tells of jobs and of its machines.
 
 use super::Cluster;
-use crate::invariants::violations;
+use crate::invariants::violation_count;
 use crate::jobs::{Deciding, JobId, JobView, Known, ViewState};
 use crate::time::Moment;
 use crate::workers::DesiredState;
@@ -56,7 +56,7 @@
             self.fencing.doubted(),
             counters.raises,
             counters.withheld,
-            violations()
+            violation_count()
         )
     }
 
--- a/src/fleet/edge.rs
+++ b/src/fleet/edge.rs
@@ -4,7 +4,7 @@
 use super::wire::{Catalog, MachineList, Names, RentRequest};
 use crate::http::cbor::{decode, encode, json_len};
 use crate::node::Node;
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::sync::Arc;
@@ -102,11 +102,11 @@
             } else if let Some(catalog) = self.fetch_catalog() {
                 self.set_catalog(&catalog);
             } else {
-                pause(&*self.os, 300, 600);
+                random_pause(&*self.os, 300, 600);
             }
         }
         loop {
-            pause(&*self.os, 240_000, 360_000);
+            random_pause(&*self.os, 240_000, 360_000);
             if let Some(catalog) = self.fetch_catalog() {
                 self.set_catalog(&catalog);
             }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,7 +1,7 @@
 //! The cloud's messages as they stand on the wire.
 
 use super::{ListStatus, MachineType};
-use crate::http::cbor::Decimal;
+use crate::http::cbor::Number;
 use crate::placement::Room;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
@@ -15,20 +15,20 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Build {
     pub label: String,
-    pub cpus: Decimal,
+    pub cpus: Number,
     #[serde(default)]
-    pub gpus: Option<Decimal>,
+    pub gpus: Option<Number>,
     #[serde(rename = "ramGb")]
-    pub ram_gb: Decimal,
+    pub ram_gb: Number,
     #[serde(rename = "cacheGb")]
-    pub cache_gb: Decimal,
+    pub cache_gb: Number,
     #[serde(rename = "fetchGbPerS")]
-    pub fetch_gb_per_s: Decimal,
-    pub rate: Decimal,
+    pub fetch_gb_per_s: Number,
+    pub rate: Number,
     #[serde(rename = "lowPrice")]
-    pub low_price: Decimal,
+    pub low_price: Number,
     #[serde(rename = "startupS")]
-    pub startup_s: Decimal,
+    pub startup_s: Number,
     pub yards: Vec<String>,
 }
 
@@ -83,5 +83,5 @@
     pub spot: bool,
     pub status: ListStatus,
     #[serde(rename = "heldS", default)]
-    pub held_s: Decimal,
+    pub held_s: Number,
 }
--- a/src/http/cbor.rs
+++ b/src/http/cbor.rs
@@ -61,24 +61,24 @@
 /// A decimal amount; integers are accepted in its place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
-pub struct Decimal(pub f64);
+pub struct Number(pub f64);
 
-impl<'de> Deserialize<'de> for Decimal {
+impl<'de> Deserialize<'de> for Number {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         struct V;
         impl Visitor<'_> for V {
-            type Value = Decimal;
+            type Value = Number;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number")
             }
-            fn visit_f64<E>(self, v: f64) -> Result<Decimal, E> {
-                Ok(Decimal(v))
+            fn visit_f64<E>(self, v: f64) -> Result<Number, E> {
+                Ok(Number(v))
             }
-            fn visit_u64<E>(self, v: u64) -> Result<Decimal, E> {
-                Ok(Decimal(v as f64))
+            fn visit_u64<E>(self, v: u64) -> Result<Number, E> {
+                Ok(Number(v as f64))
             }
-            fn visit_i64<E>(self, v: i64) -> Result<Decimal, E> {
-                Ok(Decimal(v as f64))
+            fn visit_i64<E>(self, v: i64) -> Result<Number, E> {
+                Ok(Number(v as f64))
             }
         }
         d.deserialize_any(V)
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,6 +1,6 @@
 //! The client: kept-open connections to one address, each call bounded in time.
 
-use super::MAX_HEAD;
+use super::MAX_HEAD_BYTES;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
@@ -154,7 +154,7 @@
                 let body = buf.split_off(start);
                 return Ok((status, body, close));
             }
-            Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => {}
+            Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD_BYTES => {}
             _ => return Err(unknown("malformed answer")),
         }
     }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -42,7 +42,7 @@
 /// What answers requests.
 pub trait Handler: Send + Sync + 'static {
     /// Answers what needs no wait for the network; hands back what may need one.
-    fn at_once(&self, request: Request) -> Result<Response, Request> {
+    fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         Err(request)
     }
     /// Answers what was handed back, on a thread that may wait.
@@ -55,12 +55,12 @@
 
 /// How much a server takes on at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    pub connections: usize,
+pub struct ServerLimits {
+    pub max_connections: usize,
     /// Threads that wait for the network in place of requests.
-    pub threads: usize,
+    pub max_pool_threads: usize,
     /// Bytes of unfinished requests and of answers that are not taken yet.
-    pub buffered: usize,
+    pub max_buffered_bytes: usize,
 }
 
 /// The words that go with a status.
--- a/src/http/request.rs
+++ b/src/http/request_parser.rs
@@ -1,7 +1,7 @@
 //! Requests, read from the bytes that have arrived.
 
 use super::message::Request;
-use super::{MAX_BODY, MAX_HEAD};
+use super::{MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES};
 
 const MAX_HEADERS: usize = 48;
 
@@ -27,7 +27,7 @@
     let mut head = httparse::Request::new(&mut headers);
     let start = match head.parse(buf) {
         Ok(httparse::Status::Complete(start)) => start,
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => return Parsed::Refuse(431),
+        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD_BYTES => return Parsed::Refuse(431),
         Ok(httparse::Status::Partial) => return Parsed::Partial,
         Err(httparse::Error::TooManyHeaders) => return Parsed::Refuse(431),
         Err(_) => return Parsed::Refuse(400),
@@ -36,7 +36,7 @@
         Ok(framing) => framing,
         Err(status) => return Parsed::Refuse(status),
     };
-    if length > MAX_BODY {
+    if length > MAX_REQUEST_BODY_BYTES {
         return Parsed::Refuse(413);
     }
     if buf.len() < start + length {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -11,10 +11,10 @@
 //! Connections that carry routine requests are therefore waited for in a set of their own, and
 //! taken a few at a time between looks at the others.
 
-pub use super::message::{Handler, Limits, Request, Response};
+pub use super::message::{Handler, Request, Response, ServerLimits};
 
 use super::message::reason;
-use super::request::{Parsed, next_request};
+use super::request_parser::{Parsed, next_request};
 use crate::os::{Os, System};
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -29,7 +29,7 @@
 use std::time::{Duration, Instant};
 
 /// Stack of a thread that answers requests; only touched pages count.
-pub const STACK: usize = 256 * 1024;
+pub const THREAD_STACK_BYTES: usize = 256 * 1024;
 /// A request must be complete this long after its first byte.
 const REQUEST_TIME: Duration = Duration::from_secs(5);
 /// A connection without a request is closed after this long.
@@ -108,7 +108,7 @@
     routine: OwnedFd,
     handler: Arc<dyn Handler>,
     os: Arc<System>,
-    limits: Limits,
+    limits: ServerLimits,
     slots: Mutex<HashMap<u64, Slot>>,
     pool: Mutex<Pool>,
     work: Condvar,
@@ -131,7 +131,7 @@
     listener: TcpListener,
     handler: Arc<dyn Handler>,
     os: Arc<System>,
-    limits: Limits,
+    limits: ServerLimits,
     open: Arc<AtomicUsize>,
 ) -> std::io::Result<()> {
     listener.set_nonblocking(true)?;
@@ -209,7 +209,7 @@
                 }
             };
             let _ = stream.set_nonblocking(true);
-            if self.open.load(Ordering::Relaxed) >= self.limits.connections {
+            if self.open.load(Ordering::Relaxed) >= self.limits.max_connections {
                 let _ = stream.write_all(
                     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
                 );
@@ -337,7 +337,7 @@
         let changed = slot.muted || !state.out.is_empty() || state.awaits_out;
         state.awaits_out = !state.out.is_empty();
         slot.state = Some(state);
-        let fits = size == 0 || buffered <= self.limits.buffered;
+        let fits = size == 0 || buffered <= self.limits.max_buffered_bytes;
         if !fits || (changed && !self.listen(key, slot, flags)) {
             slots.remove(&key);
             self.buffered.fetch_sub(size, Ordering::Relaxed);
@@ -379,7 +379,7 @@
                         held.routine = routine;
                         self.sort(held.key, routine);
                     }
-                    match guarded(|| self.handler.at_once(request)) {
+                    match guarded(|| self.handler.handle_without_blocking(request)) {
                         Ok(response) => (response, close),
                         Err(request) => match self.hand_over(held, request, close) {
                             None => return,
@@ -401,14 +401,14 @@
     /// Gives a request to the pool; gives the connection back if there is no room for it.
     fn hand_over(self: &Arc<Self>, held: Held, request: Request, close: bool) -> Option<Held> {
         let mut pool = lock(&self.pool);
-        let full = pool.queue.len() >= self.limits.threads * QUEUED_PER_THREAD;
+        let full = pool.queue.len() >= self.limits.max_pool_threads * QUEUED_PER_THREAD;
         let size = request.body.len();
-        if full || (pool.queued > 0 && pool.queued + size > self.limits.buffered) {
+        if full || (pool.queued > 0 && pool.queued + size > self.limits.max_buffered_bytes) {
             return Some(held);
         }
-        if pool.queue.len() >= pool.idle && pool.threads < self.limits.threads {
+        if pool.queue.len() >= pool.idle && pool.threads < self.limits.max_pool_threads {
             let server = self.clone();
-            let thread = std::thread::Builder::new().stack_size(STACK);
+            let thread = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES);
             match thread.spawn(move || server.pool_thread()) {
                 Ok(_) => pool.threads += 1,
                 Err(e) => log::info!("no thread for a request: {e}"),
@@ -492,7 +492,7 @@
 
     /// Closes what has run out of time.
     fn sweep(&self, now: Instant) {
-        let scarce = self.open.load(Ordering::Relaxed) * 4 > self.limits.connections * 3;
+        let scarce = self.open.load(Ordering::Relaxed) * 4 > self.limits.max_connections * 3;
         let idle = if scarce { SCARCE_IDLE_TIME } else { IDLE_TIME };
         let mut slots = lock(&self.slots);
         let before = slots.len();
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -31,7 +31,7 @@
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
 /// Tells that an invariant was broken, and counts it.
-pub fn violated(invariant: Invariant, evidence: fmt::Arguments<'_>) {
+pub fn report_violation(invariant: Invariant, evidence: fmt::Arguments<'_>) {
     let count = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
     log::error!(
         "invariant violated: invariant={} violations={count} {evidence}",
@@ -40,6 +40,6 @@
 }
 
 /// How many violations there were in this process.
-pub fn violations() -> u64 {
+pub fn violation_count() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -314,7 +314,7 @@
             return;
         };
         if self.has_open_starts(job_id) {
-            invariants::violated(
+            invariants::report_violation(
                 Invariant::ReleasedWithoutProof,
                 format_args!("job={id} reason=retired"),
             );
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,6 +1,6 @@
 //! What a user submits, checked; and the record of it that is kept.
 
-use crate::http::cbor::{Decimal, decode};
+use crate::http::cbor::{Number, decode};
 use crate::placement::Room;
 use crate::settings::TeamSettings;
 use crate::time::{Micros, WallTime};
@@ -28,13 +28,13 @@
     pub shape: Shape,
     pub rank: Rank,
     pub pieces: u64,
-    pub cpus: Decimal,
-    pub gpus: Decimal,
+    pub cpus: Number,
+    pub gpus: Number,
     #[serde(rename = "ramGb")]
-    pub ram_gb: Decimal,
+    pub ram_gb: Number,
     pub bundle: String,
     #[serde(rename = "imageGb")]
-    pub image_gb: Decimal,
+    pub image_gb: Number,
     #[serde(default)]
     pub builds: Option<Vec<String>>,
     #[serde(default)]
@@ -44,13 +44,13 @@
     pub spread: bool,
     pub loaners: bool,
     #[serde(rename = "guessS")]
-    pub guess_s: Decimal,
+    pub guess_s: Number,
     #[serde(rename = "bookmarkS")]
-    pub bookmark_s: Decimal,
+    pub bookmark_s: Number,
     #[serde(rename = "stashS")]
-    pub stash_s: Decimal,
+    pub stash_s: Number,
     #[serde(rename = "dueS", default)]
-    pub due_s: Option<Decimal>,
+    pub due_s: Option<Number>,
     /// Ours, in the kept record: when it was accepted, by the accepting node's time of day.
     #[serde(rename = "acceptedUs", default)]
     pub accepted_us: u64,
@@ -121,7 +121,7 @@
         if !(1..=MAX_TASKS).contains(&self.pieces) {
             return bad("pieces");
         }
-        let amount = |d: Decimal| (0.0..=1e9).contains(&d.0);
+        let amount = |d: Number| (0.0..=1e9).contains(&d.0);
         for (field, value) in [
             ("cpus", self.cpus),
             ("gpus", self.gpus),
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -8,7 +8,7 @@
 use crate::http::server::Response;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::node::{Core, Node};
-use crate::os::left;
+use crate::os::time_left;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
@@ -242,7 +242,7 @@
         (0..peers.len())
             .map(|i| peers[(first + i) % peers.len()])
             .filter_map(|peer| {
-                let left = left(&*self.os, deadline)?;
+                let left = time_left(&*self.os, deadline)?;
                 peer.call(request, PEER_TIME.duration().min(left)).ok()
             })
             .find(|reply| !matches!(reply, PeerReply::Busy))
@@ -378,7 +378,7 @@
                 Some(Known::View(_) | Known::Deciding) => {}
                 Some(Known::Nothing) | None => return PeerReply::Busy,
             }
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
             self.await_change(core, left);
@@ -406,7 +406,7 @@
         loop {
             let mut core = self.core();
             let known = self.known_of(&mut core, id);
-            match left(&*self.os, deadline) {
+            match time_left(&*self.os, deadline) {
                 Some(left) if known == Known::Deciding => self.await_change(core, left),
                 _ => return known,
             }
@@ -463,7 +463,7 @@
     /// transaction that writes its final one, so whoever misses the first finds the second.
     fn read_job(&self, id: &str, deadline: Moment) -> Result<Option<JobView>, StoreError> {
         let get = |key: &str| {
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return Err(StoreError::Refused("no time left".into()));
             };
             self.store
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -3,7 +3,7 @@
 use super::{HINT_KEY, LEADER_KEY, Lead, LeaderRecord, Take, lease_until, take};
 use crate::jobs::spec::Submission;
 use crate::node::Node;
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::state_store::{Change, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 impl Node {
     pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
-        pause(&*self.os, low_ms, high_ms);
+        random_pause(&*self.os, low_ms, high_ms);
     }
 
     pub fn lead_loop(&self) {
--- a/src/leadership/level.rs
+++ b/src/leadership/level.rs
@@ -11,7 +11,7 @@
 use super::LEADER_KEY;
 use super::term::{TERM_KEY, TermRecord};
 use crate::node::Node;
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::state_store::{Change, Commit, Guard, Row, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::collections::BTreeMap;
@@ -91,7 +91,7 @@
                 log::debug!("level of the controllers unknown: {e}");
             }
             if self.level().format < FORMAT {
-                pause(&*self.os, EVERY_MS / 2, EVERY_MS);
+                random_pause(&*self.os, EVERY_MS / 2, EVERY_MS);
             }
         }
         if let Some(lease) = statement.lease {
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -112,7 +112,7 @@
     /// A client that leaves a peer alone for so long.
     pub fn leaving_alone(os: Arc<dyn Os>, addr: SocketAddr, left_alone: Micros) -> Self {
         PeerClient {
-            link: os.peer(addr),
+            link: os.peer_link(addr),
             os,
             timed_out: Mutex::new(None),
             left_alone,
@@ -272,7 +272,7 @@
         open.fetch_add(1, Ordering::Relaxed);
         let (answer, count) = (answer.clone(), open.clone());
         let spawned = std::thread::Builder::new()
-            .stack_size(crate::http::server::STACK)
+            .stack_size(crate::http::server::THREAD_STACK_BYTES)
             .spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(120)));
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -27,7 +27,7 @@
 }
 
 /// Reads `LOG_LEVEL`: `error`, `info` (the default) or `debug`.
-pub fn start(level: Option<&str>) -> Result<(), String> {
+pub fn init(level: Option<&str>) -> Result<(), String> {
     let level = match level {
         None | Some("" | "info") => LevelFilter::Info,
         Some("error") => LevelFilter::Error,
--- a/src/node.rs
+++ b/src/node.rs
@@ -8,13 +8,13 @@
 use crate::cli::ServeOptions;
 use crate::cluster::{Cluster, ClusterConfig};
 use crate::fleet::MachineType;
-use crate::http::server::{Limits, serve};
+use crate::http::server::{ServerLimits, serve};
 use crate::jobs::Known;
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
 use crate::leadership::{Lead, LeaderRecord};
 use crate::links::Links;
-use crate::os::{HttpClient, Os, Signal, System};
+use crate::os::{EventCount, HttpClient, Os, System};
 use crate::settings::{Settings, SettingsError};
 use crate::state_store::Store;
 use crate::state_store::bucket::TokenBucket;
@@ -91,9 +91,9 @@
     pub cloud: Arc<dyn HttpClient>,
     pub core: Mutex<Core>,
     /// Signalled when records are due and when they were written.
-    pub changed: Arc<dyn Signal>,
+    pub changed: Arc<dyn EventCount>,
     /// Signalled when orders may go straight to workers.
-    pub direct_due: Arc<dyn Signal>,
+    pub direct_due: Arc<dyn EventCount>,
     pub workers: WorkerClients,
     pub peers: BTreeMap<String, PeerClient>,
     pub submit_tokens: Mutex<TokenBucket>,
@@ -140,13 +140,13 @@
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
                 .with_evidence(sink),
-            cloud: os.http(settings.endpoints.cloud),
+            cloud: os.http_client(settings.endpoints.cloud),
             core: Mutex::new(Core {
                 finals: Finals::new(site.quota.remembered()),
                 ..Core::default()
             }),
-            changed: os.signal(),
-            direct_due: os.signal(),
+            changed: os.event_count(),
+            direct_due: os.event_count(),
             workers: WorkerClients::default(),
             peers,
             submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
@@ -201,9 +201,9 @@
 
     /// Releases the main lock until something changed, or for so long.
     pub fn await_change(&self, core: MutexGuard<'_, Core>, most: Duration) {
-        let ticket = self.changed.ticket();
+        let observed = self.changed.prepare_wait();
         drop(core);
-        self.changed.wait(ticket, most);
+        self.changed.wait(observed, most);
     }
 
     /// What each thread of a process does, for as long as it lives.
@@ -257,10 +257,10 @@
         let most = quota.peer_connections();
         let answer = Arc::new(move |r| node.answer_peer(r));
         spawn("peers", Box::new(move || serve_peers(peers, most, answer)))?;
-        let limits = Limits {
-            connections: quota.connections(),
-            threads: quota.pool_threads(),
-            buffered: quota.buffered(),
+        let limits = ServerLimits {
+            max_connections: quota.connections(),
+            max_pool_threads: quota.pool_threads(),
+            max_buffered_bytes: quota.buffered(),
         };
         let open = self.open.clone();
         serve(public, self, system, limits, open)
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -35,7 +35,7 @@
 impl Handler for Node {
     /// Workers and health checks never wait for what users ask; a status that this node knows is
     /// told at once.
-    fn at_once(&self, request: Request) -> Result<Response, Request> {
+    fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         let response = match route(&request) {
             Route::Heartbeat => Some(self.heartbeat(&request.body)),
             Route::Up => Some(self.up()),
--- a/src/os.rs
+++ b/src/os.rs
@@ -15,11 +15,11 @@
     fn now(&self) -> Moment;
     fn wall(&self) -> WallTime;
     fn sleep(&self, time: Duration);
-    fn signal(&self) -> Arc<dyn Signal>;
+    fn event_count(&self) -> Arc<dyn EventCount>;
     /// A client of one address that speaks HTTP.
-    fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
+    fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
     /// A link to one other controller.
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink>;
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink>;
 }
 
 pub trait HttpClient: Send + Sync {
@@ -32,12 +32,12 @@
     ) -> Result<(u16, Vec<u8>), CallError>;
 }
 
-/// Wakes threads that wait for something under a lock. A ticket is taken under that lock, so that
-/// whatever changes after it is released is not slept through.
-pub trait Signal: Send + Sync {
-    fn ticket(&self) -> u64;
-    /// Returns when notified since the ticket was taken, or after a time; or sooner, for nothing.
-    fn wait(&self, ticket: u64, most: Duration);
+/// Wakes threads that wait for a change. The count is read under the lock that guards what changes, so
+/// that a change after its release isn't missed.
+pub trait EventCount: Send + Sync {
+    fn prepare_wait(&self) -> u64;
+    /// Returns when notified since `observed` was read, or after a time; or sooner, for nothing.
+    fn wait(&self, observed: u64, timeout: Duration);
     fn notify_one(&self);
     fn notify_all(&self);
 }
@@ -61,15 +61,15 @@
         std::thread::sleep(time);
     }
 
-    fn signal(&self) -> Arc<dyn Signal> {
-        Arc::new(EventCount::default())
+    fn event_count(&self) -> Arc<dyn EventCount> {
+        Arc::new(CondvarEventCount::default())
     }
 
-    fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
+    fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         Arc::new(Client::new(addr))
     }
 
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
         Arc::new(TcpPeer::new(addr))
     }
 }
@@ -87,26 +87,26 @@
 }
 
 #[derive(Default)]
-struct EventCount {
+struct CondvarEventCount {
     count: Mutex<u64>,
     condvar: Condvar,
 }
 
-impl EventCount {
+impl CondvarEventCount {
     fn count(&self) -> MutexGuard<'_, u64> {
         self.count.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-impl Signal for EventCount {
-    fn ticket(&self) -> u64 {
+impl EventCount for CondvarEventCount {
+    fn prepare_wait(&self) -> u64 {
         *self.count()
     }
 
-    fn wait(&self, ticket: u64, most: Duration) {
+    fn wait(&self, observed: u64, timeout: Duration) {
         let count = self.count();
-        if *count == ticket {
-            drop(self.condvar.wait_timeout(count, most));
+        if *count == observed {
+            drop(self.condvar.wait_timeout(count, timeout));
         }
     }
 
@@ -122,12 +122,12 @@
 }
 
 /// A pause of random length, so that nodes don't go in step.
-pub fn pause(os: &dyn Os, low_ms: u64, high_ms: u64) {
+pub fn random_pause(os: &dyn Os, low_ms: u64, high_ms: u64) {
     os.sleep(Duration::from_millis(fastrand::u64(low_ms..=high_ms)));
 }
 
 /// The time left until then, none if it is over.
-pub fn left(os: &dyn Os, deadline: Moment) -> Option<Duration> {
+pub fn time_left(os: &dyn Os, deadline: Moment) -> Option<Duration> {
     let left = deadline - os.now();
     (left > Micros::ZERO).then(|| left.duration())
 }
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -164,7 +164,7 @@
     pub fn new(addr: SocketAddr, rate: f64, os: Arc<dyn Os>) -> Self {
         let bucket = TokenBucket::new(rate, rate, os.now());
         Store {
-            client: os.http(addr),
+            client: os.http_client(addr),
             os,
             requests: Mutex::new(bucket),
             last_answer: AtomicU64::new(0),
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -51,7 +51,7 @@
         if clients.len() >= most {
             clients.retain(|_, (_, used)| now - *used < UNUSED);
         }
-        let client = os.http(addr);
+        let client = os.http_client(addr);
         if clients.len() < most {
             clients.insert(addr, (client.clone(), now));
         }
@@ -167,9 +167,9 @@
                         call
                     }
                     None => {
-                        let ticket = self.direct_due.ticket();
+                        let observed = self.direct_due.prepare_wait();
                         drop(core);
-                        self.direct_due.wait(ticket, Duration::from_secs(60));
+                        self.direct_due.wait(observed, Duration::from_secs(60));
                         continue;
                     }
                 }
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -168,7 +168,7 @@
         let is_known = own.is_some_and(|m| m.known_since < now);
         let is_running = task.status != TaskStatus::Exited;
         if is_known && is_running && task.attempt >> 32 == self.term {
-            invariants::violated(
+            invariants::report_violation(
                 Invariant::ReleasedWithoutProof,
                 format_args!(
                     "machine={machine} task={} attempt={}",
@@ -192,7 +192,7 @@
 fn check_start(job: &Job, task: &TaskReport, machine: &str, cancel: Micros, now: Moment) {
     let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
     if is_late && task.status != TaskStatus::Exited {
-        invariants::violated(
+        invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
             format_args!(
                 "machine={machine} task={} attempt={}",
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -213,7 +213,7 @@
         for name in answered {
             let alive = self.machines.get(name).is_some_and(|m| !m.lost);
             if alive && self.has_overdue_doubt(name, now, longest) {
-                invariants::violated(
+                invariants::report_violation(
                     Invariant::CancelledStartNotRevoked,
                     format_args!("term={} machine={name}", self.term),
                 );
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,6 +1,6 @@
 //! The workers' messages as they stand on the wire.
 
-use crate::http::cbor::Decimal;
+use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -21,7 +21,7 @@
     #[serde(rename = "baton", default)]
     pub token: u64,
     #[serde(rename = "recallS", default)]
-    pub recall: Option<Decimal>,
+    pub recall: Option<Number>,
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -2,7 +2,7 @@
 
 use aspenreel::cluster::{Cluster, ClusterConfig};
 use aspenreel::fleet::wire::{Catalog, ListedMachine};
-use aspenreel::http::cbor::{Decimal, decode, encode};
+use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::jobs::Known;
 use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
 use aspenreel::jobs::spec::Submission;
@@ -486,6 +486,6 @@
     }
 }
 
-pub fn decimal(x: f64) -> Decimal {
-    Decimal(x)
+pub fn decimal(x: f64) -> Number {
+    Number(x)
 }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP edge against real sockets: what bad clients get, and that they disturb nobody.
 
 use aspenreel::http::client::Client;
-use aspenreel::http::server::{Handler, Limits, Request, Response, serve};
+use aspenreel::http::server::{Handler, Request, Response, ServerLimits, serve};
 use std::collections::HashSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
         request.path.starts_with("/routine")
     }
 
-    fn at_once(&self, request: Request) -> Result<Response, Request> {
+    fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         self.order.lock().unwrap().push(request.path.clone());
         if request.path == "/routine/gate" {
             self.inside.fetch_add(1, Ordering::SeqCst);
@@ -58,7 +58,7 @@
     }
 }
 
-fn start_with(limits: Limits) -> (SocketAddr, Arc<Echo>) {
+fn start_with(limits: ServerLimits) -> (SocketAddr, Arc<Echo>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let echo = Arc::new(Echo::default());
@@ -68,10 +68,10 @@
 }
 
 fn start(connections: usize) -> SocketAddr {
-    let limits = Limits {
-        connections,
-        threads: 4,
-        buffered: 1 << 20,
+    let limits = ServerLimits {
+        max_connections: connections,
+        max_pool_threads: 4,
+        max_buffered_bytes: 1 << 20,
     };
     start_with(limits).0
 }
@@ -168,10 +168,10 @@
 /// A fleet keeps a connection a worker: their number must not be that of the threads.
 #[test]
 fn connections_beyond_the_thread_budget_are_served_by_few_threads() {
-    let limits = Limits {
-        connections: 400,
-        threads: 3,
-        buffered: 1 << 20,
+    let limits = ServerLimits {
+        max_connections: 400,
+        max_pool_threads: 3,
+        max_buffered_bytes: 1 << 20,
     };
     let (addr, echo) = start_with(limits);
     let mut open: Vec<TcpStream> = (0..300)
@@ -196,10 +196,10 @@
 /// what is more than can wait is told at once to come back.
 #[test]
 fn waiting_requests_are_bounded_and_keep_nobody_else_out() {
-    let limits = Limits {
-        connections: 400,
-        threads: 2,
-        buffered: 1 << 20,
+    let limits = ServerLimits {
+        max_connections: 400,
+        max_pool_threads: 2,
+        max_buffered_bytes: 1 << 20,
     };
     let (addr, echo) = start_with(limits);
     let mut waiting: Vec<TcpStream> = Vec::new();
@@ -231,10 +231,10 @@
 /// requests together have a bound in memory.
 #[test]
 fn slow_readers_and_unfinished_bodies_are_bounded() {
-    let limits = Limits {
-        connections: 400,
-        threads: 1,
-        buffered: 40 * 1024,
+    let limits = ServerLimits {
+        max_connections: 400,
+        max_pool_threads: 1,
+        max_buffered_bytes: 40 * 1024,
     };
     let (addr, _) = start_with(limits);
     let mut body = b"POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n".to_vec();
@@ -250,8 +250,8 @@
     assert!(!matches!(second.read(&mut [0u8; 1]), Ok(n) if n > 0));
     drop((first, second));
 
-    let (addr, _) = start_with(Limits {
-        buffered: 64 << 20,
+    let (addr, _) = start_with(ServerLimits {
+        max_buffered_bytes: 64 << 20,
         ..limits
     });
     let mut reader = TcpStream::connect(addr).unwrap();
@@ -269,10 +269,10 @@
 /// and not for all, and they are all answered.
 #[test]
 fn others_do_not_wait_for_all_that_is_routine() {
-    let limits = Limits {
-        connections: 400,
-        threads: 2,
-        buffered: 1 << 20,
+    let limits = ServerLimits {
+        max_connections: 400,
+        max_pool_threads: 2,
+        max_buffered_bytes: 1 << 20,
     };
     let (addr, echo) = start_with(limits);
     let mut user = TcpStream::connect(addr).unwrap();
@@ -312,10 +312,10 @@
 /// body is kept.
 #[test]
 fn what_is_too_large_is_refused_and_not_kept() {
-    let (addr, _) = start_with(Limits {
-        connections: 50,
-        threads: 1,
-        buffered: 1024,
+    let (addr, _) = start_with(ServerLimits {
+        max_connections: 50,
+        max_pool_threads: 1,
+        max_buffered_bytes: 1024,
     });
     let mut large = b"POST /x HTTP/1.1\r\nContent-Length: 4000000\r\n\r\n".to_vec();
     large.resize(4_000_000, 7);
@@ -331,10 +331,10 @@
 /// Requests that wait for a thread are bounded in bytes as well: of large ones few may wait.
 #[test]
 fn large_requests_that_wait_are_bounded() {
-    let (addr, echo) = start_with(Limits {
-        connections: 50,
-        threads: 1,
-        buffered: 100 * 1024,
+    let (addr, echo) = start_with(ServerLimits {
+        max_connections: 50,
+        max_pool_threads: 1,
+        max_buffered_bytes: 100 * 1024,
     });
     let large = |path: &str| {
         let mut request = format!("POST {path} HTTP/1.1\r\nContent-Length: 60000\r\n\r\n");
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code)]
 mod trace;
 
-use aspenreel::invariants::violations;
+use aspenreel::invariants::violation_count;
 use aspenreel::time::Micros;
 use aspenreel::workers::direct::DirectResult;
 use trace::{World, submission, team};
@@ -52,8 +52,8 @@
         a_start_that_is_not_revoked,
     ];
     for (number, case) in cases.iter().enumerate() {
-        let before = violations();
+        let before = violation_count();
         case();
-        assert_eq!(violations(), before + 1, "case {number}");
+        assert_eq!(violation_count(), before + 1, "case {number}");
     }
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use aspenreel::jobs::doneset::TaskSet;
 use aspenreel::leadership::peer::{PeerClient, PeerRequest};
-use aspenreel::os::{HttpClient, Os, Signal, System};
+use aspenreel::os::{EventCount, HttpClient, Os, System};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
 use aspenreel::workers::edge::WorkerClients;
 use std::net::{SocketAddr, TcpListener};
@@ -67,14 +67,14 @@
     fn sleep(&self, time: Duration) {
         self.0.sleep(time);
     }
-    fn signal(&self) -> Arc<dyn Signal> {
-        self.0.signal()
+    fn event_count(&self) -> Arc<dyn EventCount> {
+        self.0.event_count()
     }
-    fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
-        self.0.http(addr)
+    fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
+        self.0.http_client(addr)
     }
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn aspenreel::leadership::peer::PeerLink> {
-        self.0.peer(addr)
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn aspenreel::leadership::peer::PeerLink> {
+        self.0.peer_link(addr)
     }
 }
 
@@ -107,20 +107,20 @@
     assert_eq!(kept(), [] as [u8; 0]);
 }
 
-/// Whoever took a ticket before a change doesn't sleep through it, and a wait ends by itself.
+/// A thread that prepared its wait before a change doesn't sleep through it, and a wait ends by itself.
 #[test]
 fn a_change_is_not_slept_through() {
-    let signal = System::default().signal();
-    let ticket = signal.ticket();
-    signal.notify_all();
+    let event_count = System::default().event_count();
+    let observed = event_count.prepare_wait();
+    event_count.notify_all();
     // Would last for an hour if the change were lost.
-    signal.wait(ticket, Duration::from_secs(3600));
-    let waiter = signal.clone();
-    let ticket = signal.ticket();
-    let woken = std::thread::spawn(move || waiter.wait(ticket, Duration::from_secs(3600)));
-    signal.notify_one();
+    event_count.wait(observed, Duration::from_secs(3600));
+    let waiter = event_count.clone();
+    let observed = event_count.prepare_wait();
+    let woken = std::thread::spawn(move || waiter.wait(observed, Duration::from_secs(3600)));
+    event_count.notify_one();
     woken.join().unwrap();
-    signal.wait(signal.ticket(), Duration::from_millis(1));
+    event_count.wait(event_count.prepare_wait(), Duration::from_millis(1));
 }
 
 /// 100,000 tasks fit into small values, and rubbish is told from a set.
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -198,6 +198,6 @@
 }
 
 /// A task takes all of a machine.
-fn trace_cpus() -> aspenreel::http::cbor::Decimal {
+fn trace_cpus() -> aspenreel::http::cbor::Number {
     crate::trace::decimal(32.0)
 }
