--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,26 +1,35 @@
-//! Requests and answers, and who gives them.
+//! Requests and responses as handlers see them.
 
+use super::status::SERVICE_UNAVAILABLE;
 use crate::time::Moment;
 
-/// A request, whole.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
+    /// The method, in capitals as it was sent.
     pub method: String,
+    /// The request target as it was sent: path and query.
     pub path: String,
+    /// The body; empty if there was none.
     pub body: Vec<u8>,
 }
 
-/// An answer, whole.
+/// A response to a request.
 #[derive(Debug, Default)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
+    /// Seconds after which the client may repeat the request, as header field `Retry-After`.
     pub retry_after_s: Option<u32>,
-    /// The answer may only leave before this moment: after it the lead may be another's.
+    /// The response must not be sent from this moment on, because another leader may act by then.
+    /// Status 503 is sent in its place.
     pub valid_until: Option<Moment>,
 }
 
 impl Response {
+    /// A response that is valid without limit.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response {
             status,
@@ -29,54 +38,12 @@
         }
     }
 
-    /// A refusal that tells at once when to come back.
+    /// Status 503 (service unavailable): the client shall repeat its request after so many seconds.
     pub fn busy(retry_after_s: u32) -> Self {
         Response {
-            status: 503,
+            status: SERVICE_UNAVAILABLE,
             retry_after_s: Some(retry_after_s),
             ..Response::default()
         }
     }
 }
-
-/// What answers requests.
-pub trait Handler: Send + Sync + 'static {
-    /// Answers what needs no wait for the network; hands back what may need one.
-    fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
-        Err(request)
-    }
-    /// Answers what was handed back, on a thread that may wait.
-    fn handle(&self, request: Request) -> Response;
-    /// True for requests that come again and again on the same connection and can bear a moment.
-    fn routine(&self, _request: &Request) -> bool {
-        false
-    }
-}
-
-/// How much a server takes on at once.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerLimits {
-    pub max_connections: usize,
-    /// Threads that wait for the network in place of requests.
-    pub max_pool_threads: usize,
-    /// Bytes of unfinished requests and of answers that are not taken yet.
-    pub max_buffered_bytes: usize,
-}
-
-/// The words that go with a status.
-pub(super) fn reason(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        201 => "Created",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        411 => "Length Required",
-        413 => "Content Too Large",
-        421 => "Misdirected Request",
-        422 => "Unprocessable Content",
-        431 => "Request Header Fields Too Large",
-        503 => "Service Unavailable",
-        _ => "Other",
-    }
-}
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,12 +1,19 @@
-//! HTTP/1.1 with CBOR bodies: a blocking server and a blocking client on httparse.
+//! HTTP/1.1 with CBOR bodies, on `httparse`: a server for many connections and a blocking client.
+
+#![warn(missing_docs)]
 
 pub mod cbor;
 pub mod client;
+pub mod handler;
 pub mod message;
 mod request_parser;
 pub mod server;
+mod status;
 
-/// The largest request body that is taken, and the largest answer given to workers and users.
+/// The largest accepted body of a request, in bytes; also the largest response body that workers and
+/// users get.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// The largest request or response head.
+/// The largest accepted head of a request or a response, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The largest accepted number of header fields in a head.
+const MAX_HEADER_FIELDS: usize = 48;
--- a/src/http/request_parser.rs
+++ b/src/http/request_parser.rs
@@ -1,80 +1,148 @@
-//! Requests, read from the bytes that have arrived.
+//! The request parser: takes requests from the bytes that a connection has received.
 
 use super::message::Request;
-use super::{MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES};
+use super::status::{
+    BAD_REQUEST, CONTENT_TOO_LARGE, LENGTH_REQUIRED, REQUEST_HEADER_FIELDS_TOO_LARGE,
+};
+use super::{MAX_HEAD_BYTES, MAX_HEADER_FIELDS, MAX_REQUEST_BODY_BYTES};
+use thiserror::Error;
 
-const MAX_HEADERS: usize = 48;
+/// What the read buffer of a connection begins with.
+pub(super) enum ParseOutcome {
+    /// A request, which was removed from the buffer.
+    Complete(ParsedRequest),
+    /// The beginning of a request, or nothing.
+    Incomplete,
+    /// Something that is not served.
+    Rejected(RequestError),
+}
+
+/// A complete request, and what its head says of the connection.
+pub(super) struct ParsedRequest {
+    pub(super) request: Request,
+    /// The client wants the connection closed after the response.
+    pub(super) close: bool,
+}
+
+/// Why a request is rejected before a handler sees it.
+#[derive(Debug, Error)]
+pub(super) enum RequestError {
+    #[error("malformed head: {0}")]
+    MalformedHead(#[source] httparse::Error),
+    #[error("head larger than {MAX_HEAD_BYTES} bytes")]
+    HeadTooLarge,
+    #[error("more than {MAX_HEADER_FIELDS} header fields")]
+    TooManyHeaderFields,
+    #[error("Content-Length is not a number, or given twice with different values")]
+    InvalidContentLength,
+    #[error("body without Content-Length: transfer encodings are not supported")]
+    TransferEncoding,
+    #[error("body of {length} bytes, larger than {MAX_REQUEST_BODY_BYTES}")]
+    BodyTooLarge { length: usize },
+}
 
-/// What is at the beginning of what was read.
-pub(super) enum Parsed {
-    Request { request: Request, close: bool },
-    Refuse(u16),
-    Partial,
+impl RequestError {
+    /// The status code of the response.
+    pub(super) fn status(&self) -> u16 {
+        match self {
+            RequestError::MalformedHead(_) | RequestError::InvalidContentLength => BAD_REQUEST,
+            RequestError::HeadTooLarge | RequestError::TooManyHeaderFields => {
+                REQUEST_HEADER_FIELDS_TOO_LARGE
+            }
+            RequestError::TransferEncoding => LENGTH_REQUIRED,
+            RequestError::BodyTooLarge { .. } => CONTENT_TOO_LARGE,
+        }
+    }
 }
 
-/// What the headers say of the body and of the connection.
+/// What the header fields say of the body's length and of the connection.
 struct Framing {
-    length: usize,
+    content_length: usize,
     close: bool,
 }
 
-/// Takes the next request from what was read, if it is complete.
-pub(super) fn next_request(buf: &mut Vec<u8>) -> Parsed {
-    if buf.is_empty() {
-        return Parsed::Partial;
+/// Takes the next request from `read_buffer`, if it is complete.
+pub(super) fn next_request(read_buffer: &mut Vec<u8>) -> ParseOutcome {
+    if read_buffer.is_empty() {
+        return ParseOutcome::Incomplete;
     }
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Request::new(&mut headers);
-    let start = match head.parse(buf) {
-        Ok(httparse::Status::Complete(start)) => start,
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD_BYTES => return Parsed::Refuse(431),
-        Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Refuse(431),
-        Err(_) => return Parsed::Refuse(400),
-    };
-    let Framing { length, close } = match framing(&head) {
-        Ok(framing) => framing,
-        Err(status) => return Parsed::Refuse(status),
+    match take_request(read_buffer) {
+        Ok(Some(parsed)) => ParseOutcome::Complete(parsed),
+        Ok(None) => ParseOutcome::Incomplete,
+        Err(error) => ParseOutcome::Rejected(error),
+    }
+}
+
+fn take_request(read_buffer: &mut Vec<u8>) -> Result<Option<ParsedRequest>, RequestError> {
+    let mut header_fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let mut head = httparse::Request::new(&mut header_fields);
+    let Some(body_start) = parse_head(&mut head, read_buffer)? else {
+        return Ok(None);
     };
+    let framing = read_framing(&head)?;
+    let length = framing.content_length;
     if length > MAX_REQUEST_BODY_BYTES {
-        return Parsed::Refuse(413);
+        return Err(RequestError::BodyTooLarge { length });
     }
-    if buf.len() < start + length {
-        return Parsed::Partial;
+    let end = body_start + length;
+    if read_buffer.len() < end {
+        return Ok(None);
     }
     let request = Request {
         method: head.method.unwrap_or("").to_string(),
         path: head.path.unwrap_or("").to_string(),
-        body: buf[start..start + length].to_vec(),
+        body: read_buffer[body_start..end].to_vec(),
     };
-    buf.drain(..start + length);
-    Parsed::Request { request, close }
+    read_buffer.drain(..end);
+    Ok(Some(ParsedRequest {
+        request,
+        close: framing.close,
+    }))
+}
+
+/// Parses a head; where the body begins, or `None` if the head is incomplete.
+fn parse_head<'buffer>(
+    head: &mut httparse::Request<'_, 'buffer>,
+    read_buffer: &'buffer [u8],
+) -> Result<Option<usize>, RequestError> {
+    match head.parse(read_buffer) {
+        Ok(httparse::Status::Complete(body_start)) => Ok(Some(body_start)),
+        Ok(httparse::Status::Partial) if read_buffer.len() > MAX_HEAD_BYTES => {
+            Err(RequestError::HeadTooLarge)
+        }
+        Ok(httparse::Status::Partial) => Ok(None),
+        Err(httparse::Error::TooManyHeaders) => Err(RequestError::TooManyHeaderFields),
+        Err(error) => Err(RequestError::MalformedHead(error)),
+    }
 }
 
-/// Reads the headers that matter; the status with which the request is refused if they can't be served.
-fn framing(head: &httparse::Request<'_, '_>) -> Result<Framing, u16> {
-    let mut length = None;
+/// Reads the header fields that decide where the request ends and whether the connection does.
+fn read_framing(head: &httparse::Request<'_, '_>) -> Result<Framing, RequestError> {
+    let mut content_length = None;
+    // HTTP/1.0 closes the connection after each response.
     let mut close = head.version == Some(0);
-    for header in head.headers.iter() {
-        if header.name.eq_ignore_ascii_case("content-length") {
-            let given = content_length(header.value).ok_or(400u16)?;
-            if length.is_some_and(|known| known != given) {
-                return Err(400);
+    for field in head.headers.iter() {
+        if field.name.eq_ignore_ascii_case("content-length") {
+            let given =
+                parse_content_length(field.value).ok_or(RequestError::InvalidContentLength)?;
+            if content_length.is_some_and(|known| known != given) {
+                return Err(RequestError::InvalidContentLength);
             }
-            length = Some(given);
-        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(411);
-        } else if header.name.eq_ignore_ascii_case("connection") {
-            close |= header.value.eq_ignore_ascii_case(b"close");
+            content_length = Some(given);
+        } else if field.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Err(RequestError::TransferEncoding);
+        } else if field.name.eq_ignore_ascii_case("connection") {
+            close |= field.value.eq_ignore_ascii_case(b"close");
         }
     }
     Ok(Framing {
-        length: length.unwrap_or(0),
+        content_length: content_length.unwrap_or(0),
         close,
     })
 }
 
-fn content_length(value: &[u8]) -> Option<usize> {
+/// The number in a `Content-Length` field; `None` if it isn't one.
+pub(super) fn parse_content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?;
     text.trim().parse().ok()
 }
--- /dev/null
+++ b/src/http/server/acceptor.rs
@@ -0,0 +1,62 @@
+//! Takes new connections from the listening socket's backlog.
+
+use super::connection::ConnectionId;
+use super::connection_table::ConnectionTable;
+use super::poll_sets::FIRST_CONNECTION_ID;
+use std::io::{ErrorKind, Write};
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
+
+/// Connections accepted in one turn of the event loop, so that a burst of new ones doesn't keep the open
+/// ones waiting.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Pause after an error of `accept`, which mostly means that the process has no file descriptor left:
+/// others may be closed meanwhile.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
+/// The whole response to a connection beyond the limit.
+const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\
+    Content-Length: 0\r\nConnection: close\r\n\r\n";
+
+/// The listening socket, and the id for the next connection.
+pub(super) struct Acceptor {
+    listener: TcpListener,
+    next_id: ConnectionId,
+}
+
+impl Acceptor {
+    /// `listener` must be non-blocking.
+    pub(super) fn new(listener: TcpListener) -> Self {
+        Acceptor {
+            listener,
+            next_id: FIRST_CONNECTION_ID,
+        }
+    }
+
+    /// Accepts waiting connections, as many as one turn allows.
+    pub(super) fn accept_waiting(&mut self, connections: &ConnectionTable) {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            match self.listener.accept() {
+                Ok((stream, _)) => self.admit(stream, connections),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) => {
+                    log::info!("accept failed: error={error}");
+                    std::thread::sleep(ACCEPT_ERROR_PAUSE);
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Adds a connection to the table, or refuses it if there are too many.
+    fn admit(&mut self, mut stream: TcpStream, connections: &ConnectionTable) {
+        let _ = stream.set_nonblocking(true);
+        if connections.is_full() {
+            let _ = stream.write_all(TOO_MANY_CONNECTIONS);
+            return;
+        }
+        let _ = stream.set_nodelay(true);
+        let id = self.next_id;
+        self.next_id = ConnectionId(id.0 + 1);
+        connections.insert(id, stream);
+    }
+}
--- /dev/null
+++ b/src/http/server/exchange.rs
@@ -0,0 +1,180 @@
+//! Requests and responses on one connection: reading, dispatching and writing.
+//!
+//! Methods that return an `Option<ActiveConnection>` return the connection if the caller goes on with it,
+//! and `None` if it was parked, closed or passed to the worker pool.
+
+use super::Server;
+use super::connection::{ActiveConnection, ConnectionId};
+use super::response_encoder::encode_response;
+use crate::http::message::{Request, Response};
+use crate::http::request_parser::{ParseOutcome, ParsedRequest, next_request};
+use crate::os::Os;
+use std::io::{ErrorKind, Read, Write};
+use std::net::Shutdown;
+use std::panic::AssertUnwindSafe;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// Bytes read from a connection in one turn.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// `Retry-After` of responses that the server itself gives.
+const RETRY_AFTER_S: u32 = 1;
+
+/// Runs a handler; `None` if it panicked. A fault in the code of one request must not end a thread that
+/// serves all connections.
+pub(super) fn catch_panic<T>(handle: impl FnOnce() -> T) -> Option<T> {
+    std::panic::catch_unwind(AssertUnwindSafe(handle)).ok()
+}
+
+/// The response where the server can't give the handler's.
+pub(super) fn unavailable() -> Response {
+    Response::busy(RETRY_AFTER_S)
+}
+
+impl Server {
+    /// Goes on with a connection whose socket is ready.
+    pub(super) fn serve_ready(self: &Arc<Self>, id: ConnectionId) {
+        let Some(connection) = self.connections.activate(id) else {
+            return;
+        };
+        if connection.state.write_buffer.is_empty() {
+            self.read_available(connection);
+        } else {
+            self.continue_response(connection);
+        }
+    }
+
+    fn read_available(self: &Arc<Self>, mut connection: ActiveConnection) {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
+        match (&*connection.stream).read(&mut chunk) {
+            Ok(0) => self.connections.close(&connection),
+            Ok(_) if connection.state.lingering_close => self.connections.park(connection),
+            Ok(received) => {
+                let read_buffer = &mut connection.state.read_buffer;
+                read_buffer.extend_from_slice(&chunk[..received]);
+                self.process_requests(connection);
+            }
+            Err(error) if is_transient(error.kind()) => self.connections.park(connection),
+            Err(_) => self.connections.close(&connection),
+        }
+    }
+
+    /// Sends the rest of a response, then goes on with requests that are already buffered.
+    fn continue_response(self: &Arc<Self>, connection: ActiveConnection) {
+        if let Some(connection) = self.flush(connection) {
+            self.process_requests(connection);
+        }
+    }
+
+    /// Answers the complete requests of the read buffer, one after the other, and parks the connection.
+    pub(super) fn process_requests(self: &Arc<Self>, mut connection: ActiveConnection) {
+        loop {
+            let processed = match next_request(&mut connection.state.read_buffer) {
+                ParseOutcome::Incomplete => return self.connections.park(connection),
+                ParseOutcome::Rejected(error) => self.reject(connection, error.status()),
+                ParseOutcome::Complete(parsed) => self.dispatch(connection, parsed),
+            };
+            match processed {
+                Some(next) => connection = next,
+                None => return,
+            }
+        }
+    }
+
+    /// Answers a request that can't be read. The connection ends with it: where the next request would
+    /// begin is unknown.
+    fn reject(&self, mut connection: ActiveConnection, status: u16) -> Option<ActiveConnection> {
+        connection.state.lingering_close = true;
+        connection.state.read_buffer = Vec::new();
+        self.send_response(connection, Response::new(status, Vec::new()), true)
+    }
+
+    /// Answers a request, or passes it to the worker pool if that may block.
+    fn dispatch(
+        self: &Arc<Self>,
+        mut connection: ActiveConnection,
+        parsed: ParsedRequest,
+    ) -> Option<ActiveConnection> {
+        let ParsedRequest { request, close } = parsed;
+        self.update_priority(&mut connection, &request);
+        let response = match catch_panic(|| self.handler.handle_without_blocking(request)) {
+            Some(Ok(response)) => response,
+            Some(Err(request)) => {
+                connection = self.enqueue(connection, request, close)?;
+                unavailable()
+            }
+            None => unavailable(),
+        };
+        self.send_response(connection, response, close)
+    }
+
+    fn update_priority(&self, connection: &mut ActiveConnection, request: &Request) {
+        let priority = self.handler.priority(request);
+        if priority != connection.priority {
+            connection.priority = priority;
+            self.connections.set_priority(connection.id, priority);
+        }
+    }
+
+    /// Encodes a response and sends as much of it as the socket accepts. A response that is not valid any
+    /// more is replaced by status 503.
+    pub(super) fn send_response(
+        &self,
+        mut connection: ActiveConnection,
+        response: Response,
+        close: bool,
+    ) -> Option<ActiveConnection> {
+        let response = match response.valid_until {
+            Some(valid_until) if self.os.now() >= valid_until => unavailable(),
+            _ => response,
+        };
+        connection.state.write_buffer = encode_response(&response, close);
+        connection.state.close_after_response = close;
+        connection.state.incomplete_since = None;
+        self.flush(connection)
+    }
+
+    /// Sends what the socket accepts of the write buffer. The connection is parked if some is left.
+    fn flush(&self, mut connection: ActiveConnection) -> Option<ActiveConnection> {
+        let mut sent = 0;
+        while sent < connection.state.write_buffer.len() {
+            match (&*connection.stream).write(&connection.state.write_buffer[sent..]) {
+                Ok(accepted) if accepted > 0 => sent += accepted,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    connection.state.write_buffer.drain(..sent);
+                    self.connections.park(connection);
+                    return None;
+                }
+                _ => {
+                    self.connections.close(&connection);
+                    return None;
+                }
+            }
+        }
+        self.finish_response(connection)
+    }
+
+    /// Ends the exchange once its response is sent: the connection stays open or is closed.
+    fn finish_response(&self, mut connection: ActiveConnection) -> Option<ActiveConnection> {
+        let state = &mut connection.state;
+        state.write_buffer = Vec::new();
+        state.incomplete_since = None;
+        state.idle_since = Some(Instant::now());
+        if state.lingering_close {
+            let _ = connection.stream.shutdown(Shutdown::Write);
+            self.connections.park(connection);
+            return None;
+        }
+        if state.close_after_response {
+            self.connections.close(&connection);
+            return None;
+        }
+        Some(connection)
+    }
+}
+
+/// Whether a read failed only for now.
+fn is_transient(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::WouldBlock | ErrorKind::Interrupted)
+}
--- /dev/null
+++ b/src/http/server/worker_pool.rs
@@ -0,0 +1,171 @@
+//! The worker pool: threads for requests that may block.
+//!
+//! A thread is started when a request finds no idle one, up to the limit, and ends after it was idle for
+//! [`THREAD_IDLE_TIMEOUT`]. The queue is bounded in requests and in bytes.
+
+use super::connection::ActiveConnection;
+use super::exchange::{catch_panic, unavailable};
+use super::{Server, ServerLimits, THREAD_STACK_BYTES, lock};
+use crate::http::message::Request;
+use std::collections::VecDeque;
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::time::Duration;
+
+/// A pool thread without a request ends after this time.
+const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Length of the queue for each thread that the pool may have. Further requests get status 503.
+const MAX_QUEUED_PER_THREAD: usize = 4;
+/// Name of the pool's threads.
+const THREAD_NAME: &str = "http-worker";
+
+/// A request that waits for a thread, with the connection that it came on.
+struct QueuedRequest {
+    connection: ActiveConnection,
+    request: Request,
+    /// The connection is closed after the response.
+    close: bool,
+}
+
+/// What the pool's lock guards.
+#[derive(Default)]
+struct PoolState {
+    queue: VecDeque<QueuedRequest>,
+    /// Bytes of the bodies in the queue: bounded in requests alone, a few large ones could fill a
+    /// small memory.
+    queued_bytes: usize,
+    threads: usize,
+    idle_threads: usize,
+}
+
+impl PoolState {
+    fn push(&mut self, queued: QueuedRequest) {
+        self.queued_bytes += queued.request.body.len();
+        self.queue.push_back(queued);
+    }
+
+    fn pop(&mut self) -> Option<QueuedRequest> {
+        let queued = self.queue.pop_front()?;
+        self.queued_bytes -= queued.request.body.len();
+        Some(queued)
+    }
+}
+
+/// Threads and the queue of requests for them.
+pub(super) struct WorkerPool {
+    limits: ServerLimits,
+    state: Mutex<PoolState>,
+    request_queued: Condvar,
+}
+
+impl WorkerPool {
+    pub(super) fn new(limits: ServerLimits) -> Self {
+        WorkerPool {
+            limits,
+            state: Mutex::default(),
+            request_queued: Condvar::new(),
+        }
+    }
+
+    /// Whether a request with a body of `body_bytes` may join the queue. The first one always fits in
+    /// bytes.
+    fn has_space(&self, state: &PoolState, body_bytes: usize) -> bool {
+        let max_queued = self.limits.max_pool_threads * MAX_QUEUED_PER_THREAD;
+        let max_bytes = self.limits.max_buffered_bytes;
+        let fits = state.queued_bytes == 0 || state.queued_bytes + body_bytes <= max_bytes;
+        state.queue.len() < max_queued && fits
+    }
+
+    /// Whether the next request would wait although another thread may be started.
+    fn needs_thread(&self, state: &PoolState) -> bool {
+        state.queue.len() >= state.idle_threads && state.threads < self.limits.max_pool_threads
+    }
+
+    /// Waits for a request. `None` if none came within the idle timeout: the thread, which is no longer
+    /// counted, must end.
+    fn next_request(&self) -> Option<QueuedRequest> {
+        let mut state = lock(&self.state);
+        loop {
+            if let Some(queued) = state.pop() {
+                return Some(queued);
+            }
+            let timed_out;
+            (state, timed_out) = self.wait_idle(state);
+            if timed_out && state.queue.is_empty() {
+                state.threads -= 1;
+                return None;
+            }
+        }
+    }
+
+    fn wait_idle<'a>(
+        &self,
+        mut state: MutexGuard<'a, PoolState>,
+    ) -> (MutexGuard<'a, PoolState>, bool) {
+        state.idle_threads += 1;
+        let (mut state, wait) = self
+            .request_queued
+            .wait_timeout(state, THREAD_IDLE_TIMEOUT)
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        state.idle_threads -= 1;
+        (state, wait.timed_out())
+    }
+}
+
+impl Server {
+    /// Queues a request for the worker pool. Returns the connection if the queue is full or no thread
+    /// can be started.
+    pub(super) fn enqueue(
+        self: &Arc<Self>,
+        connection: ActiveConnection,
+        request: Request,
+        close: bool,
+    ) -> Option<ActiveConnection> {
+        {
+            let mut state = lock(&self.pool.state);
+            if !self.pool.has_space(&state, request.body.len()) {
+                return Some(connection);
+            }
+            if self.pool.needs_thread(&state) {
+                self.start_pool_thread(&mut state);
+            }
+            if state.threads == 0 {
+                return Some(connection);
+            }
+            state.push(QueuedRequest {
+                connection,
+                request,
+                close,
+            });
+        }
+        self.pool.request_queued.notify_one();
+        None
+    }
+
+    fn start_pool_thread(self: &Arc<Self>, state: &mut PoolState) {
+        let server = self.clone();
+        let thread = std::thread::Builder::new()
+            .name(THREAD_NAME.to_string())
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(move || server.run_pool_thread());
+        match thread {
+            Ok(_) => state.threads += 1,
+            Err(error) => log::info!("pool thread not started: error={error}"),
+        }
+    }
+
+    /// Answers queued requests until the thread was idle for long enough.
+    fn run_pool_thread(self: &Arc<Self>) {
+        while let Some(queued) = self.pool.next_request() {
+            let QueuedRequest {
+                connection,
+                request,
+                close,
+            } = queued;
+            let handled = catch_panic(|| self.handler.handle(request));
+            let response = handled.unwrap_or_else(unavailable);
+            if let Some(connection) = self.send_response(connection, response, close) {
+                self.process_requests(connection);
+            }
+        }
+    }
+}
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -1,7 +1,7 @@
 //! Which handler a request of users, workers or health checks belongs to.
 
 use super::Node;
-use crate::http::server::{Handler, Request, Response};
+use crate::http::server::{Handler, Request, RequestPriority, Response};
 
 /// What a request asks for.
 enum Route<'a> {
@@ -47,8 +47,11 @@
     }
 
     /// Hundreds of workers check in whatever users do.
-    fn routine(&self, request: &Request) -> bool {
-        matches!(route(request), Route::Heartbeat)
+    fn priority(&self, request: &Request) -> RequestPriority {
+        match route(request) {
+            Route::Heartbeat => RequestPriority::Low,
+            _ => RequestPriority::Normal,
+        }
     }
 
     fn handle(&self, request: Request) -> Response {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP edge against real sockets: what bad clients get, and that they disturb nobody.
 
 use aspenreel::http::client::Client;
-use aspenreel::http::server::{Handler, Request, Response, ServerLimits, serve};
+use aspenreel::http::server::{Handler, Request, RequestPriority, Response, ServerLimits, serve};
 use std::collections::HashSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,13 +22,17 @@
 }
 
 impl Handler for Echo {
-    fn routine(&self, request: &Request) -> bool {
-        request.path.starts_with("/routine")
+    fn priority(&self, request: &Request) -> RequestPriority {
+        if request.path.starts_with("/low-priority") {
+            RequestPriority::Low
+        } else {
+            RequestPriority::Normal
+        }
     }
 
     fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         self.order.lock().unwrap().push(request.path.clone());
-        if request.path == "/routine/gate" {
+        if request.path == "/low-priority/gate" {
             self.inside.fetch_add(1, Ordering::SeqCst);
             let open = self.gate.lock().unwrap();
             drop(self.opened.wait_while(open, |open| !*open).unwrap());
@@ -281,7 +285,7 @@
         .map(|_| TcpStream::connect(addr).unwrap())
         .collect();
     for worker in &mut workers {
-        assert_eq!(status(&ask(worker, "/routine")), "200");
+        assert_eq!(status(&ask(worker, "/low-priority")), "200");
     }
     echo.order.lock().unwrap().clear();
     let send = |s: &mut TcpStream, path: &str| {
@@ -289,12 +293,12 @@
         s.write_all(request.as_bytes()).unwrap();
     };
     // While one holds up the thread that all share, all the others become due, the user last.
-    send(&mut workers[0], "/routine/gate");
+    send(&mut workers[0], "/low-priority/gate");
     while echo.inside.load(Ordering::SeqCst) < 1 {
         std::thread::yield_now();
     }
     for worker in &mut workers[1..] {
-        send(worker, "/routine");
+        send(worker, "/low-priority");
     }
     send(&mut user, "/now");
     *echo.gate.lock().unwrap() = true;
