--- a/crates/testbed/src/log.rs
+++ b/crates/testbed/src/log.rs
@@ -15,7 +15,7 @@
 
     fn log(&self, record: &Record) {
         let now = crate::sched::lock(&self.0).upgrade().map_or(0, |s| s.now());
-        let text = record.args();
+        let text = aspenreel::logging::Event(record);
         eprintln!("{:>9.3} {text}", now as f64 / 1e6);
     }
 
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -8,7 +8,7 @@
 use aspenreel::http::client::{CallError, ClientResponse, ResponseError};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
-use aspenreel::os::{EventCount, HttpClient, Os};
+use aspenreel::os::{EventCount, HttpClient, ObservedCount, Os};
 use aspenreel::time::{Moment, WallTime};
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
@@ -89,20 +89,20 @@
 }
 
 impl EventCount for SimSignal {
-    fn prepare_wait(&self) -> u64 {
-        lock(&self.state).0
+    fn prepare_wait(&self) -> ObservedCount {
+        ObservedCount(lock(&self.state).0)
     }
 
-    fn wait(&self, ticket: u64, most: Duration) {
+    fn wait(&self, observed: ObservedCount, timeout: Duration) {
         let sleeper = self.world.sched.sleeper();
         {
             let mut state = lock(&self.state);
-            if state.0 != ticket {
+            if ObservedCount(state.0) != observed {
                 return;
             }
             state.1.push(sleeper);
         }
-        let until = self.world.now() + most.as_micros() as Time;
+        let until = self.world.now() + timeout.as_micros() as Time;
         self.world.sched.sleep_until(until);
         lock(&self.state).1.retain(|s| *s != sleeper);
     }
--- a/src/http/cbor.rs
+++ b/src/http/cbor.rs
@@ -41,7 +41,7 @@
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MESSAGE_CAPACITY);
     if let Err(error) = ciborium::into_writer(value, &mut bytes) {
-        log::error!("message not encoded: error={error}");
+        log::error!(error:%; "message not encoded");
         bytes.clear();
     }
     bytes
--- a/src/http/server/acceptor.rs
+++ b/src/http/server/acceptor.rs
@@ -39,7 +39,7 @@
                 Ok((stream, _)) => self.admit(stream, connections),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    log::info!("accept failed: error={error}");
+                    log::info!(error:%; "accept failed");
                     std::thread::sleep(ACCEPT_ERROR_PAUSE);
                     return;
                 }
--- a/src/http/server/connection_table.rs
+++ b/src/http/server/connection_table.rs
@@ -211,5 +211,5 @@
 }
 
 fn log_poll_failure(error: Errno) {
-    log::info!("connection not pollable: error={error}");
+    log::info!(error:%; "connection not pollable");
 }
--- a/src/http/server/worker_pool.rs
+++ b/src/http/server/worker_pool.rs
@@ -149,7 +149,7 @@
             .spawn(move || server.run_pool_thread());
         match thread {
             Ok(_) => state.threads += 1,
-            Err(error) => log::info!("pool thread not started: error={error}"),
+            Err(error) => log::info!(error:%; "pool thread not started"),
         }
     }
 
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,24 +1,29 @@
-//! What must hold at any time, checked while the service runs.
+//! Invariants of the scheduler that are checked while it runs.
 //!
-//! A violation is one line at `error` with its evidence, and a counter. It never ends the process: whoever
-//! tests the service makes it fail.
+//! A violation is logged at level `error` with the facts that show it, and counted. It doesn't end the
+//! process: an outage would do more harm. Tests fail on the count or on the log line.
+
+#![warn(missing_docs)]
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A rule of the design that can be seen to be broken from inside one leader.
+/// A property of the design whose violation one leader can notice by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A start of a cancelled job could still be executed when its time was over.
+    /// No start command of a cancelled job can be executed once the time for the cancellation is over.
+    /// Violated: such a command had not been revoked by then.
     CancelledStartNotRevoked,
-    /// A report shows a task of a cancelled job for the first time when its time was over.
+    /// No task of a cancelled job starts once the time for the cancellation is over. Violated: a
+    /// heartbeat showed such a task for the first time.
     CancelledTaskStartedLate,
-    /// A start was forgotten, or its task freed, while it could still be executed.
+    /// A start command is forgotten, and its task started elsewhere, only when it is proven that the
+    /// command can't be executed any more. Violated: it could be.
     ReleasedWithoutProof,
 }
 
 impl Invariant {
-    /// The name by which logs tell it.
+    /// The value of the log field `invariant`.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::CancelledStartNotRevoked => "cancelled_start_not_revoked",
@@ -28,9 +33,11 @@
     }
 }
 
+/// Violations since the process started.
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Tells that an invariant was broken, and counts it.
+/// Logs and counts a violation. `evidence` is a list of log fields, `key=value`, that identify what
+/// violates the invariant.
 pub fn report_violation(invariant: Invariant, evidence: fmt::Arguments<'_>) {
     let count = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
     log::error!(
@@ -39,7 +46,7 @@
     );
 }
 
-/// How many violations there were in this process.
+/// The number of violations since the process started, of all invariants together.
 pub fn violation_count() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,13 +1,58 @@
-//! Logs go to standard error, as much as `LOG_LEVEL` asks for.
+//! The log, on standard error: one line for each event, `level module: event: key=value ...`.
+//!
+//! Fields come from the structured fields of the `log` macros: `log::info!(machine = name; "machine lost")`.
 
+#![warn(missing_docs)]
+
+use log::kv::{self, Key, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
-use std::io::Write;
+use std::fmt::{self, Display, Formatter};
+use std::io::Write as _;
+use thiserror::Error;
+
+/// Why logging could not be started.
+#[derive(Debug, Error)]
+pub enum LoggingError {
+    /// The variable `LOG_LEVEL` has an unknown value.
+    #[error("LOG_LEVEL must be error, info or debug, not `{given}`")]
+    UnknownLevel {
+        /// The variable's value.
+        given: String,
+    },
+    /// The process has a logger already.
+    #[error(transparent)]
+    AlreadyStarted(#[from] log::SetLoggerError),
+}
+
+/// Starts logging for the whole process. `level` is the value of the variable `LOG_LEVEL`: `error`, `info`
+/// (the default, also if it is empty), or `debug`.
+///
+/// # Errors
+///
+/// [`LoggingError`] if the level is unknown, or if the process has a logger already.
+pub fn init(level: Option<&str>) -> Result<(), LoggingError> {
+    log::set_max_level(parse_level(level)?);
+    log::set_logger(&LOGGER)?;
+    Ok(())
+}
+
+fn parse_level(level: Option<&str>) -> Result<LevelFilter, LoggingError> {
+    match level {
+        None | Some("" | "info") => Ok(LevelFilter::Info),
+        Some("error") => Ok(LevelFilter::Error),
+        Some("debug") => Ok(LevelFilter::Debug),
+        Some(other) => Err(LoggingError::UnknownLevel {
+            given: other.to_string(),
+        }),
+    }
+}
 
-struct Stderr;
+/// Writes records to standard error.
+struct StderrLogger;
 
-static LOGGER: Stderr = Stderr;
+static LOGGER: StderrLogger = StderrLogger;
 
-impl Log for Stderr {
+impl Log for StderrLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         metadata.level() <= log::max_level()
     }
@@ -17,27 +62,53 @@
             "{} {}: {}\n",
             record.level().as_str().to_lowercase(),
             record.module_path().unwrap_or(""),
-            record.args()
+            Event(record)
         );
-        // A closed standard error must not end the process.
+        // The process goes on if its standard error is closed.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
 
     fn flush(&self) {}
 }
 
-/// Reads `LOG_LEVEL`: `error`, `info` (the default) or `debug`.
-pub fn init(level: Option<&str>) -> Result<(), String> {
-    let level = match level {
-        None | Some("" | "info") => LevelFilter::Info,
-        Some("error") => LevelFilter::Error,
-        Some("debug") => LevelFilter::Debug,
-        Some(other) => {
-            return Err(format!(
-                "LOG_LEVEL must be error, info or debug, not `{other}`"
-            ));
+/// Displays the event and the fields of a record: `event: key=value key=value`. A value with spaces,
+/// quotes or control characters is quoted and escaped.
+pub struct Event<'a>(
+    /// The record to display.
+    pub &'a Record<'a>,
+);
+
+impl Display for Event<'_> {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}", self.0.args())?;
+        let mut fields = FieldWriter {
+            formatter,
+            separator: ": ",
+        };
+        self.0
+            .key_values()
+            .visit(&mut fields)
+            .map_err(|_| fmt::Error)
+    }
+}
+
+struct FieldWriter<'a, 'b> {
+    formatter: &'a mut Formatter<'b>,
+    /// What the next field is set off with.
+    separator: &'static str,
+}
+
+impl<'kvs> VisitSource<'kvs> for FieldWriter<'_, '_> {
+    fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
+        let separator = std::mem::replace(&mut self.separator, " ");
+        write!(self.formatter, "{separator}{key}=")?;
+        let text = value.to_string();
+        let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || c == '"';
+        if text.is_empty() || text.contains(needs_quotes) {
+            write!(self.formatter, "{text:?}")?;
+        } else {
+            self.formatter.write_str(&text)?;
         }
-    };
-    log::set_max_level(level);
-    log::set_logger(&LOGGER).map_err(|e| e.to_string())
+        Ok(())
+    }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,7 +26,7 @@
 
 fn serve(options: ServeOptions) -> Result<(), String> {
     let level = std::env::var("LOG_LEVEL").ok();
-    aspenreel::logging::init(level.as_deref())?;
+    aspenreel::logging::init(level.as_deref()).map_err(|e| e.to_string())?;
     let settings = Settings::load(&options.config).map_err(|e| e.to_string())?;
     for warning in settings.settings.quota.warnings() {
         log::warn!("{warning}");
--- a/src/os.rs
+++ b/src/os.rs
@@ -1,8 +1,10 @@
-//! What a controller's threads take from the system that they run on: clocks, waits and calls.
+//! What a controller's threads need from the operating system: clocks, sleeping, wake-ups and calls.
 //!
-//! In production that is the operating system. The model of `crates/testbed` puts several controllers,
-//! and whatever they talk to, into one process on simulated time: it gives them clocks, waits and
-//! calls of its own, and everything else is the code that runs in production.
+//! [`System`] is the operating system itself. The simulation of `crates/testbed` implements [`Os`] with
+//! simulated time and simulated calls, and puts several controllers and their peers into one process;
+//! everything above this interface is the code that runs in production.
+
+#![warn(missing_docs)]
 
 use crate::http::client::{CallError, Client, ClientResponse};
 use crate::leadership::peer::{PeerLink, TcpPeer};
@@ -11,18 +13,35 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
+/// The operating system, as seen by one controller.
 pub trait Os: Send + Sync + 'static {
+    /// The time of the monotonic clock. It is comparable only within one process.
     fn now(&self) -> Moment;
+
+    /// The time of the wall clock, which may differ from that of other machines and may jump.
     fn wall(&self) -> WallTime;
+
+    /// Blocks the calling thread for `time`.
     fn sleep(&self, time: Duration);
+
+    /// A new event count, on which no thread waits.
     fn event_count(&self) -> Arc<dyn EventCount>;
-    /// A client of one address that speaks HTTP.
+
+    /// A new HTTP client of the server at `addr`.
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
-    /// A link to one other controller.
+
+    /// A new link to the controller whose peer address is `addr`.
     fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink>;
 }
 
+/// A client of one HTTP server.
 pub trait HttpClient: Send + Sync {
+    /// Sends a request and blocks until its response has arrived, or `timeout` is over.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError`] tells whether the request may have been executed. A response with an error
+    /// status is a success here.
     fn call(
         &self,
         method: &str,
@@ -32,17 +51,35 @@
     ) -> Result<ClientResponse, CallError>;
 }
 
-/// Wakes threads that wait for a change. The count is read under the lock that guards what changes, so
-/// that a change after its release isn't missed.
+/// How many notifications an [`EventCount`] has had, as a thread saw it before its wait.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ObservedCount(
+    /// The number of notifications.
+    pub u64,
+);
+
+/// An event count: wakes threads that wait for a change of something that a lock guards, without
+/// holding that lock while they wait.
+///
+/// A thread that finds nothing to do calls [`prepare_wait`](EventCount::prepare_wait) under the lock,
+/// releases it, and then waits. A notification in between ends the wait at once, so that no change is
+/// missed.
 pub trait EventCount: Send + Sync {
-    fn prepare_wait(&self) -> u64;
-    /// Returns when notified since `observed` was read, or after a time; or sooner, for nothing.
-    fn wait(&self, observed: u64, timeout: Duration);
+    /// The present count. Called while the lock is held.
+    fn prepare_wait(&self) -> ObservedCount;
+
+    /// Blocks until there was a notification since `observed`, for `timeout` at the longest. It may
+    /// return sooner without one.
+    fn wait(&self, observed: ObservedCount, timeout: Duration);
+
+    /// Counts a notification and wakes one of the waiting threads.
     fn notify_one(&self);
+
+    /// Counts a notification and wakes all waiting threads.
     fn notify_all(&self);
 }
 
-/// The operating system.
+/// The operating system that the process runs on.
 #[derive(Debug, Default)]
 pub struct System {
     clock: Clock,
@@ -86,47 +123,51 @@
     }
 }
 
+/// An event count on a condition variable.
 #[derive(Default)]
 struct CondvarEventCount {
-    count: Mutex<u64>,
-    condvar: Condvar,
+    notifications: Mutex<u64>,
+    notified: Condvar,
 }
 
 impl CondvarEventCount {
-    fn count(&self) -> MutexGuard<'_, u64> {
-        self.count.lock().unwrap_or_else(|e| e.into_inner())
+    fn notifications(&self) -> MutexGuard<'_, u64> {
+        self.notifications
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
 impl EventCount for CondvarEventCount {
-    fn prepare_wait(&self) -> u64 {
-        *self.count()
+    fn prepare_wait(&self) -> ObservedCount {
+        ObservedCount(*self.notifications())
     }
 
-    fn wait(&self, observed: u64, timeout: Duration) {
-        let count = self.count();
-        if *count == observed {
-            drop(self.condvar.wait_timeout(count, timeout));
+    fn wait(&self, observed: ObservedCount, timeout: Duration) {
+        let notifications = self.notifications();
+        if ObservedCount(*notifications) == observed {
+            drop(self.notified.wait_timeout(notifications, timeout));
         }
     }
 
     fn notify_one(&self) {
-        *self.count() += 1;
-        self.condvar.notify_one();
+        *self.notifications() += 1;
+        self.notified.notify_one();
     }
 
     fn notify_all(&self) {
-        *self.count() += 1;
-        self.condvar.notify_all();
+        *self.notifications() += 1;
+        self.notified.notify_all();
     }
 }
 
-/// A pause of random length, so that nodes don't go in step.
+/// Sleeps for a random time between two bounds in milliseconds, so that controllers that repeat a
+/// step don't do it all at the same moment.
 pub fn random_pause(os: &dyn Os, low_ms: u64, high_ms: u64) {
     os.sleep(Duration::from_millis(fastrand::u64(low_ms..=high_ms)));
 }
 
-/// The time left until then, none if it is over.
+/// The time left until `deadline`; `None` if it has passed.
 pub fn time_left(os: &dyn Os, deadline: Moment) -> Option<Duration> {
     let left = deadline - os.now();
     (left > Micros::ZERO).then(|| left.duration())
