--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,27 +1,61 @@
-//! The HTTP edge against real sockets: what bad clients get, and that they disturb nobody.
+//! The HTTP server over real sockets: what faulty clients get, and that they don't disturb others.
 
 use aspenreel::http::client::Client;
 use aspenreel::http::server::{Handler, Request, RequestPriority, Response, ServerLimits, serve};
+use aspenreel::time::Moment;
 use std::collections::HashSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread::ThreadId;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-/// Answers at once, but for two paths: what waits, and what waits until the gate opens.
+/// Longer than any step takes, so that a test fails in place of hanging.
+const PATIENCE: Duration = Duration::from_secs(20);
+const LARGE_BODY_BYTES: usize = 8 * 1024 * 1024;
+
+/// Answers requests with their body, except for some paths:
+/// - `/expired`: a response that is not valid any more;
+/// - `/large`: a body of `LARGE_BODY_BYTES`;
+/// - `/pool`: answered by the worker pool;
+/// - `/pool/gate`: answered by the worker pool, once the gate is open;
+/// - `/low-priority`: of low priority;
+/// - `/low-priority/gate`: of low priority, and blocks the event loop until the gate is open.
 #[derive(Default)]
-struct Echo {
-    threads: Mutex<HashSet<ThreadId>>,
-    gate: Mutex<bool>,
-    opened: Condvar,
-    inside: AtomicUsize,
-    /// The paths of what was answered at once, in turn.
-    order: Mutex<Vec<String>>,
+struct TestHandler {
+    pool_threads: Mutex<HashSet<ThreadId>>,
+    gate_is_open: Mutex<bool>,
+    gate_opened: Condvar,
+    /// Requests that reached the pool, or the gate on the event loop.
+    entered: AtomicUsize,
+    /// The paths that the event loop's thread saw, in order.
+    event_loop_paths: Mutex<Vec<String>>,
 }
 
-impl Handler for Echo {
+impl TestHandler {
+    fn open_gate(&self) {
+        *self.gate_is_open.lock().unwrap() = true;
+        self.gate_opened.notify_all();
+    }
+
+    fn pass_gate(&self) {
+        let is_open = self.gate_is_open.lock().unwrap();
+        drop(
+            self.gate_opened
+                .wait_while(is_open, |is_open| !*is_open)
+                .unwrap(),
+        );
+    }
+
+    fn await_entered(&self, requests: usize) {
+        while self.entered.load(Ordering::SeqCst) < requests {
+            std::thread::yield_now();
+        }
+    }
+}
+
+impl Handler for TestHandler {
     fn priority(&self, request: &Request) -> RequestPriority {
         if request.path.starts_with("/low-priority") {
             RequestPriority::Low
@@ -31,114 +65,152 @@
     }
 
     fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
-        self.order.lock().unwrap().push(request.path.clone());
+        self.event_loop_paths
+            .lock()
+            .unwrap()
+            .push(request.path.clone());
         if request.path == "/low-priority/gate" {
-            self.inside.fetch_add(1, Ordering::SeqCst);
-            let open = self.gate.lock().unwrap();
-            drop(self.opened.wait_while(open, |open| !*open).unwrap());
+            self.entered.fetch_add(1, Ordering::SeqCst);
+            self.pass_gate();
         }
         match request.path.as_str() {
-            "/late" => Ok(Response {
-                valid_until: Some(aspenreel::time::Moment(0)),
+            "/expired" => Ok(Response {
+                valid_until: Some(Moment(0)),
                 ..Response::new(200, vec![1])
             }),
-            "/large" => Ok(Response::new(200, vec![7; 8 * 1024 * 1024])),
-            "/wait" | "/gate" => Err(request),
+            "/large" => Ok(Response::new(200, vec![7; LARGE_BODY_BYTES])),
+            "/pool" | "/pool/gate" => Err(request),
             _ => Ok(Response::new(200, request.body)),
         }
     }
 
     fn handle(&self, request: Request) -> Response {
-        self.threads
-            .lock()
-            .unwrap()
-            .insert(std::thread::current().id());
-        self.inside.fetch_add(1, Ordering::SeqCst);
-        if request.path == "/gate" {
-            let open = self.gate.lock().unwrap();
-            drop(self.opened.wait_while(open, |open| !*open).unwrap());
+        let thread = std::thread::current().id();
+        self.pool_threads.lock().unwrap().insert(thread);
+        self.entered.fetch_add(1, Ordering::SeqCst);
+        if request.path == "/pool/gate" {
+            self.pass_gate();
         }
         Response::new(200, request.body)
     }
 }
 
-fn start_with(limits: ServerLimits) -> (SocketAddr, Arc<Echo>) {
+/// Limits that only the tests' own numbers come near to.
+fn limits(max_connections: usize, max_pool_threads: usize) -> ServerLimits {
+    ServerLimits {
+        max_connections,
+        max_pool_threads,
+        max_buffered_bytes: 1 << 20,
+    }
+}
+
+fn start_server(limits: ServerLimits) -> (SocketAddr, Arc<TestHandler>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let echo = Arc::new(Echo::default());
-    let handler = echo.clone();
-    std::thread::spawn(move || serve(listener, handler, Arc::default(), limits, Arc::default()));
-    (addr, echo)
+    let handler = Arc::new(TestHandler::default());
+    let served = handler.clone();
+    std::thread::spawn(move || serve(listener, served, Arc::default(), limits, Arc::default()));
+    (addr, handler)
 }
 
-fn start(connections: usize) -> SocketAddr {
-    let limits = ServerLimits {
-        max_connections: connections,
-        max_pool_threads: 4,
-        max_buffered_bytes: 1 << 20,
-    };
-    start_with(limits).0
+fn connect(addr: SocketAddr) -> TcpStream {
+    TcpStream::connect(addr).unwrap()
+}
+
+fn connect_many(addr: SocketAddr, connections: usize) -> Vec<TcpStream> {
+    (0..connections).map(|_| connect(addr)).collect()
 }
 
-fn ask(stream: &mut TcpStream, path: &str) -> String {
+fn send_get(stream: &mut TcpStream, path: &str) {
     let request = format!("GET {path} HTTP/1.1\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
-    answer(stream)
 }
 
-/// The status of an answer without a body.
-fn answer(stream: &mut TcpStream) -> String {
-    let mut out = Vec::new();
+/// Sends a request and reads the head of its response.
+fn get(stream: &mut TcpStream, path: &str) -> String {
+    send_get(stream, path);
+    read_head(stream)
+}
+
+/// Reads the head of a response.
+fn read_head(stream: &mut TcpStream) -> String {
+    let mut head = Vec::new();
     let mut byte = [0u8; 1];
-    while !out.ends_with(b"\r\n\r\n") {
+    while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).unwrap();
-        out.push(byte[0]);
+        head.push(byte[0]);
     }
-    String::from_utf8_lossy(&out).into_owned()
+    String::from_utf8_lossy(&head).into_owned()
+}
+
+fn read_status(stream: &mut TcpStream) -> String {
+    status(&read_head(stream)).to_string()
 }
 
-/// Sends bytes and reads until the server closes.
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
-    let mut s = TcpStream::connect(addr).unwrap();
-    s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    s.write_all(bytes).unwrap();
-    let mut out = Vec::new();
-    let _ = s.read_to_end(&mut out);
-    String::from_utf8_lossy(&out).into_owned()
+/// Sends bytes on a new connection and reads until the server closes it.
+fn send_and_read_to_end(addr: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = connect(addr);
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.write_all(bytes).unwrap();
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-fn status(answer: &str) -> &str {
-    answer.get(9..12).unwrap_or("")
+/// The status code of a response; empty if there is none.
+fn status(response: &str) -> &str {
+    response.get(9..12).unwrap_or("")
+}
+
+fn assert_is_told_to_retry(response: &str) {
+    assert!(
+        response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: 1"),
+        "{response}"
+    );
 }
 
 #[test]
-fn bad_requests_get_an_answer_and_are_closed() {
-    let addr = start(50);
-    assert_eq!(status(&raw(addr, b"\x00\x01rubbish\r\n\r\n")), "400");
-    let huge = format!(
+fn bad_requests_are_answered_and_their_connections_closed() {
+    let (addr, _) = start_server(limits(50, 4));
+    let too_long = format!(
         "POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         64 * 1024 + 1
     );
-    assert_eq!(status(&raw(addr, huge.as_bytes())), "413");
-    let chunked = b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(status(&raw(addr, chunked)), "411");
-    let length = b"POST /x HTTP/1.1\r\nContent-Length: -4\r\n\r\n";
-    assert_eq!(status(&raw(addr, length)), "400");
-    let head = format!("GET /x HTTP/1.1\r\nA: {}\r\n", "y".repeat(9000));
-    assert_eq!(status(&raw(addr, head.as_bytes())), "431");
-    // An answer whose lead has run out by the time it leaves is not sent.
-    let late = b"GET /late HTTP/1.1\r\nConnection: close\r\n\r\n";
-    assert_eq!(status(&raw(addr, late)), "503");
-    // A half request is given up, and nothing is answered to it.
-    assert_eq!(
-        raw(addr, b"POST /x HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc"),
-        ""
-    );
+    let large_head = format!("GET /x HTTP/1.1\r\nA: {}\r\n", "y".repeat(9000));
+    let cases: [(&[u8], &str); 5] = [
+        (b"\x00\x01rubbish\r\n\r\n", "400"),
+        (too_long.as_bytes(), "413"),
+        (
+            b"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "411",
+        ),
+        (b"POST /x HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "400"),
+        (large_head.as_bytes(), "431"),
+    ];
+    for (request, expected) in cases {
+        let response = send_and_read_to_end(addr, request);
+        assert_eq!(status(&response), expected, "{response}");
+    }
+}
+
+/// A response of a leader is not sent once its lease may have expired.
+#[test]
+fn an_expired_response_is_replaced() {
+    let (addr, _) = start_server(limits(50, 4));
+    let request = b"GET /expired HTTP/1.1\r\nConnection: close\r\n\r\n";
+    assert_eq!(status(&send_and_read_to_end(addr, request)), "503");
+}
+
+#[test]
+fn an_incomplete_request_times_out_without_a_response() {
+    let (addr, _) = start_server(limits(50, 4));
+    let request = b"POST /x HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc";
+    assert_eq!(send_and_read_to_end(addr, request), "");
 }
 
 #[test]
-fn connections_stay_open_and_are_capped() {
-    let addr = start(2);
+fn connections_are_kept_open_and_limited() {
+    let (addr, _) = start_server(limits(2, 4));
     let client = Client::new(addr);
     for n in 0..3u8 {
         let response = client
@@ -146,223 +218,175 @@
             .unwrap();
         assert_eq!((response.status, response.body), (200, vec![n; 100]));
     }
-    // The kept connection is one of two; a third is told to come back.
-    let mut second = TcpStream::connect(addr).unwrap();
-    second.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
-    let mut answer = [0u8; 12];
-    second.read_exact(&mut answer).unwrap();
-    let third = raw(addr, b"");
-    assert!(
-        third.starts_with("HTTP/1.1 503") && third.contains("Retry-After: 1"),
-        "{third}"
-    );
-    // Room comes back when one leaves.
+    // The client keeps one of the two connections.
+    let mut second = connect(addr);
+    send_get(&mut second, "/a");
+    second.read_exact(&mut [0u8; 12]).unwrap();
+    assert_is_told_to_retry(&send_and_read_to_end(addr, b""));
+    // Once the second is closed, there is space for another.
     drop(second);
-    let deadline = std::time::Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let answer = raw(addr, b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n");
-        if status(&answer) == "200" {
+        let request = b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n";
+        let response = send_and_read_to_end(addr, request);
+        if status(&response) == "200" {
             break;
         }
-        assert!(std::time::Instant::now() < deadline, "{answer}");
+        assert!(Instant::now() < deadline, "{response}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A fleet keeps a connection a worker: their number must not be that of the threads.
+/// Each worker of a fleet keeps a connection: the number of threads must not grow with them.
 #[test]
 fn connections_beyond_the_thread_budget_are_served_by_few_threads() {
-    let limits = ServerLimits {
-        max_connections: 400,
-        max_pool_threads: 3,
-        max_buffered_bytes: 1 << 20,
-    };
-    let (addr, echo) = start_with(limits);
-    let mut open: Vec<TcpStream> = (0..300)
-        .map(|_| TcpStream::connect(addr).unwrap())
-        .collect();
-    // Some of them begin a request and fall silent: they hold no thread.
-    for slow in &mut open[..50] {
-        slow.write_all(b"GET /wait HT").unwrap();
+    let (addr, handler) = start_server(limits(400, 3));
+    let mut clients = connect_many(addr, 300);
+    // Some of them begin a request and fall silent: they occupy no thread.
+    for slow in &mut clients[..50] {
+        slow.write_all(b"GET /pool HT").unwrap();
     }
     // A slow client that goes on in time is served like any other.
-    open[0].write_all(b"TP/1.1\r\n\r\n").unwrap();
-    assert_eq!(status(&answer(&mut open[0])), "200");
-    for path in ["/wait", "/now", "/wait"] {
-        for stream in &mut open[50..] {
-            assert_eq!(status(&ask(stream, path)), "200");
+    clients[0].write_all(b"TP/1.1\r\n\r\n").unwrap();
+    assert_eq!(read_status(&mut clients[0]), "200");
+    for path in ["/pool", "/now", "/pool"] {
+        for client in &mut clients[50..] {
+            assert_eq!(status(&get(client, path)), "200");
         }
     }
-    assert!((1..=3).contains(&echo.threads.lock().unwrap().len()));
+    assert!((1..=3).contains(&handler.pool_threads.lock().unwrap().len()));
 }
 
-/// Users' requests that wait for the network keep out neither workers nor health checks, and
-/// what is more than can wait is told at once to come back.
+/// Requests that block delay neither heartbeats nor health checks, and those that the pool's queue has no
+/// space for are told at once to come back.
 #[test]
-fn waiting_requests_are_bounded_and_keep_nobody_else_out() {
-    let limits = ServerLimits {
-        max_connections: 400,
-        max_pool_threads: 2,
-        max_buffered_bytes: 1 << 20,
-    };
-    let (addr, echo) = start_with(limits);
-    let mut waiting: Vec<TcpStream> = Vec::new();
+fn blocking_requests_are_bounded_and_delay_no_others() {
+    let (addr, handler) = start_server(limits(400, 2));
+    let mut blocked: Vec<TcpStream> = Vec::new();
     for n in 0..10 {
-        let mut stream = TcpStream::connect(addr).unwrap();
-        stream.write_all(b"GET /gate HTTP/1.1\r\n\r\n").unwrap();
-        waiting.push(stream);
-        // The first two are with a thread before the others queue up.
-        while echo.inside.load(Ordering::SeqCst) < (n + 1).min(2) {
-            std::thread::yield_now();
-        }
+        let mut stream = connect(addr);
+        send_get(&mut stream, "/pool/gate");
+        blocked.push(stream);
+        // The first two occupy the threads before the others are queued.
+        handler.await_entered((n + 1).min(2));
     }
-    let mut other = TcpStream::connect(addr).unwrap();
-    assert_eq!(status(&ask(&mut other, "/now")), "200");
-    let refused = ask(&mut other, "/gate");
-    assert!(
-        refused.starts_with("HTTP/1.1 503") && refused.contains("Retry-After: 1"),
-        "{refused}"
-    );
-    *echo.gate.lock().unwrap() = true;
-    echo.opened.notify_all();
-    for stream in &mut waiting {
-        assert_eq!(status(&answer(stream)), "200");
+    let mut other = connect(addr);
+    assert_eq!(status(&get(&mut other, "/now")), "200");
+    assert_is_told_to_retry(&get(&mut other, "/pool/gate"));
+    handler.open_gate();
+    for stream in &mut blocked {
+        assert_eq!(read_status(stream), "200");
     }
-    assert_eq!(echo.inside.load(Ordering::SeqCst), 10);
+    assert_eq!(handler.entered.load(Ordering::SeqCst), 10);
 }
 
-/// A client that doesn't take its answer holds no thread; one that does gets all of it. Unfinished
-/// requests together have a bound in memory.
 #[test]
-fn slow_readers_and_unfinished_bodies_are_bounded() {
-    let limits = ServerLimits {
-        max_connections: 400,
-        max_pool_threads: 1,
+fn incomplete_requests_together_are_bounded_in_memory() {
+    let (addr, _) = start_server(ServerLimits {
         max_buffered_bytes: 40 * 1024,
-    };
-    let (addr, _) = start_with(limits);
-    let mut body = b"POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n".to_vec();
-    body.resize(30 * 1024, 0);
-    let mut first = TcpStream::connect(addr).unwrap();
-    first.write_all(&body).unwrap();
-    let mut second = TcpStream::connect(addr).unwrap();
-    second
-        .set_read_timeout(Some(Duration::from_secs(20)))
-        .unwrap();
-    let _ = second.write_all(&body);
-    // One of the two is more than may be held.
+        ..limits(400, 1)
+    });
+    let mut incomplete = b"POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n".to_vec();
+    incomplete.resize(30 * 1024, 0);
+    let mut first = connect(addr);
+    first.write_all(&incomplete).unwrap();
+    let mut second = connect(addr);
+    second.set_read_timeout(Some(PATIENCE)).unwrap();
+    let _ = second.write_all(&incomplete);
+    // Both together exceed the limit: the server closes one.
     assert!(!matches!(second.read(&mut [0u8; 1]), Ok(n) if n > 0));
-    drop((first, second));
+}
 
-    let (addr, _) = start_with(ServerLimits {
+/// A client that doesn't read its response occupies no thread; when it reads, it gets all of it.
+#[test]
+fn a_slow_reader_occupies_no_thread() {
+    let (addr, _) = start_server(ServerLimits {
         max_buffered_bytes: 64 << 20,
-        ..limits
+        ..limits(400, 1)
     });
-    let mut reader = TcpStream::connect(addr).unwrap();
-    reader.write_all(b"GET /large HTTP/1.1\r\n\r\n").unwrap();
-    let mut other = TcpStream::connect(addr).unwrap();
-    assert_eq!(status(&ask(&mut other, "/wait")), "200");
-    assert_eq!(status(&ask(&mut other, "/now")), "200");
-    assert_eq!(status(&answer(&mut reader)), "200");
-    let mut body = vec![0u8; 8 * 1024 * 1024];
+    let mut reader = connect(addr);
+    send_get(&mut reader, "/large");
+    let mut other = connect(addr);
+    assert_eq!(status(&get(&mut other, "/pool")), "200");
+    assert_eq!(status(&get(&mut other, "/now")), "200");
+    assert_eq!(read_status(&mut reader), "200");
+    let mut body = vec![0u8; LARGE_BODY_BYTES];
     reader.read_exact(&mut body).unwrap();
-    assert!(body.iter().all(|b| *b == 7));
+    assert!(body.iter().all(|byte| *byte == 7));
 }
 
-/// Hundreds of heartbeats may be due at once: whoever asks for something else waits for a few of them
-/// and not for all, and they are all answered.
+/// Hundreds of heartbeats may be due at the same moment: a request of normal priority waits for a few of
+/// them and not for all, and all are answered.
 #[test]
-fn others_do_not_wait_for_all_that_is_routine() {
-    let limits = ServerLimits {
-        max_connections: 400,
-        max_pool_threads: 2,
-        max_buffered_bytes: 1 << 20,
-    };
-    let (addr, echo) = start_with(limits);
-    let mut user = TcpStream::connect(addr).unwrap();
-    assert_eq!(status(&ask(&mut user, "/now")), "200");
-    let mut workers: Vec<TcpStream> = (0..200)
-        .map(|_| TcpStream::connect(addr).unwrap())
-        .collect();
+fn normal_requests_do_not_wait_for_all_low_priority_ones() {
+    let (addr, handler) = start_server(limits(400, 2));
+    let mut user = connect(addr);
+    assert_eq!(status(&get(&mut user, "/now")), "200");
+    let mut workers = connect_many(addr, 200);
     for worker in &mut workers {
-        assert_eq!(status(&ask(worker, "/low-priority")), "200");
-    }
-    echo.order.lock().unwrap().clear();
-    let send = |s: &mut TcpStream, path: &str| {
-        let request = format!("GET {path} HTTP/1.1\r\n\r\n");
-        s.write_all(request.as_bytes()).unwrap();
-    };
-    // While one holds up the thread that all share, all the others become due, the user last.
-    send(&mut workers[0], "/low-priority/gate");
-    while echo.inside.load(Ordering::SeqCst) < 1 {
-        std::thread::yield_now();
+        assert_eq!(status(&get(worker, "/low-priority")), "200");
     }
+    handler.event_loop_paths.lock().unwrap().clear();
+    // While one request blocks the event loop, all others become due, the user's last.
+    send_get(&mut workers[0], "/low-priority/gate");
+    handler.await_entered(1);
     for worker in &mut workers[1..] {
-        send(worker, "/low-priority");
+        send_get(worker, "/low-priority");
     }
-    send(&mut user, "/now");
-    *echo.gate.lock().unwrap() = true;
-    echo.opened.notify_all();
-    assert_eq!(status(&answer(&mut user)), "200");
+    send_get(&mut user, "/now");
+    handler.open_gate();
+    assert_eq!(read_status(&mut user), "200");
     for worker in &mut workers {
-        assert_eq!(status(&answer(worker)), "200");
+        assert_eq!(read_status(worker), "200");
     }
-    let order = echo.order.lock().unwrap();
-    let before = order.iter().position(|path| path == "/now").unwrap();
-    assert!(before <= 16, "{before} of {} came first", order.len() - 1);
+    let paths = handler.event_loop_paths.lock().unwrap();
+    let before = paths.iter().position(|path| path == "/now").unwrap();
+    assert!(before <= 16, "{before} of {} came first", paths.len() - 1);
 }
 
-/// A client that sends all of a body that is too large reads why it was refused, and nothing of the
+/// A client that sends all of a body that is too large can read why it was rejected, and nothing of the
 /// body is kept.
 #[test]
-fn what_is_too_large_is_refused_and_not_kept() {
-    let (addr, _) = start_with(ServerLimits {
-        max_connections: 50,
-        max_pool_threads: 1,
+fn a_too_large_body_is_rejected_and_discarded() {
+    let (addr, _) = start_server(ServerLimits {
         max_buffered_bytes: 1024,
+        ..limits(50, 1)
     });
-    let mut large = b"POST /x HTTP/1.1\r\nContent-Length: 4000000\r\n\r\n".to_vec();
-    large.resize(4_000_000, 7);
+    let mut request = b"POST /x HTTP/1.1\r\nContent-Length: 4000000\r\n\r\n".to_vec();
+    request.resize(4_000_000, 7);
     for _ in 0..8 {
-        let mut client = TcpStream::connect(addr).unwrap();
-        client.write_all(&large).unwrap();
-        assert_eq!(status(&answer(&mut client)), "413");
-        // And that nothing more comes.
-        assert_eq!(client.read(&mut [0u8; 1]).unwrap(), 0);
+        let mut client = connect(addr);
+        client.write_all(&request).unwrap();
+        assert_eq!(read_status(&mut client), "413");
+        let received = client.read(&mut [0u8; 1]).unwrap();
+        assert_eq!(received, 0, "the response must be the last that is sent");
     }
 }
 
-/// Requests that wait for a thread are bounded in bytes as well: of large ones few may wait.
+/// The queue of the worker pool is bounded in bytes as well: few large requests may wait.
 #[test]
-fn large_requests_that_wait_are_bounded() {
-    let (addr, echo) = start_with(ServerLimits {
-        max_connections: 50,
-        max_pool_threads: 1,
+fn large_requests_in_the_queue_are_bounded_in_bytes() {
+    let (addr, handler) = start_server(ServerLimits {
         max_buffered_bytes: 100 * 1024,
+        ..limits(50, 1)
     });
-    let large = |path: &str| {
-        let mut request = format!("POST {path} HTTP/1.1\r\nContent-Length: 60000\r\n\r\n");
+    let send_large = || {
+        let mut request = "POST /pool/gate HTTP/1.1\r\nContent-Length: 60000\r\n\r\n".to_string();
         request.push_str(&"x".repeat(60_000));
-        let mut client = TcpStream::connect(addr).unwrap();
+        let mut client = connect(addr);
         client.write_all(request.as_bytes()).unwrap();
         client
     };
-    let mut first = large("/gate");
-    while echo.inside.load(Ordering::SeqCst) < 1 {
-        std::thread::yield_now();
-    }
-    // One waits, and of two more that together are too much one is told to come back.
-    let mut others = [large("/gate"), large("/gate")];
-    let told = |s: &mut TcpStream| status(&answer(s)).to_string();
-    let (send, refused) = std::sync::mpsc::channel();
-    for client in &mut others {
-        let mut client = client.try_clone().unwrap();
-        let send = send.clone();
-        std::thread::spawn(move || send.send(status(&answer(&mut client)).to_string()));
+    let mut first = send_large();
+    handler.await_entered(1);
+    // One may wait; of two, which together are too large, one is told to come back.
+    let (sender, statuses) = std::sync::mpsc::channel();
+    for mut client in [send_large(), send_large()] {
+        let sender = sender.clone();
+        std::thread::spawn(move || sender.send(read_status(&mut client)));
     }
-    assert_eq!(refused.recv().unwrap(), "503");
-    *echo.gate.lock().unwrap() = true;
-    echo.opened.notify_all();
-    assert_eq!(refused.recv().unwrap(), "200");
-    assert_eq!(told(&mut first), "200");
+    assert_eq!(statuses.recv().unwrap(), "503");
+    handler.open_gate();
+    assert_eq!(statuses.recv().unwrap(), "200");
+    assert_eq!(read_status(&mut first), "200");
 }
