--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -4,7 +4,7 @@
 use super::wire::{Catalog, MachineList, Names, RentRequest};
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode, json_len};
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::sync::Arc;
@@ -34,13 +34,13 @@
             }
         }
         match self.cloud.call(method, path, body, CALL_TIME) {
-            Ok((429, _)) => {
+            Ok(answer) if answer.status == 429 => {
                 let pause = Micros::from_millis(500 + fastrand::u64(0..500));
                 let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
                 tokens.punish(pause, now);
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(answer) => Some((answer.status, answer.body)),
             Err(e) => {
                 log::debug!("cloud: {path}: {e}");
                 None
@@ -102,11 +102,11 @@
             } else if let Some(catalog) = self.fetch_catalog() {
                 self.set_catalog(&catalog);
             } else {
-                pause(&*self.os, 300, 600);
+                random_pause(&*self.os, 300, 600);
             }
         }
         loop {
-            pause(&*self.os, 240_000, 360_000);
+            random_pause(&*self.os, 240_000, 360_000);
             if let Some(catalog) = self.fetch_catalog() {
                 self.set_catalog(&catalog);
             }
