--- a/crates/links/tests/decisions.rs
+++ b/crates/link-health/tests/decisions.rs
@@ -1,14 +1,18 @@
 //! When the lead is handed over, who stands first, and which views count.
 
-use aspenreel_links::election::{Candidate, LONGEST_WAIT};
-use aspenreel_links::evidence::NodeName;
-use aspenreel_links::handover::{Handover, HandoverPlanner, HandoverRecord, Reason, Situation};
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::report::{LinkReport, ReportError};
-use aspenreel_links::settings::LinkSettings;
-use aspenreel_links::time::{Micros, Moment, WallTime};
-use aspenreel_links::view::{BelievedFor, LinkView, MAX_VIEW_BYTES, PeerView, ViewBook, ViewError};
-use aspenreel_links::workers::Hearing;
+use aspenreel_link_health::election::{Candidate, LONGEST_WAIT};
+use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::handover::{
+    Handover, HandoverPlanner, HandoverRecord, Reason, Situation,
+};
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::report::{LinkReport, ReportError};
+use aspenreel_link_health::settings::LinkSettings;
+use aspenreel_link_health::time::{Micros, Moment, WallTime};
+use aspenreel_link_health::view::{
+    BelievedFor, LinkView, MAX_VIEW_BYTES, PeerView, ViewBook, ViewError,
+};
+use aspenreel_link_health::workers::Hearing;
 use std::collections::BTreeMap;
 
 const HOUR_MS: u64 = 3_600_000;
--- a/crates/links/tests/states.rs
+++ b/crates/link-health/tests/states.rs
@@ -1,12 +1,12 @@
 //! What the states of links do: kept traces, one line for each observation that changed something.
 
-use aspenreel_links::evidence::{Evidence, Failure, Link, NodeName, Outcome};
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::permissions::Permissions;
-use aspenreel_links::settings::LinkSettings;
-use aspenreel_links::time::{Micros, Moment};
-use aspenreel_links::tracker::{LinkChange, LinkTracker};
-use aspenreel_links::workers::{Hearing, RefusedWorkers};
+use aspenreel_link_health::evidence::{Evidence, Failure, Link, NodeName, Outcome};
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::permissions::Permissions;
+use aspenreel_link_health::settings::LinkSettings;
+use aspenreel_link_health::time::{Micros, Moment};
+use aspenreel_link_health::tracker::{LinkChange, LinkTracker};
+use aspenreel_link_health::workers::{Hearing, RefusedWorkers};
 
 const FAILED: Outcome = Outcome::Failed(Failure::NoAnswer);
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: `aspenreel serve --config FILE`, with every flag also a variable, and an operator's
 //! commands.
 
-use crate::links::LinkOptions;
+use crate::link_health::LinkOptions;
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::path::PathBuf;
 
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -1,10 +1,10 @@
 //! What the controllers say to each other: borsh in length-prefixed frames over TCP.
 
 use crate::jobs::JobView;
-use crate::links::EvidenceSink;
+use crate::link_health::EvidenceSink;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_links::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::evidence::{Failure, Link, Outcome};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod invariants;
 pub mod jobs;
 pub mod leadership;
-pub mod links;
+pub mod link_health;
 pub mod logging;
 pub mod os;
 pub mod placement;
--- a/src/links/command.rs
+++ b/src/link_health/command.rs
@@ -2,8 +2,8 @@
 
 use crate::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
 use crate::settings::Settings;
-use aspenreel_links::evidence::NodeName;
-use aspenreel_links::report::{LinkReport, LinkRow, PeerRow, ReportError};
+use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::report::{LinkReport, LinkRow, PeerRow, ReportError};
 use serde::Serialize;
 use std::fmt::Write;
 use std::io::{Error, ErrorKind};
--- a/src/links/handover.rs
+++ b/src/link_health/handover.rs
@@ -5,9 +5,9 @@
 use crate::leadership::{HINT_KEY, LEADER_KEY, LeaderLease};
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::Micros;
-use aspenreel_links::election::Candidate;
-use aspenreel_links::evidence::{Link, NodeName};
-use aspenreel_links::handover::{HandoverPlanner, HandoverRecord, Reason};
+use aspenreel_link_health::election::Candidate;
+use aspenreel_link_health::evidence::{Link, NodeName};
+use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord, Reason};
 use std::time::Duration;
 
 /// The last handover.
--- a/src/links/mod.rs
+++ b/src/link_health/mod.rs
@@ -1,6 +1,6 @@
 //! Half-cut links: what this controller believes about its links, and what follows from it.
 //!
-//! The decisions are made by the crate [`aspenreel_links`]; this slice feeds it and acts on it. All
+//! The decisions are made by the crate [`aspenreel_link_health`]; this slice feeds it and acts on it. All
 //! threads that call anything leave evidence in a lock-free queue ([`EvidenceSink`]); one thread
 //! ([`watch`]) drains it, keeps the states and publishes them; another ([`exchange`]) asks peers for
 //! their views and probes what is silent. Readers of the published states take no lock.
@@ -21,14 +21,14 @@
 use crate::settings::Settings;
 use crate::time::{Micros, Moment, WallTime};
 use arc_swap::ArcSwap;
-use aspenreel_links::evidence::NodeName;
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::permissions::Permissions;
-use aspenreel_links::report::LinkReport;
-use aspenreel_links::settings::LinkSettings;
-use aspenreel_links::tracker::LinkTracker;
-use aspenreel_links::view::{BelievedFor, LinkView, ViewBook, ViewError};
-use aspenreel_links::workers::{Hearing, RefusedWorkers};
+use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::permissions::Permissions;
+use aspenreel_link_health::report::LinkReport;
+use aspenreel_link_health::settings::LinkSettings;
+use aspenreel_link_health::tracker::LinkTracker;
+use aspenreel_link_health::view::{BelievedFor, LinkView, ViewBook, ViewError};
+use aspenreel_link_health::workers::{Hearing, RefusedWorkers};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/src/links/options.rs
+++ b/src/link_health/options.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::SettingsError;
 use crate::time::Micros;
-use aspenreel_links::settings::LinkSettings;
+use aspenreel_link_health::settings::LinkSettings;
 use clap::Args;
 
 /// Watching links, and what depends on it.
--- a/src/links/sink.rs
+++ b/src/link_health/sink.rs
@@ -1,6 +1,6 @@
 //! Where every thread leaves what its calls showed, without waiting for anybody.
 
-use aspenreel_links::evidence::{Evidence, Link, Outcome};
+use aspenreel_link_health::evidence::{Evidence, Link, Outcome};
 use crossbeam_queue::ArrayQueue;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/src/links/watch.rs
+++ b/src/link_health/watch.rs
@@ -3,13 +3,13 @@
 use super::{Links, Published, lock};
 use crate::controller::{Controller, ControllerState};
 use crate::time::{Micros, Moment};
-use aspenreel_links::evidence::{Link, NodeName};
-use aspenreel_links::handover::Situation;
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::report::{LinkReport, PeerRow};
-use aspenreel_links::tracker::LinkChange;
-use aspenreel_links::view::PeerView;
-use aspenreel_links::workers::Hearing;
+use aspenreel_link_health::evidence::{Link, NodeName};
+use aspenreel_link_health::handover::Situation;
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::report::{LinkReport, PeerRow};
+use aspenreel_link_health::tracker::LinkChange;
+use aspenreel_link_health::view::PeerView;
+use aspenreel_link_health::workers::Hearing;
 use std::collections::BTreeMap;
 
 const TICK: Micros = Micros::from_millis(250);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
 use aspenreel::controller::Controller;
 use aspenreel::leadership::rollback::allow_earlier_versions;
-use aspenreel::links::command::{ask_for_links, exit_code, links_json, links_table};
+use aspenreel::link_health::command::{ask_for_links, exit_code, links_json, links_table};
 use aspenreel::os::System;
 use aspenreel::settings::Settings;
 use aspenreel::state_store::Store;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -17,7 +17,7 @@
 use crate::time::{Micros, Moment, WallTime, at_most};
 use crate::workers::fencing::Fencing;
 use crate::workers::{CommandQueue, DesiredState, Machine};
-use aspenreel_links::permissions::Permissions;
+use aspenreel_link_health::permissions::Permissions;
 use overload::OverloadMonitor;
 use prior_term::PriorTerm;
 use run_times::ClassStatistics;
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -3,7 +3,7 @@
 use super::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
-use aspenreel_links::workers::Hearing;
+use aspenreel_link_health::workers::Hearing;
 use std::collections::BTreeMap;
 
 impl SchedulerState {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     #[error(transparent)]
-    Links(#[from] aspenreel_links::settings::SettingsConflict),
+    Links(#[from] aspenreel_link_health::settings::SettingsConflict),
     #[error("{0} has no meaning without --half-cut-links")]
     WithoutLinks(&'static str),
     #[error("settings {0}: {1}")]
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -5,10 +5,10 @@
 
 use crate::http::cbor::{decode, encode};
 use crate::http::client::CallError;
-use crate::links::EvidenceSink;
+use crate::link_health::EvidenceSink;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
-use aspenreel_links::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::evidence::{Failure, Link, Outcome};
 use bucket::TokenBucket;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -3,9 +3,9 @@
 use crate::nodes::{Nodes, leader, newest, serving, spawn, spawn_watching};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
 use aspenreel::settings::Settings;
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::view::LinkView;
-use aspenreel_links::workers::Hearing;
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::view::LinkView;
+use aspenreel_link_health::workers::Hearing;
 use serde_json::Value;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
