--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -6,7 +6,9 @@
 use crate::world::{LEASE_S, REPORT_S, State, World};
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
-use aspenreel::workers::wire::{Cause, Order, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
+};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct Task {
     status: TaskStatus,
-    cause: Option<Cause>,
+    exit_reason: Option<ExitReason>,
     /// When what it does now ends, and a count that tells its timers apart.
     ends: Time,
     timer: u64,
@@ -39,9 +41,9 @@
     pub(crate) up_at: Time,
     pub(crate) gone_at: Option<Time>,
     pub(crate) died_at: Option<Time>,
-    session: u64,
-    tick: u64,
-    token: u64,
+    agent_epoch: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// When the last answered report was sent, or the session began.
     lease_from: Time,
     tasks: BTreeMap<(String, u64), Task>,
@@ -61,7 +63,7 @@
     pub mute_until: Time,
     pub deaf_until: Time,
     /// When the cloud takes it, once it has said so.
-    recall_at: Option<Time>,
+    preempted_at: Option<Time>,
 }
 
 impl Machine {
@@ -76,32 +78,32 @@
     fn free(&self, plans: impl Fn(&str) -> f64) -> f64 {
         let held = self.tasks.iter();
         let held = held.filter(|(_, t)| t.status != TaskStatus::Exited);
-        self.cpus - held.map(|((piece, _), _)| plans(piece)).sum::<f64>()
+        self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
     }
 
-    fn report(&mut self, now: Time) -> Report {
-        self.tick += 1;
-        Report {
+    fn report(&mut self, now: Time) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            tick: self.tick,
-            token: self.token,
-            recall: self
-                .recall_at
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: self
+                .preempted_at
                 .map(|at| Number(at.saturating_sub(now) as f64 / 1e6)),
             tasks: self
                 .tasks
                 .iter()
-                .map(|((piece, attempt), t)| TaskReport {
-                    piece: piece.clone(),
+                .map(|((task_id, attempt), t)| ReportedTask {
+                    task_id: task_id.clone(),
                     attempt: *attempt,
                     status: t.status,
-                    cause: t.cause,
-                    stored: None,
+                    exit_reason: t.exit_reason,
+                    checkpointed: None,
                 })
                 .collect(),
         }
@@ -117,7 +119,7 @@
 
     /// True if the job could start one more task here: the worker serves and has room.
     pub fn could_take(&self, plan: &JobPlan) -> bool {
-        let serves = self.alive() && self.lease_from > 0 && self.token > 0;
+        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > 0;
         // Whatever runs here takes as much at least: good enough for a bound on waits.
         let held = self.tasks.values();
         let held = held.filter(|t| t.status != TaskStatus::Exited).count() as f64;
@@ -128,14 +130,14 @@
     }
 }
 
-fn split(piece: &str) -> (&str, u32) {
-    let (id, task) = piece.rsplit_once('/').unwrap();
+fn split(task_id: &str) -> (&str, u32) {
+    let (id, task) = task_id.rsplit_once('/').unwrap();
     (id, task.parse().unwrap())
 }
 
 impl State {
-    fn plan(&self, piece: &str) -> Option<&JobPlan> {
-        Some(&self.users.get(split(piece).0)?.plan)
+    fn plan(&self, task_id: &str) -> Option<&JobPlan> {
+        Some(&self.users.get(split(task_id).0)?.plan)
     }
 
     fn machine_at(&mut self, addr: SocketAddr) -> Option<&mut Machine> {
@@ -167,9 +169,9 @@
                 up_at: first,
                 gone_at: None,
                 died_at: None,
-                session: 1,
-                tick: 0,
-                token: 0,
+                agent_epoch: 1,
+                sequence: 0,
+                fencing_token: 0,
                 lease_from: first,
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
@@ -185,7 +187,7 @@
                 holds: false,
                 mute_until: 0,
                 deaf_until: 0,
-                recall_at: None,
+                preempted_at: None,
             };
             state.machines.insert(name.clone(), machine);
             (name, first)
@@ -211,13 +213,13 @@
             drop(state);
             return self.at_time(ends, move |w| w.watch_lease(&worker));
         }
-        m.session += 1;
+        m.agent_epoch += 1;
         m.lease_from = now;
         m.in_flight = None;
         let lost = std::mem::take(&mut m.tasks);
-        for ((piece, _), task) in lost {
+        for ((task_id, _), task) in lost {
             if on_machine(&task) {
-                let (id, n) = split(&piece);
+                let (id, n) = split(&task_id);
                 state.checker.leaves(id, n, name, false);
             }
         }
@@ -333,7 +335,7 @@
     fn by_heartbeat(
         self: &Arc<Self>,
         n: usize,
-        report: &Report,
+        report: &Heartbeat,
     ) -> Result<(u16, Vec<u8>), Option<Time>> {
         let (process, node) = {
             let state = self.state();
@@ -357,7 +359,7 @@
         Ok((if late { 503 } else { response.status }, response.body))
     }
 
-    fn report_arrives(self: &Arc<Self>, n: usize, report: Report, flight: u64, sent: Time) {
+    fn report_arrives(self: &Arc<Self>, n: usize, report: Heartbeat, flight: u64, sent: Time) {
         let zone = report.zone.clone();
         let lost = self.state().is_cut(End::Workers, End::Node(n), self.now());
         if lost || !self.reaches(n, &zone) {
@@ -394,12 +396,12 @@
         let back = self.latency();
         let name = report.machine.clone();
         self.after(back, move |w| {
-            w.answer_arrives(&name, report.session, flight, sent, answer);
+            w.answer_arrives(&name, report.agent_epoch, flight, sent, answer);
         });
     }
 
     /// A report that nobody waits for an answer to any more.
-    pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Report) {
+    pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Heartbeat) {
         if let Err(Some(until)) = self.by_heartbeat(n, report) {
             let report = report.clone();
             self.at_time(until, move |w| w.copy_arrives(n, &report));
@@ -409,7 +411,7 @@
     fn answer_arrives(
         self: &Arc<Self>,
         name: &str,
-        session: u64,
+        agent_epoch: u64,
         flight: u64,
         sent: Time,
         answer: Option<(u16, Vec<u8>)>,
@@ -427,7 +429,7 @@
             let (until, name) = (m.hung_until, name.to_string());
             drop(state);
             return self.at_time(until, move |w| {
-                w.answer_arrives(&name, session, flight, sent, answer);
+                w.answer_arrives(&name, agent_epoch, flight, sent, answer);
             });
         }
         if now - sent > PATIENCE || m.cut_until > now || m.deaf_until > now {
@@ -435,17 +437,17 @@
         }
         m.in_flight = None;
         let mut next = now + (REPORT_S * 1e6) as Time;
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         match answer {
             Some((200, body)) => {
-                let answer: aspenreel::workers::wire::Orders = decode(&body).unwrap();
-                if answer.token >= m.token && session == m.session {
-                    if answer.token > m.token {
+                let answer: aspenreel::workers::wire::HeartbeatReplyBody = decode(&body).unwrap();
+                if answer.fencing_token >= m.fencing_token && agent_epoch == m.agent_epoch {
+                    if answer.fencing_token > m.fencing_token {
                         next = now + 500_000;
                     }
-                    m.token = answer.token;
+                    m.fencing_token = answer.fencing_token;
                     m.lease_from = sent;
-                    orders = answer.orders;
+                    commands = answer.commands;
                 }
             }
             Some((421, body)) => {
@@ -474,7 +476,7 @@
             next
         };
         self.report_at(name, next);
-        self.execute(name, &orders);
+        self.execute(name, &commands);
     }
 
     /// Commands reach a worker's address, or don't; `then` gets what it answers.
@@ -509,26 +511,27 @@
             return;
         }
         #[derive(Deserialize)]
-        struct Commands {
+        struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<Order>,
+            #[serde(rename = "orders")]
+            commands: Vec<WorkerCommand>,
         }
-        let commands: Commands = decode(&body).unwrap();
+        let commands: DirectCommands = decode(&body).unwrap();
         let name = {
             let mut state = self.state();
             let Some(m) = state.machine_at(addr) else {
                 return;
             };
-            if commands.baton < m.token || commands.shift != m.session {
+            if commands.baton < m.fencing_token || commands.shift != m.agent_epoch {
                 let report = m.report(now);
                 drop(state);
                 return then(self, (409, encode(&report)));
             }
-            m.token = commands.baton;
+            m.fencing_token = commands.baton;
             m.name.clone()
         };
-        self.execute(&name, &commands.orders);
+        self.execute(&name, &commands.commands);
         let mut state = self.state();
         let report = state.machines.get_mut(&name).map(|m| m.report(now));
         drop(state);
@@ -538,12 +541,12 @@
         }
     }
 
-    fn execute(self: &Arc<Self>, name: &str, orders: &[Order]) {
+    fn execute(self: &Arc<Self>, name: &str, commands: &[WorkerCommand]) {
         let now = self.now();
         let fetch = secs(self.setup.fetch_s);
         let mut changed = false;
-        for o in orders {
-            let key = (o.piece.clone(), o.attempt);
+        for o in commands {
+            let key = (o.task_id.clone(), o.attempt);
             let mut state = self.state();
             let State {
                 machines,
@@ -556,19 +559,19 @@
             let Some(m) = machines.get_mut(name) else {
                 return;
             };
-            let plan_of = |piece: &str| users.get(split(piece).0).map(|u| &u.plan);
-            match o.verb {
-                Verb::Run if !m.tasks.contains_key(&key) => {
+            let plan_of = |task_id: &str| users.get(split(task_id).0).map(|u| &u.plan);
+            match o.kind {
+                CommandKind::Run if !m.tasks.contains_key(&key) => {
                     starts_by_term.push((now, o.attempt >> 32));
                     changed = true;
-                    let here = |(p, _): &(String, u64)| *p == o.piece;
+                    let here = |(p, _): &(String, u64)| *p == o.task_id;
                     let mut other = m.tasks.iter().filter(|(k, _)| here(k));
                     let busy = other.any(|(_, t)| t.status != TaskStatus::Exited);
                     let cpus = |p: &str| plan_of(p).map_or(0.0, |p| p.cpus);
-                    let refused = match plan_of(&o.piece) {
-                        None => Some(Cause::NoSuch),
-                        Some(_) if busy => Some(Cause::Busy),
-                        Some(plan) if plan.cpus > m.free(cpus) => Some(Cause::Full),
+                    let refused = match plan_of(&o.task_id) {
+                        None => Some(ExitReason::NoSuch),
+                        Some(_) if busy => Some(ExitReason::Busy),
+                        Some(plan) if plan.cpus > m.free(cpus) => Some(ExitReason::Full),
                         Some(_) => None,
                     };
                     m.timers += 1;
@@ -582,7 +585,7 @@
                             None => TaskStatus::Fetching,
                             Some(_) => TaskStatus::Exited,
                         },
-                        cause: refused,
+                        exit_reason: refused,
                         ends: now + wait,
                         timer: m.timers,
                     };
@@ -594,16 +597,16 @@
                         self.at_time(at, move |w| w.moves_on(&name, &key, timer));
                     }
                 }
-                Verb::Stop => {
-                    let save = plan_of(&o.piece).map_or(0.0, |p| p.save_s);
+                CommandKind::Stop => {
+                    let save = plan_of(&o.task_id).map_or(0.0, |p| p.save_s);
                     let Some(t) = m.tasks.get_mut(&key) else {
                         continue;
                     };
                     let saves = save > 0.0
-                        && o.leeway_s.is_some_and(|l| l >= save)
+                        && o.grace_period_s.is_some_and(|l| l >= save)
                         && t.status == TaskStatus::Running;
                     if t.status == TaskStatus::Exited
-                        || (t.status == TaskStatus::Flushing && o.leeway_s != Some(0.0))
+                        || (t.status == TaskStatus::Flushing && o.grace_period_s != Some(0.0))
                     {
                         continue;
                     }
@@ -619,20 +622,20 @@
                     } else {
                         let left = on_machine(t);
                         t.status = TaskStatus::Exited;
-                        t.cause = Some(Cause::Stopped);
+                        t.exit_reason = Some(ExitReason::Stopped);
                         if left {
-                            let (id, n) = split(&o.piece);
+                            let (id, n) = split(&o.task_id);
                             checker.leaves(id, n, name, false);
                         }
                     }
                 }
-                Verb::Clear => {
+                CommandKind::Clear => {
                     let exited = |t: &Task| t.status == TaskStatus::Exited;
                     if m.tasks.get(&key).is_some_and(exited) {
                         m.tasks.remove(&key);
                     }
                 }
-                Verb::Run => {}
+                CommandKind::Run => {}
             }
         }
         if changed {
@@ -677,7 +680,7 @@
             }
             TaskStatus::Running => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(Cause::Done);
+                t.exit_reason = Some(ExitReason::Done);
                 let ends = plan.is_none_or(|p| !p.standing);
                 checker.leaves(id, n, name, ends);
                 let id = id.to_string();
@@ -686,7 +689,7 @@
             }
             TaskStatus::Flushing => {
                 t.status = TaskStatus::Exited;
-                t.cause = Some(Cause::Stopped);
+                t.exit_reason = Some(ExitReason::Stopped);
                 checker.leaves(id, n, name, false);
                 drop(state);
             }
@@ -756,8 +759,8 @@
     }
 
     /// The cloud takes spot machines, after a notice.
-    pub fn recall(self: &Arc<Self>, names: &[String], notice: f64) {
-        self.change_machines(names, notice, |m, until| m.recall_at = Some(until));
+    pub fn give_preemption_notice(self: &Arc<Self>, names: &[String], notice: f64) {
+        self.change_machines(names, notice, |m, until| m.preempted_at = Some(until));
         for name in names {
             self.report_soon(name);
             let name = name.clone();
@@ -785,9 +788,9 @@
             return;
         };
         change(m, now);
-        for ((piece, _), task) in std::mem::take(&mut m.tasks) {
+        for ((task_id, _), task) in std::mem::take(&mut m.tasks) {
             if on_machine(&task) {
-                let (id, n) = split(&piece);
+                let (id, n) = split(&task_id);
                 checker.leaves(id, n, name, false);
             }
         }
@@ -798,10 +801,11 @@
 pub fn foreman_of(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct Hint {
-        foreman: Option<String>,
+        #[serde(rename = "foreman")]
+        leader: Option<String>,
     }
     let hint: Hint = decode(body).unwrap();
-    hint.foreman
+    hint.leader
 }
 
 /// It has its image and has not ended.
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -6,7 +6,9 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::workers::wire::{Cause, Order, Orders, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
+};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -54,15 +56,15 @@
 }
 
 struct Task {
-    report: TaskReport,
+    report: ReportedTask,
     ends: Option<Instant>,
 }
 
 struct Inner {
     tasks: Vec<Task>,
-    token: u64,
-    session: u64,
-    tick: u64,
+    fencing_token: u64,
+    agent_epoch: u64,
+    sequence: u64,
     /// When the last report that was answered was sent, or the session began.
     lease_from: Instant,
     /// The cloud took the machine back.
@@ -108,8 +110,8 @@
         }
     }
 
-    fn note_start(&self, piece: &str, machine: &str) {
-        let (job, task) = parts(piece);
+    fn note_start(&self, task_id: &str, machine: &str) {
+        let (job, task) = parts(task_id);
         let place = Place {
             machine: machine.into(),
             zone: "east".into(),
@@ -118,14 +120,14 @@
         self.note(|checker, now| checker.starts(job, task, &place, now));
     }
 
-    fn note_end(&self, piece: &str, machine: &str, done: bool) {
-        let (job, task) = parts(piece);
+    fn note_end(&self, task_id: &str, machine: &str, done: bool) {
+        let (job, task) = parts(task_id);
         self.note(|checker, _| checker.leaves(job, task, machine, done));
     }
 }
 
-fn parts(piece: &str) -> (&str, u32) {
-    let (job, task) = piece.rsplit_once('/').unwrap();
+fn parts(task_id: &str) -> (&str, u32) {
+    let (job, task) = task_id.rsplit_once('/').unwrap();
     (job, task.parse().unwrap())
 }
 
@@ -138,9 +140,9 @@
             at: AtomicUsize::new(0),
             inner: Mutex::new(Inner {
                 tasks: Vec::new(),
-                token: 0,
-                session: 1,
-                tick: 0,
+                fencing_token: 0,
+                agent_epoch: 1,
+                sequence: 0,
                 lease_from: Instant::now(),
                 gone: false,
             }),
@@ -160,7 +162,7 @@
         let mut inner = self.inner.lock().unwrap();
         inner.gone = true;
         for task in &mut inner.tasks {
-            self.exit(task, Cause::Stopped);
+            self.exit(task, ExitReason::Stopped);
         }
         inner.tasks.clear();
     }
@@ -169,42 +171,46 @@
         self.inner.lock().unwrap().gone
     }
 
-    fn execute(&self, orders: &[Order]) {
+    fn execute(&self, commands: &[WorkerCommand]) {
         let mut inner = self.inner.lock().unwrap();
-        for o in orders {
+        for o in commands {
             let at = inner
                 .tasks
                 .iter()
-                .position(|t| t.report.piece == o.piece && t.report.attempt == o.attempt);
-            match (o.verb, at) {
-                (Verb::Run, None) => {
+                .position(|t| t.report.task_id == o.task_id && t.report.attempt == o.attempt);
+            match (o.kind, at) {
+                (CommandKind::Run, None) => {
                     let twice = self
                         .ground
                         .running
                         .lock()
                         .unwrap()
-                        .insert(o.piece.clone(), self.name.clone());
+                        .insert(o.task_id.clone(), self.name.clone());
                     if let Some(other) = twice {
-                        let text = format!("{} on {other} and {}", o.piece, self.name);
+                        let text = format!("{} on {other} and {}", o.task_id, self.name);
                         self.ground.broken.lock().unwrap().push(text);
                     }
-                    self.ground.note_start(&o.piece, &self.name);
-                    self.ground.started.lock().unwrap().insert(o.piece.clone());
-                    let job = o.piece.split('/').next().unwrap();
+                    self.ground.note_start(&o.task_id, &self.name);
+                    self.ground
+                        .started
+                        .lock()
+                        .unwrap()
+                        .insert(o.task_id.clone());
+                    let job = o.task_id.split('/').next().unwrap();
                     let endless = self.ground.endless.lock().unwrap().contains(job);
                     inner.tasks.push(Task {
-                        report: TaskReport {
-                            piece: o.piece.clone(),
+                        report: ReportedTask {
+                            task_id: o.task_id.clone(),
                             attempt: o.attempt,
                             status: TaskStatus::Running,
-                            cause: None,
-                            stored: None,
+                            exit_reason: None,
+                            checkpointed: None,
                         },
                         ends: (!endless).then(|| Instant::now() + self.ground.task_time()),
                     });
                 }
-                (Verb::Stop, Some(i)) => self.exit(&mut inner.tasks[i], Cause::Stopped),
-                (Verb::Clear, Some(i)) => {
+                (CommandKind::Stop, Some(i)) => self.exit(&mut inner.tasks[i], ExitReason::Stopped),
+                (CommandKind::Clear, Some(i)) => {
                     inner.tasks.remove(i);
                 }
                 _ => {}
@@ -212,39 +218,39 @@
         }
     }
 
-    fn exit(&self, task: &mut Task, cause: Cause) {
+    fn exit(&self, task: &mut Task, exit_reason: ExitReason) {
         if task.report.status != TaskStatus::Exited {
             task.report.status = TaskStatus::Exited;
-            task.report.cause = Some(cause);
-            let done = cause == Cause::Done;
-            self.ground.note_end(&task.report.piece, &self.name, done);
+            task.report.exit_reason = Some(exit_reason);
+            let done = exit_reason == ExitReason::Done;
+            self.ground.note_end(&task.report.task_id, &self.name, done);
             self.ground
                 .running
                 .lock()
                 .unwrap()
-                .remove(&task.report.piece);
+                .remove(&task.report.task_id);
         }
     }
 
     /// Its report, to or from the controller with this number.
-    fn report(&self, controller: usize) -> Report {
+    fn report(&self, controller: usize) -> Heartbeat {
         let mut inner = self.inner.lock().unwrap();
         for task in &mut inner.tasks {
             if task.ends.is_some_and(|e| e <= Instant::now()) {
-                self.exit(task, Cause::Done);
+                self.exit(task, ExitReason::Done);
             }
         }
-        inner.tick += 1;
-        Report {
+        inner.sequence += 1;
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr_for(controller),
             type_name: "small".into(),
             zone: "east".into(),
             spot: true,
-            session: inner.session,
-            tick: inner.tick,
-            token: inner.token,
-            recall: None,
+            agent_epoch: inner.agent_epoch,
+            sequence: inner.sequence,
+            fencing_token: inner.fencing_token,
+            preemption_notice_s: None,
             tasks: inner.tasks.iter().map(|t| t.report.clone()).collect(),
         }
     }
@@ -261,26 +267,29 @@
         let mut inner = self.inner.lock().unwrap();
         if inner.lease_from.elapsed() > Duration::from_secs_f64(LEASE_S) {
             for task in &mut inner.tasks {
-                self.exit(task, Cause::Stopped);
+                self.exit(task, ExitReason::Stopped);
             }
             inner.tasks.clear();
-            inner.session += 1;
+            inner.agent_epoch += 1;
             inner.lease_from = Instant::now();
         }
     }
 
     /// The answer to a heartbeat of that session.
-    fn take_answer(&self, answer: &Orders, session: u64, sent: Instant) {
+    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: u64, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
             let mut inner = self.inner.lock().unwrap();
-            if answer.token < inner.token || session != inner.session || inner.gone {
+            if answer.fencing_token < inner.fencing_token
+                || agent_epoch != inner.agent_epoch
+                || inner.gone
+            {
                 return;
             }
-            inner.token = answer.token;
+            inner.fencing_token = answer.fencing_token;
             inner.lease_from = sent;
         }
-        self.execute(&answer.orders);
+        self.execute(&answer.commands);
     }
 
     /// Checks in until the test ends, following hints and trying others after failures.
@@ -297,7 +306,7 @@
             let result = client.call("POST", "/checkin", &body, ANSWER_TIME);
             match result {
                 Ok(ClientResponse { status: 200, body }) => {
-                    self.take_answer(&decode(&body).unwrap(), report.session, sent)
+                    self.take_answer(&decode(&body).unwrap(), report.agent_epoch, sent)
                 }
                 Ok(ClientResponse { status: 421, body }) => {
                     let named = foreman_of(&body)
@@ -313,29 +322,31 @@
 impl Handler for Worker {
     fn handle(&self, r: Request) -> Response {
         #[derive(Deserialize)]
-        struct Commands {
+        struct DirectCommands {
             baton: u64,
             shift: u64,
-            orders: Vec<Order>,
+            #[serde(rename = "orders")]
+            commands: Vec<WorkerCommand>,
         }
-        let commands: Commands = decode(&r.body).unwrap();
+        let commands: DirectCommands = decode(&r.body).unwrap();
         let controller = self.at.load(Ordering::Relaxed);
         // A lease that is over is over before anything else happens, also for an order that was held back.
         self.end_lease();
         let _acting = self.acting.lock().unwrap();
         let is_refused = {
             let mut inner = self.inner.lock().unwrap();
-            let refused =
-                inner.gone || commands.baton < inner.token || commands.shift != inner.session;
+            let refused = inner.gone
+                || commands.baton < inner.fencing_token
+                || commands.shift != inner.agent_epoch;
             if !refused {
-                inner.token = commands.baton;
+                inner.fencing_token = commands.baton;
             }
             refused
         };
         if is_refused {
             return Response::new(409, encode(&self.report(controller)));
         }
-        self.execute(&commands.orders);
+        self.execute(&commands.commands);
         Response::new(200, encode(&self.report(controller)))
     }
 }
--- a/src/node.rs
+++ b/src/controller.rs
@@ -1,20 +1,20 @@
 //! One controller process: what its threads share, and which threads there are.
 
-mod finals;
 mod routes;
+mod terminal_states;
 
-pub use finals::Finals;
+pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
-use crate::cluster::{Cluster, ClusterConfig};
-use crate::fleet::MachineType;
 use crate::http::server::{ServerLimits, serve};
-use crate::jobs::Known;
+use crate::jobs::LocalStatus;
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
-use crate::leadership::{Lead, LeaderRecord};
+use crate::leadership::{LeaderLease, LeaderRecord};
 use crate::links::Links;
 use crate::os::{EventCount, HttpClient, Os, System};
+use crate::provisioning::MachineType;
+use crate::scheduler::{SchedulerConfig, SchedulerState};
 use crate::settings::{Settings, SettingsError};
 use crate::state_store::Store;
 use crate::state_store::bucket::TokenBucket;
@@ -28,7 +28,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const TICK: Micros = Micros::from_millis(250);
+const TIMER_INTERVAL: Micros = Micros::from_millis(250);
 /// A timer that fires this late tells that the process has used up its share of the processor: no
 /// other measure of a share that the system enforces from outside is at hand everywhere.
 const LATE: Micros = Micros::from_millis(25);
@@ -42,20 +42,20 @@
 
 /// What the main lock guards. Nobody waits for the network while holding it.
 #[derive(Debug, Default)]
-pub struct Core {
-    pub lead: Option<Lead>,
+pub struct ControllerState {
+    pub lead: Option<LeaderLease>,
     /// There only while leading, once the state was read.
-    pub cluster: Option<Cluster>,
+    pub scheduler: Option<SchedulerState>,
     pub known_leader: Option<LeaderRecord>,
     /// When the state service last vouched for it.
     pub leader_seen: Moment,
-    pub finals: Finals,
+    pub terminal_states: TerminalStates,
     /// The lead is to be given up.
     pub step_down: bool,
     /// Stood down for want of workers: others go first until then.
     pub abstain_until: Moment,
     /// Heartbeats that were refused lately, as a sign of who workers can reach.
-    pub knocks: VecDeque<Moment>,
+    pub refused_heartbeats: VecDeque<Moment>,
     /// Where the watch on jobs goes on.
     pub jobs_revision: u64,
     /// The newest term that this node has heard of.
@@ -66,12 +66,12 @@
     pub handover: Option<HandoverRecord>,
 }
 
-impl Core {
+impl ControllerState {
     /// The cluster, if this node is entitled to act at `now`.
-    pub fn acting(&mut self, now: Moment) -> Option<(&Lead, &mut Cluster)> {
-        match (&self.lead, &mut self.cluster) {
-            (Some(lead), Some(cluster)) if now < lead.valid_until && !self.step_down => {
-                Some((lead, cluster))
+    pub fn acting(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
+        match (&self.lead, &mut self.scheduler) {
+            (Some(lead), Some(scheduler)) if now < lead.valid_until && !self.step_down => {
+                Some((lead, scheduler))
             }
             _ => None,
         }
@@ -81,7 +81,7 @@
 /// What one thread does.
 pub type Duty = Box<dyn FnOnce() + Send>;
 
-pub struct Node {
+pub struct Controller {
     pub settings: Settings,
     pub options: ServeOptions,
     /// How long the leader's lease lives.
@@ -89,7 +89,7 @@
     pub os: Arc<dyn Os>,
     pub store: Store,
     pub cloud: Arc<dyn HttpClient>,
-    pub core: Mutex<Core>,
+    pub state: Mutex<ControllerState>,
     /// Signalled when records are due and when they were written.
     pub changed: Arc<dyn EventCount>,
     /// Signalled when orders may go straight to workers.
@@ -102,19 +102,19 @@
     /// Connections of users and workers that are open.
     pub open: Arc<AtomicUsize>,
     /// Neither the state service nor any peer answers.
-    pub alone: AtomicBool,
+    pub isolated: AtomicBool,
     /// The record format that all controllers are known to know, as last read.
     pub level: Mutex<Level>,
     /// What is believed of the links, where they are watched.
     pub links: Option<Arc<Links>>,
 }
 
-impl Node {
+impl Controller {
     pub fn new(
         settings: Settings,
         options: ServeOptions,
         os: Arc<dyn Os>,
-    ) -> Result<Node, SettingsError> {
+    ) -> Result<Controller, SettingsError> {
         let asked = options.leader_lease_ms.map(Micros::from_millis);
         let lease_life = settings.leader_lease(asked)?;
         let links = options.links.settings()?;
@@ -136,14 +136,14 @@
                 (member.node.clone(), client)
             })
             .collect();
-        Ok(Node {
+        Ok(Controller {
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
                 .with_evidence(sink),
             cloud: os.http_client(settings.endpoints.cloud),
-            core: Mutex::new(Core {
-                finals: Finals::new(site.quota.remembered()),
-                ..Core::default()
+            state: Mutex::new(ControllerState {
+                terminal_states: TerminalStates::new(site.quota.remembered()),
+                ..ControllerState::default()
             }),
             changed: os.event_count(),
             direct_due: os.event_count(),
@@ -153,7 +153,7 @@
             cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
             catalog: Mutex::new(None),
             open: Arc::default(),
-            alone: AtomicBool::new(false),
+            isolated: AtomicBool::new(false),
             level: Mutex::default(),
             links,
             lease_life,
@@ -163,8 +163,8 @@
         })
     }
 
-    pub fn core(&self) -> MutexGuard<'_, Core> {
-        self.core.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn state(&self) -> MutexGuard<'_, ControllerState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     pub fn now(&self) -> Moment {
@@ -178,9 +178,9 @@
             .clone()
     }
 
-    pub fn cluster_config(&self) -> ClusterConfig {
+    pub fn scheduler_config(&self) -> SchedulerConfig {
         let site = &self.settings.settings;
-        ClusterConfig {
+        SchedulerConfig {
             teams: site.teams.clone(),
             lease: site.workers.lease(),
             cancel: Micros::from_secs_f64(site.workers.cancel_s),
@@ -200,34 +200,34 @@
     }
 
     /// Releases the main lock until something changed, or for so long.
-    pub fn await_change(&self, core: MutexGuard<'_, Core>, most: Duration) {
+    pub fn await_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
         let observed = self.changed.prepare_wait();
-        drop(core);
+        drop(state);
         self.changed.wait(observed, most);
     }
 
     /// What each thread of a process does, for as long as it lives.
     pub fn duties(self: &Arc<Self>) -> Vec<(&'static str, Duty)> {
-        let duty = |run: fn(&Node)| {
+        let duty = |run: fn(&Controller)| {
             let node = self.clone();
             Box::new(move || run(&node)) as Duty
         };
         let mut duties = vec![
-            ("catalog", duty(Node::catalog_loop)),
-            ("lead", duty(Node::lead_loop)),
-            ("rounds", duty(Node::rounds_loop)),
-            ("jobs", duty(Node::jobs_loop)),
-            ("fleet", duty(Node::fleet_loop)),
-            ("tick", duty(Node::tick_loop)),
-            ("company", duty(Node::company_loop)),
-            ("level", duty(Node::level_loop)),
+            ("catalog", duty(Controller::catalog_loop)),
+            ("lead", duty(Controller::lead_loop)),
+            ("rounds", duty(Controller::rounds_loop)),
+            ("jobs", duty(Controller::jobs_loop)),
+            ("fleet", duty(Controller::fleet_loop)),
+            ("tick", duty(Controller::timer_loop)),
+            ("company", duty(Controller::peer_probe_loop)),
+            ("level", duty(Controller::level_loop)),
         ];
         if self.links.is_some() {
-            duties.push(("links", duty(Node::links_loop)));
-            duties.push(("link-exchange", duty(Node::link_exchange_loop)));
+            duties.push(("links", duty(Controller::links_loop)));
+            duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
-            duties.push(("direct", duty(Node::direct_loop)));
+            duties.push(("direct", duty(Controller::direct_loop)));
         }
         duties
     }
@@ -266,45 +266,45 @@
         serve(public, self, system, limits, open)
     }
 
-    fn tick_loop(&self) {
+    fn timer_loop(&self) {
         // Silence counts only while this node answers: during an outage it turns workers away.
         let mut acting_since: Option<Moment> = None;
         let mut told = Moment(0);
         // Ticks and late ones of the last while, for a word to the operator.
-        let (mut ticks, mut late, mut counted) = (0u32, 0u32, self.now());
+        let (mut timers, mut late, mut counted) = (0u32, 0u32, self.now());
         loop {
-            let due = self.now() + TICK;
-            self.os.sleep(TICK.duration());
-            let behind = self.now() - due > LATE;
-            ticks += 1;
-            late += u32::from(behind);
+            let due = self.now() + TIMER_INTERVAL;
+            self.os.sleep(TIMER_INTERVAL.duration());
+            let overloaded = self.now() - due > LATE;
+            timers += 1;
+            late += u32::from(overloaded);
             if self.now() - counted > PACE_EVERY {
-                if late * 2 > ticks {
-                    log::warn!("short of processor: {late} of {ticks} timers fired late");
+                if late * 2 > timers {
+                    log::warn!("short of processor: {late} of {timers} timers fired late");
                 }
-                (ticks, late, counted) = (0, 0, self.now());
+                (timers, late, counted) = (0, 0, self.now());
             }
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
-            if core.acting(now).is_none() {
+            if state.acting(now).is_none() {
                 acting_since = None;
             } else {
                 acting_since.get_or_insert(now);
             }
-            if let Some((_, cluster)) = core.acting(now) {
-                cluster.note_pace(behind, now);
-                cluster.tick(now);
+            if let Some((_, scheduler)) = state.acting(now) {
+                scheduler.overload.note(overloaded, now);
+                scheduler.on_timer(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
-                    log::debug!("{}", cluster.summary(now));
-                    log::debug!("{}", cluster.order_summary());
+                    log::debug!("{}", scheduler.summary(now));
+                    log::debug!("{}", scheduler.command_summary());
                 }
-                self.wake(cluster);
-                let unheard = acting_since.is_some_and(|since| cluster.unheard(since, now));
-                if unheard && self.stands_down_unasked() && core.abstain_until <= now {
+                self.wake(scheduler);
+                let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
+                if unheard && self.stands_down_unasked() && state.abstain_until <= now {
                     log::info!("most workers are silent: standing down");
-                    core.step_down = true;
-                    core.abstain_until = now + ABSTAIN;
+                    state.step_down = true;
+                    state.abstain_until = now + ABSTAIN;
                 }
             }
         }
@@ -319,15 +319,17 @@
     pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Status { id } => {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
-                if let Some(view) = core.finals.get(&id) {
+                if let Some(view) = state.terminal_states.get(&id) {
                     return PeerReply::Job(view);
                 }
-                match core.acting(now) {
-                    Some((_, cluster)) => match cluster.view(&id) {
-                        Known::View(view) => PeerReply::Job(view),
-                        Known::Deciding | Known::Nothing => PeerReply::Unknown,
+                match state.acting(now) {
+                    Some((_, scheduler)) => match scheduler.view(&id) {
+                        LocalStatus::View(view) => PeerReply::Job(view),
+                        LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
+                            PeerReply::Unknown
+                        }
                     },
                     None => PeerReply::NotLeading,
                 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: what was accepted, which tasks are done, and what is written down about it.
+//! JobTable: what was accepted, which tasks are done, and what is written down about it.
 //!
 //! An outcome is held in memory until its done set is written; only then is the task done for
 //! anybody outside. A job is final (done, cancelled) once that is recorded, never before.
@@ -9,6 +9,7 @@
 pub mod spec;
 pub mod users;
 
+use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment};
 use doneset::TaskSet;
 use serde::{Deserialize, Serialize};
@@ -70,10 +71,10 @@
 
 /// What is known of a final state that was sent to the record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Deciding {
+pub enum FinalWrite {
     /// None is on its way.
     #[default]
-    No,
+    Idle,
     /// It is under way.
     Sent,
     /// One got no answer: it may have been applied, or may yet be.
@@ -82,11 +83,11 @@
 
 /// What a leader can say of a job by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum LocalStatus {
     View(JobView),
     /// A final state is on its way to the record. Another node may have read it there, and told it
     /// to a user, before its writer knows: until then only the record tells.
-    Deciding,
+    FinalWriteInFlight,
     Nothing,
 }
 
@@ -149,9 +150,9 @@
     /// still run them. 0 once that is settled.
     pub held_below: u32,
     /// Tasks numbered below this may start: the claim is on record.
-    pub claimed: u32,
+    pub start_watermark: u32,
     /// What the next claim is to cover.
-    pub claim_wanted: u32,
+    pub requested_watermark: u32,
     pub done: TaskSet,
     pub recorded: TaskSet,
     /// Stamps of the done set's keys, 0 where there is none.
@@ -160,7 +161,7 @@
     pub outcome: Option<Outcome>,
     /// When its cancellation was first asked for under this leader.
     pub cancel_asked_at: Option<Moment>,
-    pub deciding: Deciding,
+    pub final_write: FinalWrite,
     /// Attempts that may be on a machine, by task.
     bound: HashMap<u32, u16>,
     /// How many of these tasks have no outcome.
@@ -244,7 +245,7 @@
 
     /// Tasks that a machine not seen yet may run, done ones as well: an order of an earlier term may
     /// still start them there once more.
-    pub fn maybe_unseen(&self) -> u32 {
+    pub fn maybe_unreconciled(&self) -> u32 {
         (0..self.held_below)
             .filter(|t| !self.bound.contains_key(t))
             .count() as u32
@@ -261,12 +262,12 @@
 
     /// Asks for a claim that covers the task. Somewhat more is claimed than is placed, so that a
     /// job that starts bit by bit needs few records.
-    pub fn want_claim(&mut self, task: u32) {
-        if task < self.claimed.max(self.claim_wanted) {
+    pub fn request_watermark(&mut self, task: u32) {
+        if task < self.start_watermark.max(self.requested_watermark) {
             return;
         }
         let ahead = (task / 2).max(4);
-        self.claim_wanted = (task + 1).saturating_add(ahead).min(self.spec.tasks);
+        self.requested_watermark = (task + 1).saturating_add(ahead).min(self.spec.tasks);
     }
 
     pub fn remaining(&self) -> u32 {
@@ -339,16 +340,30 @@
     }
 }
 
-#[derive(Debug, Default)]
-pub struct Jobs {
+/// The jobs that the leader knows, and which of their tasks may start.
+#[derive(Debug)]
+pub struct JobTable {
     next: u32,
+    /// Of each job, below which number its tasks may have started.
+    pub start_watermarks: Pages<u32>,
     /// The sum of the jobs' weights.
     weight: usize,
     pub table: BTreeMap<JobId, Job>,
     by_ref: HashMap<String, JobId>,
 }
 
-impl Jobs {
+impl JobTable {
+    /// No jobs yet; pages of start watermarks hold at most so many bytes.
+    pub fn new(value_bytes: usize) -> JobTable {
+        JobTable {
+            next: 0,
+            start_watermarks: Pages::new(value_bytes),
+            weight: 0,
+            table: BTreeMap::new(),
+            by_ref: HashMap::new(),
+        }
+    }
+
     pub fn find(&self, id: &str) -> Option<JobId> {
         self.by_ref.get(id).copied()
     }
@@ -385,22 +400,22 @@
     team: Option<usize>,
     job_revision: u64,
     accepted_at: Moment,
-    claimed: u32,
+    start_watermark: u32,
 ) -> Job {
     let done = TaskSet::new(spec.tasks);
     Job {
         team,
         accepted_at,
-        held_below: claimed,
-        claimed,
-        claim_wanted: 0,
+        held_below: start_watermark,
+        start_watermark,
+        requested_watermark: 0,
         revisions: vec![0; done.chunks() as usize],
         recorded: done.clone(),
         done,
         job_revision,
         outcome: None,
         cancel_asked_at: None,
-        deciding: Deciding::No,
+        final_write: FinalWrite::Idle,
         bound: HashMap::new(),
         bound_open: 0,
         bound_attempts: 0,
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -1,15 +1,17 @@
 //! Write rounds: which records are due, most urgent first, packed into few transactions.
 
-use super::{Deciding, DoneRecord, FinalRecord, Job, JobId, Outcome, done_key, final_key, job_key};
-use crate::cluster::Cluster;
+use super::{
+    DoneRecord, FinalRecord, FinalWrite, Job, JobId, Outcome, done_key, final_key, job_key,
+};
 use crate::http::cbor::json_len;
 use crate::invariants::{self, Invariant};
+use crate::scheduler::SchedulerState;
 use crate::state_store::pages::PageImage;
 use crate::state_store::{Change, Guard, to_value};
-use crate::workers::StartDelivery;
+use crate::workers::DeliveryStatus;
 
 /// The key prefix of claims: which tasks of which jobs may have started.
-pub const CLAIMS_PREFIX: &str = "claims/";
+pub const WATERMARKS_PREFIX: &str = "claims/";
 
 /// What a done set's record takes beside the set.
 const RECORD_SPARE: usize = 40;
@@ -35,12 +37,12 @@
     /// Tasks numbered below these may start.
     Claims(PageImage<u32>),
     /// These machines may hold tasks.
-    Roster(PageImage<u64>),
+    Registry(PageImage<u64>),
 }
 
 impl Write {
-    pub fn is_roster(&self) -> bool {
-        matches!(self.kind, WriteKind::Roster(_))
+    pub fn is_registry(&self) -> bool {
+        matches!(self.kind, WriteKind::Registry(_))
     }
 
     /// What it takes of a transaction, in bytes of JSON.
@@ -63,23 +65,23 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// True if somebody waits for a record.
     pub fn records_wait(&self, txn_ops: usize) -> bool {
-        !self.due_claims().is_empty()
-            || !self.due_roster(false).is_empty()
-            || !self.due_finals(txn_ops).is_empty()
+        !self.pending_watermark_writes().is_empty()
+            || !self.pending_registry_writes(false).is_empty()
+            || !self.pending_final_writes(txn_ops).is_empty()
     }
 
     /// Pages of claims that starts wait for.
-    pub fn due_claims(&self) -> Vec<Write> {
-        let due = self.claims.due(false).into_iter();
-        due.map(|image| page_write(CLAIMS_PREFIX, image, WriteKind::Claims))
+    pub fn pending_watermark_writes(&self) -> Vec<Write> {
+        let due = self.jobs.start_watermarks.due(false).into_iter();
+        due.map(|image| page_write(WATERMARKS_PREFIX, image, WriteKind::Claims))
             .collect()
     }
 
     /// Final states that wait: they go out at once.
-    pub fn due_finals(&self, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_final_writes(&self, txn_ops: usize) -> Vec<Write> {
         self.jobs
             .table
             .iter()
@@ -116,7 +118,7 @@
     }
 
     /// Changed done sets, those with most unrecorded outcomes first.
-    pub fn due_sets(&self, budget: usize) -> Vec<Write> {
+    pub fn pending_done_sets(&self, budget: usize) -> Vec<Write> {
         let mut due: Vec<(u32, JobId)> = self
             .jobs
             .table
@@ -161,7 +163,7 @@
 
     /// Final jobs of which nothing is left on any machine: only `final/<ref>` stays, so that a
     /// new leader reads no more than what still matters.
-    pub fn due_retirements(&self, budget: usize, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_retirements(&self, budget: usize, txn_ops: usize) -> Vec<Write> {
         let mut writes = Vec::new();
         let mut ops = 0;
         for (id, job) in &self.jobs.table {
@@ -189,14 +191,14 @@
     /// A start without an answer may still arrive: its attempt must not be cleared, so its job
     /// stays known.
     fn has_open_starts(&self, id: JobId) -> bool {
-        self.any_start(id, StartDelivery::may_arrive)
+        self.any_start(id, DeliveryStatus::may_arrive)
     }
 
     fn starts_under_way(&self, id: JobId) -> bool {
-        self.any_start(id, |delivery| delivery == StartDelivery::InFlight)
+        self.any_start(id, |delivery| delivery == DeliveryStatus::InFlight)
     }
 
-    fn any_start(&self, id: JobId, is: impl Fn(StartDelivery) -> bool) -> bool {
+    fn any_start(&self, id: JobId, is: impl Fn(DeliveryStatus) -> bool) -> bool {
         self.machines
             .values()
             .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
@@ -206,7 +208,7 @@
     /// These writes are about to be sent.
     pub fn sending(&mut self, writes: &[Write]) {
         self.decide(writes, |was| match was {
-            Deciding::No => Deciding::Sent,
+            FinalWrite::Idle => FinalWrite::Sent,
             was => was,
         });
     }
@@ -214,22 +216,22 @@
     /// These writes were surely not carried out.
     pub fn not_written(&mut self, writes: &[Write]) {
         self.decide(writes, |was| match was {
-            Deciding::Sent => Deciding::No,
+            FinalWrite::Sent => FinalWrite::Idle,
             was => was,
         });
     }
 
     /// These writes got no answer: they may have been carried out, or may yet be.
     pub fn unanswered(&mut self, writes: &[Write]) {
-        self.decide(writes, |_| Deciding::Unknown);
+        self.decide(writes, |_| FinalWrite::Unknown);
     }
 
-    fn decide(&mut self, writes: &[Write], next: impl Fn(Deciding) -> Deciding) {
+    fn decide(&mut self, writes: &[Write], next: impl Fn(FinalWrite) -> FinalWrite) {
         for write in writes {
             if let WriteKind::Final(id, _) | WriteKind::Retire(id, _) = &write.kind
                 && let Some(job) = self.jobs.table.get_mut(id)
             {
-                job.deciding = next(job.deciding);
+                job.final_write = next(job.final_write);
             }
         }
     }
@@ -277,30 +279,32 @@
                 }
             }
             WriteKind::Claims(image) => {
-                self.claims.written(image.number, image.version, revision);
+                self.jobs
+                    .start_watermarks
+                    .written(image.number, image.version, revision);
                 for (id, below) in &image.entries {
                     let Some(id) = self.jobs.find(id) else {
                         continue;
                     };
                     if let Some(job) = self.jobs.table.get_mut(&id)
-                        && job.claimed < *below
+                        && job.start_watermark < *below
                     {
-                        job.claimed = *below;
-                        let waiting = self.awaiting_claim.remove(&id);
-                        self.direct_due.extend(waiting.into_iter().flatten());
+                        job.start_watermark = *below;
+                        let waiting = self.commands.awaiting_watermark.remove(&id);
+                        self.commands.due.extend(waiting.into_iter().flatten());
                     }
                 }
             }
-            WriteKind::Roster(image) => {
-                self.fleet
-                    .roster
+            WriteKind::Registry(image) => {
+                self.provisioning
+                    .registry
                     .written(image.number, image.version, revision);
                 for (name, _) in &image.entries {
                     if let Some(m) = self.machines.get_mut(name)
                         && !m.recorded
                     {
                         m.recorded = true;
-                        self.dirty = true;
+                        self.placement.due = true;
                     }
                 }
             }
@@ -321,8 +325,8 @@
         }
         log::debug!("job retired: job={id} term={}", self.term);
         self.jobs.remove(job_id);
-        self.claims.remove(id);
-        self.awaiting_claim.remove(&job_id);
+        self.jobs.start_watermarks.remove(id);
+        self.commands.awaiting_watermark.remove(&job_id);
         for m in self.machines.values_mut() {
             let before = m.attempts.len();
             m.attempts.retain(|k, _| k.0 != job_id);
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -2,12 +2,13 @@
 
 use super::spec::{Refusal, Shape, Submission, is_ref};
 use super::{
-    DoneRecord, FULL_KEY, FinalRecord, JobView, Known, ViewState, done_key, final_key, job_key,
+    DoneRecord, FULL_KEY, FinalRecord, JobView, LocalStatus, ViewState, done_key, final_key,
+    job_key,
 };
+use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{decode, encode, json_len};
 use crate::http::server::Response;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
-use crate::node::{Core, Node};
 use crate::os::time_left;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -98,7 +99,7 @@
 /// A cancellation is answered once it is recorded, or else refused after this.
 const CANCEL_TIME: Micros = Micros::from_millis(2000);
 
-impl Node {
+impl Controller {
     /// Any node that knows the machine types can take requests, leader or not.
     ///
     /// Without the state service and without any peer it can't tell a user anything. In an outage
@@ -107,7 +108,7 @@
         if self.catalog().is_none() {
             return Response::busy(RETRY_S);
         }
-        if self.alone.load(Ordering::Relaxed) {
+        if self.isolated.load(Ordering::Relaxed) {
             Response::busy(RETRY_S)
         } else {
             Response::new(200, Vec::new())
@@ -116,13 +117,14 @@
 
     /// Looks for company while the state service says nothing, so that a health check never has
     /// to wait for it.
-    pub fn company_loop(&self) {
+    pub fn peer_probe_loop(&self) {
         loop {
             self.os.sleep(COMPANY_EVERY);
-            let heard = |node: &Node| node.now() - node.store.last_answer() < ALONE;
+            let heard = |node: &Controller| node.now() - node.store.last_answer() < ALONE;
             let answers = |p: &PeerClient| p.answers(PING_TIME);
-            let company = heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
-            self.alone.store(!company, Ordering::Relaxed);
+            let has_peers =
+                heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
+            self.isolated.store(!has_peers, Ordering::Relaxed);
         }
     }
 
@@ -133,14 +135,14 @@
         };
         let id = submission.id.clone();
         match self.known_here(&id) {
-            Known::View(view) => return short(200, &id, view.state),
-            Known::Deciding => {
+            LocalStatus::View(view) => return short(200, &id, view.state),
+            LocalStatus::FinalWriteInFlight => {
                 return match self.lookup(&id) {
                     Lookup::Job(view) => short(200, &id, view.state),
                     _ => Response::busy(RETRY_S),
                 };
             }
-            Known::Nothing => {}
+            LocalStatus::Nothing => {}
         }
         let Some(catalog) = self.catalog() else {
             return Response::busy(RETRY_S);
@@ -224,7 +226,7 @@
 
     /// A peer that the state service refuses asks this node to read.
     pub fn read_for_peer(&self, id: &str) -> PeerReply {
-        if let Known::View(view) = self.known_here(id) {
+        if let LocalStatus::View(view) = self.known_here(id) {
             return PeerReply::Job(view);
         }
         match self.read_job(id, self.now() + PEER_TIME) {
@@ -277,21 +279,21 @@
             guards.push(self.level().guard());
         }
         let changes = [Change::write(job_key(&id), data)];
-        let leading = |core: &Core| core.lead.as_ref().map(|lead| lead.term);
-        let term = leading(&self.core());
+        let leading = |state: &ControllerState| state.lead.as_ref().map(|lead| lead.term);
+        let term = leading(&self.state());
         match self.store.transact(&guards, &changes, Urgency::Granted) {
             Ok(Commit::Done { revision }) => {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
                 // Under another term by now, as after standing still, the job may be over and
                 // retired by somebody else: what was read at the takeover tells.
-                if core.finals.get(&id).is_none()
-                    && leading(&core) == term
-                    && let Some((_, cluster)) = core.acting(now)
+                if state.terminal_states.get(&id).is_none()
+                    && leading(&state) == term
+                    && let Some((_, scheduler)) = state.acting(now)
                 {
-                    cluster.add_job(&submission, revision, now, wall);
-                    cluster.place_soon(now);
-                    self.wake(cluster);
+                    scheduler.add_job(&submission, revision, now, wall);
+                    scheduler.place_soon(now);
+                    self.wake(scheduler);
                 }
                 Accepted::New
             }
@@ -313,8 +315,8 @@
             return Some(Response::new(404, Vec::new()));
         }
         match self.known_here(id) {
-            Known::View(view) => Some(told(id, view)),
-            Known::Deciding | Known::Nothing => None,
+            LocalStatus::View(view) => Some(told(id, view)),
+            LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => None,
         }
     }
 
@@ -342,7 +344,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.core().finals.note(id, view);
+            self.state().terminal_states.note(id, view);
             return short(200, id, view.state);
         }
         // Without a leader nothing is cancelled, but what is over or was never accepted can be told.
@@ -356,65 +358,67 @@
     /// Cancels a job if this node leads, and waits for the record for a bounded time.
     pub fn cancel_here(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIME;
-        let mut core = self.core();
-        if let Some(view) = core.finals.get(id) {
+        let mut state = self.state();
+        if let Some(view) = state.terminal_states.get(id) {
             return PeerReply::Job(view);
         }
         let now = self.now();
-        let Some((_, cluster)) = core.acting(now) else {
+        let Some((_, scheduler)) = state.acting(now) else {
             return PeerReply::NotLeading;
         };
-        if !cluster.ask_cancel(id, now) {
+        if !scheduler.ask_cancel(id, now) {
             return PeerReply::Unknown;
         }
         self.changed.notify_all();
         loop {
-            if let Some(view) = core.finals.get(id) {
+            if let Some(view) = state.terminal_states.get(id) {
                 return PeerReply::Job(view);
             }
             let now = self.now();
-            match core.acting(now).map(|(_, c)| c.view(id)) {
-                Some(Known::View(view)) if view.is_final() => return PeerReply::Job(view),
-                Some(Known::View(_) | Known::Deciding) => {}
-                Some(Known::Nothing) | None => return PeerReply::Busy,
+            match state.acting(now).map(|(_, c)| c.view(id)) {
+                Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
+                Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
+                Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
             }
             let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
-            self.await_change(core, left);
-            core = self.core();
+            self.await_change(state, left);
+            state = self.state();
         }
     }
 
     /// What this node may tell by itself.
-    fn known_here(&self, id: &str) -> Known {
-        self.known_of(&mut self.core(), id)
+    fn known_here(&self, id: &str) -> LocalStatus {
+        self.known_of(&mut self.state(), id)
     }
 
-    fn known_of(&self, core: &mut Core, id: &str) -> Known {
+    fn known_of(&self, state: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
-        match (core.finals.get(id), core.acting(now)) {
-            (Some(view), _) => Known::View(view),
-            (None, Some((_, cluster))) => cluster.view(id),
-            (None, None) => Known::Nothing,
+        match (state.terminal_states.get(id), state.acting(now)) {
+            (Some(view), _) => LocalStatus::View(view),
+            (None, Some((_, scheduler))) => scheduler.view(id),
+            (None, None) => LocalStatus::Nothing,
         }
     }
 
     /// The same, but waits for a while for what is just being decided.
-    fn decided_here(&self, id: &str) -> Known {
+    fn decided_here(&self, id: &str) -> LocalStatus {
         let deadline = self.now() + DECIDING_TIME;
         loop {
-            let mut core = self.core();
-            let known = self.known_of(&mut core, id);
+            let mut state = self.state();
+            let known = self.known_of(&mut state, id);
             match time_left(&*self.os, deadline) {
-                Some(left) if known == Known::Deciding => self.await_change(core, left),
+                Some(left) if known == LocalStatus::FinalWriteInFlight => {
+                    self.await_change(state, left)
+                }
                 _ => return known,
             }
         }
     }
 
     fn ask_leader(&self, request: &PeerRequest, timeout: Duration) -> Option<PeerReply> {
-        let leader = self.core().known_leader.as_ref()?.node.clone();
+        let leader = self.state().known_leader.as_ref()?.node.clone();
         match self.peers.get(&leader)?.call(request, timeout) {
             Ok(reply) => Some(reply),
             Err(e) => {
@@ -428,16 +432,16 @@
     /// learnt meanwhile, so final states are looked at last.
     pub fn lookup(&self, id: &str) -> Lookup {
         let found = self.look_for(id);
-        let mut core = self.core();
+        let mut state = self.state();
         if let Lookup::Job(view) = &found {
-            core.finals.note(id, *view);
+            state.terminal_states.note(id, *view);
         }
-        core.finals.get(id).map_or(found, Lookup::Job)
+        state.terminal_states.get(id).map_or(found, Lookup::Job)
     }
 
     fn look_for(&self, id: &str) -> Lookup {
         let deadline = self.now() + LOOKUP_TIME;
-        if let Known::View(view) = self.decided_here(id) {
+        if let LocalStatus::View(view) = self.decided_here(id) {
             return Lookup::Job(view);
         }
         let request = PeerRequest::Status { id: id.to_string() };
--- a/src/leadership/fencing.rs
+++ b/src/leadership/fencing.rs
@@ -6,16 +6,16 @@
 //! Earlier versions see a counter that has skipped a number.
 
 use super::term::{TERM_KEY, TermRecord};
-use super::{LEADER_KEY, Lead};
-use crate::node::Node;
+use super::{LEADER_KEY, LeaderLease};
+use crate::controller::Controller;
 use crate::state_store::{Change, Commit, Guard, Urgency};
 
-impl Node {
+impl Controller {
     /// Tries once to put a higher token on record, and uses it if that is known to have worked.
     ///
     /// Without an answer the transaction may be applied yet. Nobody uses its token then: the next try
     /// guards the counter at the revision that it had before, so that only one of the two passes.
-    pub(crate) fn raise_token(&self, lead: &Lead) {
+    pub(crate) fn raise_fencing_token(&self, lead: &LeaderLease) {
         let raised = lead.counter.raised(lead.revision);
         let guards = [lead.guard(), Guard::new(TERM_KEY, lead.counter_revision)];
         let changes = [Change::write(TERM_KEY, raised.to_value())];
@@ -23,25 +23,27 @@
             Ok(Commit::Done { revision }) => {
                 self.note_counter(lead.term, raised, revision);
                 let now = self.now();
-                self.in_cluster(lead.term, |cluster| cluster.token_raised(raised.term, now));
+                self.with_scheduler(lead.term, |scheduler| {
+                    scheduler.fencing_token_raised(raised.term, now)
+                });
             }
             Ok(Commit::Conflict { failed }) => {
                 if failed.iter().any(|key| key == LEADER_KEY) {
                     self.lose_lead(lead.term);
                 }
-                self.token_not_raised(lead.term);
+                self.fencing_token_not_raised(lead.term);
                 self.read_counter(lead.term);
             }
             Err(e) => {
                 log::debug!("token not raised: term={} error={e}", lead.term);
-                self.token_not_raised(lead.term);
+                self.fencing_token_not_raised(lead.term);
             }
         }
     }
 
-    fn token_not_raised(&self, term: u64) {
+    fn fencing_token_not_raised(&self, term: u64) {
         let now = self.now();
-        self.in_cluster(term, |cluster| cluster.token_not_raised(now));
+        self.with_scheduler(term, |scheduler| scheduler.fencing_token_not_raised(now));
     }
 
     /// Another transaction changed the counter: one of this leader's without an answer, or the change of
@@ -57,8 +59,8 @@
     }
 
     fn note_counter(&self, term: u64, counter: TermRecord, revision: u64) {
-        let mut core = self.core();
-        if let Some(lead) = core.lead.as_mut().filter(|lead| lead.term == term) {
+        let mut state = self.state();
+        if let Some(lead) = state.lead.as_mut().filter(|lead| lead.term == term) {
             lead.counter = counter;
             lead.counter_revision = revision;
         }
--- a/src/leadership/level.rs
+++ b/src/leadership/level.rs
@@ -10,7 +10,7 @@
 
 use super::LEADER_KEY;
 use super::term::{TERM_KEY, TermRecord};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::os::random_pause;
 use crate::state_store::{Change, Commit, Guard, Row, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -67,7 +67,7 @@
     told: Option<Moment>,
 }
 
-impl Node {
+impl Controller {
     /// The format that all controllers are known to know.
     pub fn level(&self) -> Level {
         *self.level.lock().unwrap_or_else(|e| e.into_inner())
@@ -203,7 +203,7 @@
             return Ok(());
         };
         let term = TermRecord::read(Some(&term_row))?;
-        let led_by_this_version = term.older_led_at < term_row.revision
+        let led_by_this_version = term.older_version_led_at < term_row.revision
             && term.is_of_leader(term_row.revision, leader_row.revision);
         if !led_by_this_version && !term.fenced {
             return Ok(());
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -29,14 +29,14 @@
 
 /// A lead that was taken.
 #[derive(Clone, Debug)]
-pub struct Lead {
+pub struct LeaderLease {
     pub term: u64,
     pub lease: u64,
     /// Revision at which the lead was taken. Every write of ours guards it, and jobs accepted
     /// later are this term's.
     pub revision: u64,
     /// Revision at which an earlier version last took the lead, 0 if none ever did.
-    pub older_led_at: u64,
+    pub older_version_led_at: u64,
     /// The counter of terms as this leader last knew it, and its revision.
     pub counter: TermRecord,
     pub counter_revision: u64,
@@ -44,7 +44,7 @@
     pub valid_until: Moment,
 }
 
-impl Lead {
+impl LeaderLease {
     pub fn guard(&self) -> Guard {
         Guard::new(LEADER_KEY, self.revision)
     }
@@ -56,15 +56,20 @@
 }
 
 #[derive(Debug)]
-pub enum Take {
-    Taken(Lead),
+pub enum ElectionOutcome {
+    Taken(LeaderLease),
     /// Somebody else was faster.
     Lost,
 }
 
 /// Tries once to take the lead. Nothing is left behind when it fails.
-pub fn take(store: &Store, os: &dyn Os, node: &str, life: Micros) -> Result<Take, StoreError> {
-    let term_row = store.get(TERM_KEY, Urgency::Lead)?;
+pub fn take(
+    store: &Store,
+    os: &dyn Os,
+    node: &str,
+    life: Micros,
+) -> Result<ElectionOutcome, StoreError> {
+    let term_row = store.get(TERM_KEY, Urgency::LeaderLease)?;
     let term_revision = term_row.as_ref().map_or(0, |row| row.revision);
     let next = TermRecord::read(term_row.as_ref())?.next();
     let sent = os.now();
@@ -87,17 +92,17 @@
                 lease: Some(lease),
             },
         ],
-        Urgency::Lead,
+        Urgency::LeaderLease,
     );
     let revision = match result {
         Ok(Commit::Done { revision }) => revision,
         Ok(Commit::Conflict { .. }) => {
             let _ = store.end_lease(lease);
-            return Ok(Take::Lost);
+            return Ok(ElectionOutcome::Lost);
         }
         Err(StoreError::Unknown(e)) => {
             // It may have been applied: what the key says decides.
-            match store.get(LEADER_KEY, Urgency::Lead) {
+            match store.get(LEADER_KEY, Urgency::LeaderLease) {
                 Ok(Some(row)) if from_value::<LeaderRecord>(&row.data) == Some(record) => {
                     row.revision
                 }
@@ -113,11 +118,11 @@
             return Err(e);
         }
     };
-    Ok(Take::Taken(Lead {
+    Ok(ElectionOutcome::Taken(LeaderLease {
         term: next.term,
         lease,
         revision,
-        older_led_at: next.older_led_at,
+        older_version_led_at: next.older_version_led_at,
         counter: next,
         counter_revision: revision,
         valid_until: lease_until(sent, life),
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -1,12 +1,12 @@
 //! Takeover: a new leader reads what the state service holds.
 
-use super::Lead;
-use crate::cluster::Cluster;
-use crate::fleet::FLEET_PREFIX;
-use crate::jobs::rounds::CLAIMS_PREFIX;
+use super::LeaderLease;
+use crate::controller::Controller;
+use crate::jobs::rounds::WATERMARKS_PREFIX;
 use crate::jobs::spec::Submission;
 use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
-use crate::node::Node;
+use crate::provisioning::REGISTRY_PREFIX;
+use crate::scheduler::SchedulerState;
 use crate::state_store::{Page, Row, Urgency, from_value};
 use crate::time::{Micros, Moment, WallTime};
 
@@ -21,25 +21,25 @@
     skew: Micros,
 }
 
-impl Node {
+impl Controller {
     /// Reads everything that a leader needs; None when the lead was lost meanwhile.
     pub(super) fn load(
         &self,
-        lead: &Lead,
+        lead: &LeaderLease,
         started: Moment,
         renewed: &mut Moment,
-    ) -> Option<Cluster> {
+    ) -> Option<SchedulerState> {
         let seed = fastrand::u64(..);
-        let mut cluster = Cluster::new(self.cluster_config(), lead.term, started, seed);
+        let mut scheduler = SchedulerState::new(self.scheduler_config(), lead.term, started, seed);
         if let Some(catalog) = self.catalog() {
-            cluster.fleet.catalog = catalog.to_vec();
+            scheduler.provisioning.catalog = catalog.to_vec();
         }
-        cluster.wall_at_start = self.os.wall();
-        cluster.older_led_at = lead.older_led_at;
+        scheduler.wall_at_start = self.os.wall();
+        scheduler.prior_term.older_version_led_at = lead.older_version_led_at;
         let skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut jobs_revision = None;
         // Roster and claims first: they tell what of a job may have started.
-        for prefix in [FLEET_PREFIX, CLAIMS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
+        for prefix in [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
             let mut since: Option<String> = None;
             loop {
                 let page = self.read_page(prefix, since.as_deref(), lead, renewed)?;
@@ -52,7 +52,7 @@
                     skew,
                 };
                 for row in &page.rows {
-                    cluster.load_record(prefix, row, &reading);
+                    scheduler.load_record(prefix, row, &reading);
                 }
                 since = page.rows.last().map(|row| row.key.clone()).or(since);
                 if !page.more {
@@ -60,9 +60,9 @@
                 }
             }
         }
-        cluster.drop_stale_claims();
-        self.core().jobs_revision = jobs_revision.unwrap_or(lead.revision);
-        Some(cluster)
+        scheduler.drop_stale_watermarks();
+        self.state().jobs_revision = jobs_revision.unwrap_or(lead.revision);
+        Some(scheduler)
     }
 
     /// Reads one page, however often that takes; None when the lead was lost meanwhile.
@@ -70,14 +70,14 @@
         &self,
         prefix: &str,
         since: Option<&str>,
-        lead: &Lead,
+        lead: &LeaderLease,
         renewed: &mut Moment,
     ) -> Option<Page> {
         loop {
             if !self.renew_if_due(lead.lease, renewed) {
                 return None;
             }
-            match self.store.range(prefix, since, PAGE, Urgency::Lead) {
+            match self.store.range(prefix, since, PAGE, Urgency::LeaderLease) {
                 Ok(page) => return Some(page),
                 Err(e) => {
                     log::debug!("reading {prefix}: {e}");
@@ -88,25 +88,25 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in one record. One that can't be read counts as if it told the worst.
     fn load_record(&mut self, prefix: &str, row: &Row, reading: &Reading) {
         let rest = &row.key[prefix.len()..];
         let is_read = match prefix {
-            FLEET_PREFIX => self.load_roster_page(rest, row, reading),
-            CLAIMS_PREFIX => self.load_claims_page(rest, row),
+            REGISTRY_PREFIX => self.load_roster_page(rest, row, reading),
+            WATERMARKS_PREFIX => self.load_claims_page(rest, row),
             JOBS_PREFIX => self.load_job(row, reading),
             _ => self.load_done_record(rest, row),
         };
         if is_read.is_none() {
             log::error!("malformed record {}", row.key);
             match prefix {
-                FLEET_PREFIX => {
+                REGISTRY_PREFIX => {
                     // Whatever it named may hold any task of any job.
-                    self.note_unseen(&row.key, reading.now);
-                    self.claims_lost = true;
+                    self.prior_term.note_machine(&row.key, reading.now);
+                    self.prior_term.watermarks_lost = true;
                 }
-                CLAIMS_PREFIX => self.claims_lost = true,
+                WATERMARKS_PREFIX => self.prior_term.watermarks_lost = true,
                 _ => {}
             }
         }
@@ -119,15 +119,18 @@
             let age = reading.wall.0.saturating_sub(*at);
             let age = age.saturating_sub(reading.skew.0);
             let since = Moment(reading.now.0.saturating_sub(age));
-            self.note_unseen(name, since);
+            self.prior_term.note_machine(name, since);
         }
-        self.fleet.roster.load(number, row.revision, entries);
+        self.provisioning
+            .registry
+            .load(number, row.revision, entries);
         Some(())
     }
 
     fn load_claims_page(&mut self, number: &str, row: &Row) -> Option<()> {
         let number = number.parse().ok()?;
-        self.claims
+        self.jobs
+            .start_watermarks
             .load(number, row.revision, from_value(&row.data)?);
         Some(())
     }
--- a/src/placement/fit.rs
+++ b/src/placement/fit.rs
@@ -1,8 +1,8 @@
 //! The best fit for a task among machines with room.
 
 use super::{Place, PlacementPass};
-use crate::cluster::Cluster;
 use crate::jobs::JobId;
+use crate::scheduler::SchedulerState;
 use std::collections::BTreeMap;
 
 /// Seconds of fetching that a place is worth for each time that a CPU costs more elsewhere, and
@@ -15,7 +15,7 @@
 /// set: three of hundreds seldom meet a machine that has the image or is nearly full.
 const DRAWN_OF: usize = 16;
 
-impl Cluster {
+impl SchedulerState {
     /// The best fit among a few drawn, or among all if none of them fits.
     pub(super) fn choose(
         &mut self,
@@ -74,7 +74,7 @@
         {
             return None;
         }
-        let rate = self.fleet.fetch_rate(&m.type_name);
+        let rate = self.provisioning.fetch_rate(&m.type_name);
         let fetch = match m.images.get(&job.spec.image) {
             Some(i) if i.cached => 0.0,
             Some(i) => i.gb / rate * 0.5,
@@ -90,8 +90,8 @@
             0.0
         };
         // Expensive machines are left to themselves, so that they fall idle and go back.
-        let price_penalty =
-            (PRICE_WEIGHT * self.fleet.price_premium(&m.type_name, m.spot)).min(MAX_PRICE_PENALTY);
+        let price_penalty = (PRICE_WEIGHT * self.provisioning.price_premium(&m.type_name, m.spot))
+            .min(MAX_PRICE_PENALTY);
         Some(fetch + 3.0 * left + price_penalty + failed)
     }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -4,16 +4,18 @@
 mod order;
 mod preemption;
 mod resources;
+mod schedule;
 mod usage;
 mod zones;
 
-pub use order::Priority;
-pub use resources::Room;
+pub use order::QueueOrder;
+pub use resources::Resources;
+pub use schedule::PlacementSchedule;
 
-use crate::cluster::Cluster;
 use crate::jobs::JobId;
-use crate::jobs::spec::Rank;
-use crate::time::{Micros, Moment};
+use crate::jobs::spec::Priority;
+use crate::scheduler::SchedulerState;
+use crate::time::Moment;
 use crate::workers::{Attempt, Machine};
 use preemption::Victim;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,15 +26,12 @@
 /// One machine in this many, and one more, may be kept for jobs that waited too long.
 const MOST_RESERVED: usize = 32;
 
-/// Passes are at least this long apart for each machine.
-const PASS_SPACING: Micros = Micros(100);
-
 /// A machine as one pass sees it.
 struct Place {
     name: String,
-    free: Room,
+    free: Resources,
     /// Free room once what is being stopped has left, less what waits for it.
-    promised: Room,
+    promised: Resources,
     /// Kept for a job that has waited too long: nothing else starts here.
     reserved: bool,
 }
@@ -49,8 +48,8 @@
     /// How many places are kept for jobs that waited too long.
     reserved: usize,
     /// Needs that no place had room for; room only shrinks in a pass.
-    unplaceable: Vec<Room>,
-    team_room: Vec<Room>,
+    unplaceable: Vec<Resources>,
+    team_room: Vec<Resources>,
     /// Worked out when a job needs room made for the first time.
     victims: Option<Vec<Victim>>,
     /// What teams use beyond their guarantees.
@@ -58,50 +57,48 @@
     /// Jobs that don't fit into their team's guarantee beside its earlier ones.
     beyond: BTreeSet<JobId>,
     /// The lowest rank of which anything holds a place.
-    lowest: Option<Rank>,
+    lowest: Option<Priority>,
     /// The highest rank that waits, and the highest that waits for its team's guarantee.
-    highest: (Option<Rank>, Option<Rank>),
+    highest: (Option<Priority>, Option<Priority>),
 }
 
-impl Cluster {
+impl SchedulerState {
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
-        m.counted_in
+        m.reconciled
             && m.recorded
             && m.suspicion.is_none()
             && !m.lost
             && !m.returning
             && !m.faulty
-            && !m.recalled
+            && !m.has_preemption_notice
             && m.is_alive(self.config.report, now)
     }
 
-    /// A pass, if something changed and the last one was long enough ago. A pass looks at every
-    /// machine and waiting job, so passes are spaced by how many machines there are.
+    /// A pass, if something changed and the last one was long enough ago.
     pub fn place_soon(&mut self, now: Moment) {
-        let spacing = Micros(PASS_SPACING.0 * self.machines.len() as u64);
-        if self.permissions().assign && self.dirty && now - self.last_pass >= spacing {
+        if self.permissions().assign && self.placement.may_run(self.machines.len(), now) {
             self.place(now);
         }
     }
 
     /// One pass: binds waiting tasks to machines and marks what must make room.
     pub fn place(&mut self, now: Moment) {
-        self.dirty = false;
-        self.last_pass = now;
+        self.placement.due = false;
+        self.placement.last_pass = now;
         let (order, beyond) = self.order_and_beyond(now);
         if order.is_empty() {
             return;
         }
         let mut pass = self.start_pass(now);
         pass.beyond = beyond;
-        let ranks = |p: &Priority| p.rank.0;
+        let ranks = |p: &QueueOrder| p.rank.0;
         let within = order.iter().filter(|(p, _)| !p.beyond_guarantee);
         pass.highest = (
             order.iter().map(|(p, _)| ranks(p)).max(),
             within.map(|(p, _)| ranks(p)).max(),
         );
-        for (priority, id) in order {
-            self.place_job(priority, id, &mut pass, now);
+        for (queue_order, id) in order {
+            self.place_job(queue_order, id, &mut pass, now);
         }
     }
 
@@ -144,21 +141,27 @@
                 .map(|j| j.spec.rank)
                 .min(),
             over: over
-                .map(|(used, t)| used.cpu - Room::have(t.cpus, 0.0, 0.0).cpu)
+                .map(|(used, t)| used.cpu - Resources::have(t.cpus, 0.0, 0.0).cpu)
                 .collect(),
             places,
         }
     }
 
     /// Places as many of a job's waiting tasks as there is room for, and has room made for the rest.
-    fn place_job(&mut self, priority: Priority, id: JobId, pass: &mut PlacementPass, now: Moment) {
+    fn place_job(
+        &mut self,
+        queue_order: QueueOrder,
+        id: JobId,
+        pass: &mut PlacementPass,
+        now: Moment,
+    ) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
         };
         let Some(team) = job.team else { return };
         let (need, mut ready) = (job.spec.need, job.ready());
         let zoned = job.spec.one_zone || job.spec.spread;
-        let starves = priority.starves.0;
+        let starves = queue_order.starves.0;
         if starves {
             ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
         }
@@ -189,7 +192,7 @@
         }
         let left = self.note_placed(id, now);
         if waiting {
-            self.make_room(priority, id, left, pass, now);
+            self.make_room(queue_order, id, left, pass, now);
         }
     }
 
@@ -205,21 +208,21 @@
         let job = self.jobs.table.get_mut(&id)?;
         let task = job.next_ready()?;
         let machine = self.machines.get_mut(&place.name)?;
-        self.counter += 1;
-        let number = (self.term << 32) | u64::from(self.counter);
+        self.attempt_counter += 1;
+        let number = (self.term << 32) | u64::from(self.attempt_counter);
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
         machine.attempts.insert((id, task, number), attempt);
         machine.rooms.set(None);
         machine.idle_since = None;
-        if task < job.claimed {
-            self.direct_due.insert(place.name.clone());
+        if task < job.start_watermark {
+            self.commands.due.insert(place.name.clone());
         } else {
-            job.want_claim(task);
-            let waiting = self.awaiting_claim.entry(id).or_default();
+            job.request_watermark(task);
+            let waiting = self.commands.awaiting_watermark.entry(id).or_default();
             waiting.insert(place.name.clone());
         }
-        let cache_gb = self.fleet.cache_of(&machine.type_name);
+        let cache_gb = self.provisioning.cache_of(&machine.type_name);
         machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         place.free = place.free.minus(job.spec.need);
@@ -236,10 +239,16 @@
         if left == 0 {
             job.placed_at.get_or_insert(now);
         }
-        let wanted = std::mem::take(&mut job.claim_wanted);
-        if wanted > job.claimed && self.claims.get(&job.spec.id).is_none_or(|c| *c < wanted) {
-            self.claims.put(&job.spec.id, wanted);
-            self.urgent_rounds = true;
+        let wanted = std::mem::take(&mut job.requested_watermark);
+        if wanted > job.start_watermark
+            && self
+                .jobs
+                .start_watermarks
+                .get(&job.spec.id)
+                .is_none_or(|c| *c < wanted)
+        {
+            self.jobs.start_watermarks.put(&job.spec.id, wanted);
+            self.writes_due = true;
         }
         left
     }
@@ -265,8 +274,8 @@
             let place = &mut pass.places[at];
             place.reserved = true;
             pass.reserved += 1;
-            place.free = Room::default();
-            place.promised = Room::default();
+            place.free = Resources::default();
+            place.promised = Resources::default();
         }
     }
 }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -1,8 +1,8 @@
 //! Where the tasks of a job may be: types, zones and kinds of machines.
 
-use crate::cluster::Cluster;
 use crate::jobs::spec::JobSpec;
 use crate::jobs::{Job, JobId};
+use crate::scheduler::SchedulerState;
 use std::collections::BTreeMap;
 
 impl JobSpec {
@@ -22,7 +22,7 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Tasks of the job by zone, done ones included where it is known.
     pub fn zones_of(&self, id: JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
@@ -50,11 +50,11 @@
             return true;
         }
         // What an unseen machine may run may be in any zone.
-        let unseen = job.maybe_unseen();
-        if job.spec.one_zone && (unseen > 0 || zones.keys().any(|z| z != zone)) {
+        let unreconciled = job.maybe_unreconciled();
+        if job.spec.one_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
             return false;
         }
         let most = job.spec.tasks.div_ceil(2);
-        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) + unseen < most
+        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) + unreconciled < most
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/provisioning/mod.rs
@@ -7,9 +7,9 @@
 mod returns;
 pub mod wire;
 
-use crate::cluster::Cluster;
 use crate::jobs::rounds::{Write, WriteKind, page_write};
-use crate::placement::Room;
+use crate::placement::Resources;
+use crate::scheduler::SchedulerState;
 use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: String,
-    pub room: Room,
+    pub room: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Provisioning {
     pub catalog: Vec<MachineType>,
     /// Rentals without an answer yet.
     pub rental_requests: Vec<RentalRequest>,
@@ -81,12 +81,12 @@
     /// Machines that may hold tasks. A machine is written down before its first one, as soon as
     /// it is heard from. Sooner would spare its first task a wait, but a takeover then waits for
     /// every machine that is still booting, and some machine nearly always is.
-    pub roster: Pages<u64>,
+    pub registry: Pages<u64>,
 }
 
 /// The key prefix of the roster: machines that may hold tasks, and until when they surely existed,
 /// by the writing node's time of day.
-pub const FLEET_PREFIX: &str = "fleet/";
+pub const REGISTRY_PREFIX: &str = "fleet/";
 
 /// How long a refused kind of machine isn't asked for again.
 const NO_ROOM_PAUSE: Micros = Micros::from_secs(10);
@@ -95,7 +95,15 @@
 const MAX_RENTAL: u32 = 50;
 const MAX_RETURN: usize = 100;
 
-impl Fleet {
+impl Provisioning {
+    /// Nothing known yet; pages of the registry hold at most so many bytes.
+    pub fn new(value_bytes: usize) -> Provisioning {
+        Provisioning {
+            registry: Pages::new(value_bytes),
+            ..Provisioning::default()
+        }
+    }
+
     pub fn is_gone(&self, name: &str) -> bool {
         self.gone.contains(name)
     }
@@ -104,7 +112,7 @@
         self.catalog.iter().find(|t| t.name == name)
     }
 
-    pub fn room_of(&self, type_name: &str) -> Room {
+    pub fn room_of(&self, type_name: &str) -> Resources {
         self.type_of(type_name).map(|t| t.room).unwrap_or_default()
     }
 
@@ -163,22 +171,22 @@
     }
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Sees to it that a machine is on the roster; true if it surely is already.
-    pub fn enroll(&mut self, name: &str, now: Moment) -> bool {
-        if !self.fleet.roster.contains(name) {
+    pub fn register(&mut self, name: &str, now: Moment) -> bool {
+        if !self.provisioning.registry.contains(name) {
             let at = self.wall(now).0;
-            self.fleet.roster.put(name, at);
-            self.urgent_rounds = true;
+            self.provisioning.registry.put(name, at);
+            self.writes_due = true;
         }
-        self.fleet.roster.is_stored(name)
+        self.provisioning.registry.is_stored(name)
     }
 
     /// Pages of the roster that differ from what is stored; without `tidy` only those with new
     /// machines.
-    pub fn due_roster(&self, tidy: bool) -> Vec<Write> {
-        let due = self.fleet.roster.due(tidy).into_iter();
-        due.map(|image| page_write(FLEET_PREFIX, image, WriteKind::Roster))
+    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<Write> {
+        let due = self.provisioning.registry.due(tidy).into_iter();
+        due.map(|image| page_write(REGISTRY_PREFIX, image, WriteKind::Registry))
             .collect()
     }
 }
--- a/src/fleet/plan.rs
+++ b/src/provisioning/plan.rs
@@ -1,9 +1,9 @@
 //! The rental plan: what waiting work needs beyond the machines that are there and on their way.
 
 use super::{ListStatus, MAX_RENTAL, Offer, RentalRequest};
-use crate::cluster::Cluster;
 use crate::jobs::Job;
-use crate::placement::Room;
+use crate::placement::Resources;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,13 +13,13 @@
     type_index: usize,
     zone: String,
     spot: bool,
-    releases: Vec<(Moment, Room)>,
+    releases: Vec<(Moment, Resources)>,
 }
 
 impl Bin {
     /// When enough is free for one more task.
-    fn earliest(&self, need: Room) -> Option<Moment> {
-        let mut free = Room::default();
+    fn earliest(&self, need: Resources) -> Option<Moment> {
+        let mut free = Resources::default();
         self.releases.iter().find_map(|(at, room)| {
             free = free.plus(*room);
             need.fits(free).then_some(*at)
@@ -27,8 +27,8 @@
     }
 
     /// Takes room for a task from `start` for `run`.
-    fn take(&mut self, start: Moment, need: Room, run: Micros) {
-        let mut free = Room::default();
+    fn take(&mut self, start: Moment, need: Resources, run: Micros) {
+        let mut free = Resources::default();
         self.releases.retain(|(at, room)| {
             let taken = *at <= start;
             if taken {
@@ -51,15 +51,15 @@
 /// Plans are at least this long apart for each machine: one looks at every task on every machine.
 const PLAN_SPACING: Micros = Micros(500);
 
-impl Cluster {
+impl SchedulerState {
     /// Adds the rentals that waiting work needs beyond what is there and on its way.
     pub fn plan_rentals(&mut self, now: Moment) {
         let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
-        let soon = self.fleet.planned.is_some_and(|t| now - t < spacing);
-        if !self.fleet.listed || !self.fleet.rental_requests.is_empty() || soon {
+        let soon = self.provisioning.planned.is_some_and(|t| now - t < spacing);
+        if !self.provisioning.listed || !self.provisioning.rental_requests.is_empty() || soon {
             return;
         }
-        self.fleet.planned = Some(now);
+        self.provisioning.planned = Some(now);
         let mut wanted = self.wanted_offers(now);
         if wanted.is_empty()
             && let Some(offer) = self.reserve_offer(now)
@@ -75,10 +75,10 @@
             while left > 0 {
                 let n = left.min(MAX_RENTAL);
                 left -= n;
-                self.fleet.rental_count += 1;
-                let name = format!("r-{}-{}", self.term, self.fleet.rental_count);
-                let type_name = self.fleet.catalog[offer.type_index].name.clone();
-                self.fleet.rental_requests.push(RentalRequest {
+                self.provisioning.rental_count += 1;
+                let name = format!("r-{}-{}", self.term, self.provisioning.rental_count);
+                let type_name = self.provisioning.catalog[offer.type_index].name.clone();
+                self.provisioning.rental_requests.push(RentalRequest {
                     name,
                     offer: offer.clone(),
                     type_name,
@@ -92,8 +92,8 @@
     /// that would start too late there asks for a new machine.
     fn wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
-        let offers = self.fleet.offers();
-        let refused = |o: &Offer| self.fleet.no_room.get(o).is_some_and(|t| *t > now);
+        let offers = self.provisioning.offers();
+        let refused = |o: &Offer| self.provisioning.no_room.get(o).is_some_and(|t| *t > now);
         if offers.iter().all(|(o, _)| refused(o)) {
             return wanted;
         }
@@ -104,7 +104,7 @@
         let mut bins: Vec<Bin> = self
             .machines
             .values()
-            .filter(|m| !m.returning && !m.faulty && !m.recalled && !m.lost)
+            .filter(|m| !m.returning && !m.faulty && !m.has_preemption_notice && !m.lost)
             .filter(|m| m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now))
             .filter_map(|m| self.bin_of(m, now))
             .collect();
@@ -125,7 +125,7 @@
             // By when a task could start there: only the bin that takes one changes.
             let earliest = |bins: &[Bin], i: usize| {
                 let bin = &bins[i];
-                let t = &self.fleet.catalog[bin.type_index];
+                let t = &self.provisioning.catalog[bin.type_index];
                 let allowed = need.fits(t.room) && job.spec.allows(&t.name, &bin.zone, bin.spot);
                 let start = if allowed {
                     bin.earliest(need)?
@@ -160,7 +160,7 @@
                 let (start, at) = match (offer, best) {
                     (Some(offer), _) => {
                         *wanted.entry(offer.clone()).or_insert(0) += 1;
-                        let t = &self.fleet.catalog[offer.type_index];
+                        let t = &self.provisioning.catalog[offer.type_index];
                         let up = now + t.boot;
                         bins.push(Bin {
                             type_index: offer.type_index,
@@ -203,13 +203,13 @@
         offers
             .iter()
             .filter(|(o, _)| {
-                let t = &self.fleet.catalog[o.type_index];
+                let t = &self.provisioning.catalog[o.type_index];
                 // A machine that is late to boot is still likely to be up before a new one.
                 let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
                 job.spec.allows(&t.name, &o.zone, o.spot)
                     && Self::zone_allowed(job, &o.zone, zones)
                     && need.fits(t.room)
-                    && self.fleet.no_room.get(o).is_none_or(|t| *t <= now)
+                    && self.provisioning.no_room.get(o).is_none_or(|t| *t <= now)
                     && existing.is_none_or(|start| {
                         let long = up + self.config.on_demand_patience < start;
                         up < start && (o.spot || !job.spec.spot || long)
@@ -217,7 +217,7 @@
             })
             .min_by(|(a, pa), (b, pb)| {
                 let cost = |o: &Offer, price: f64| {
-                    let room = self.fleet.catalog[o.type_index].room;
+                    let room = self.provisioning.catalog[o.type_index].room;
                     price / f64::from(room.times(need).max(1))
                 };
                 cost(a, *pa).total_cmp(&cost(b, *pb))
@@ -228,15 +228,15 @@
     /// When room gets free on a machine, as far as can be told.
     fn bin_of(&self, m: &crate::workers::Machine, now: Moment) -> Option<Bin> {
         let type_index = self
-            .fleet
+            .provisioning
             .catalog
             .iter()
             .position(|t| t.name == m.type_name)?;
         let mut releases = Vec::new();
         if m.last_report.is_none() {
-            let boot = self.fleet.catalog[type_index].boot;
+            let boot = self.provisioning.catalog[type_index].boot;
             let up = (m.known_since + boot).max(now + Micros::from_secs(2));
-            releases.push((up, self.fleet.catalog[type_index].room));
+            releases.push((up, self.provisioning.catalog[type_index].room));
         } else {
             releases.push((now, self.free_room(m)));
             for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
--- a/src/fleet/returns.rs
+++ b/src/provisioning/returns.rs
@@ -1,7 +1,7 @@
 //! Which machines go back to the cloud, and when.
 
 use super::{ListStatus, MAX_RETURN};
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
 
@@ -28,13 +28,13 @@
 /// More than one machine in so many is silent: the fault is rather on this side.
 const MOST_SILENT: usize = 3;
 
-impl Cluster {
+impl SchedulerState {
     /// True for a machine whose reports arrive but which answers don't seem to reach: it takes no
     /// work, so another one is rented in its place. A short suspicion changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
         let uncounted = m.last_report.is_some()
-            && !m.counted_in
+            && !m.reconciled
             && now - m.known_since.max(self.started) > lease;
         uncounted
             || m.suspicion
@@ -83,7 +83,7 @@
         } else {
             self.config.idle.scaled(ON_DEMAND_IDLE)
         };
-        m.counted_in && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
+        m.reconciled && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
     }
 
     /// Why a machine is of no use any more.
@@ -92,7 +92,10 @@
     /// thereby one that never came up.
     fn defect(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
         let lease = self.lease_span();
-        let boot = self.fleet.boot_of(&m.type_name).unwrap_or(self.config.idle);
+        let boot = self
+            .provisioning
+            .boot_of(&m.type_name)
+            .unwrap_or(self.config.idle);
         let leading_for = now - self.started;
         let known_for = now - m.known_since;
         if m.last_report.is_none() {
@@ -114,11 +117,11 @@
             return Some(ReturnReason::Faulty);
         }
         // It is charged to the end, and only its return proves it empty.
-        if m.recalled {
+        if m.has_preemption_notice {
             return Some(ReturnReason::Recalled);
         }
         // Its reports arrive, but it hears nothing, and not only for a while.
-        let uncounted = !m.counted_in && leading_for.min(known_for) > lease.scaled(2.0);
+        let uncounted = !m.reconciled && leading_for.min(known_for) > lease.scaled(2.0);
         let suspected = m
             .suspicion
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
@@ -133,14 +136,16 @@
     /// or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
         let patience = self.config.report.scaled(SILENT_REPORTS);
-        let falls_behind = self.fell_behind_since(now, patience.scaled(2.0));
+        let falls_behind = self
+            .overload
+            .was_overloaded_within(patience.scaled(2.0), now);
         if falls_behind || now - self.started < patience.scaled(2.0) {
             return Vec::new();
         }
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.counted_in && !m.lost && m.last_heartbeat.is_some())
+            .filter(|m| m.reconciled && !m.lost && m.last_heartbeat.is_some())
             .collect();
         let is_silent = |m: &&Machine| m.last_heartbeat.is_some_and(|t| now - t > patience);
         let silent: Vec<&Machine> = known.iter().copied().filter(is_silent).collect();
--- a/src/cluster/hearing.rs
+++ b/src/scheduler/reachability.rs
@@ -1,12 +1,12 @@
 //! Which machines the leader hears, and what their silence says of its own links.
 
-use super::Cluster;
+use super::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
 use aspenreel_links::workers::Hearing;
 use std::collections::BTreeMap;
 
-impl Cluster {
+impl SchedulerState {
     /// True when most machines fell silent together: rather this node is cut off than they are.
     ///
     /// The state service may still serve a leader that no worker reaches; it would keep its lease
@@ -26,7 +26,7 @@
 
     /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
     pub fn hearing_is_settled(&self, now: Moment) -> bool {
-        now - self.started.max(self.behind_at) >= self.silence().scaled(2.0)
+        now - self.started.max(self.overload.last_overloaded()) >= self.silence().scaled(2.0)
     }
 
     /// How many of the machines that should report do.
@@ -46,8 +46,8 @@
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| !m.lost && !m.returning && !m.recalled)
-            .filter(|m| m.last_report.is_some() || self.unseen.contains(&m.name))
+            .filter(|m| !m.lost && !m.returning && !m.has_preemption_notice)
+            .filter(|m| m.last_report.is_some() || self.prior_term.unreconciled.contains(&m.name))
             .collect();
         let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
         let silent = silent.count();
--- a/src/cluster/views.rs
+++ b/src/scheduler/status.rs
@@ -1,30 +1,30 @@
 //! What the leader tells of jobs and of its machines.
 
-use super::Cluster;
+use super::SchedulerState;
 use crate::invariants::violation_count;
-use crate::jobs::{Deciding, JobId, JobView, Known, ViewState};
+use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
 use crate::workers::DesiredState;
 use crate::workers::wire::TaskStatus;
 use std::collections::BTreeMap;
 
-impl Cluster {
-    pub fn view(&self, id: &str) -> Known {
+impl SchedulerState {
+    pub fn view(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
-            return Known::Nothing;
+            return LocalStatus::Nothing;
         };
         if let Some(outcome) = job.outcome {
-            return Known::View(JobView::of_final(outcome, job.spec.tasks));
+            return LocalStatus::View(JobView::of_final(outcome, job.spec.tasks));
         }
-        if job.deciding != Deciding::No {
-            return Known::Deciding;
+        if job.final_write != FinalWrite::Idle {
+            return LocalStatus::FinalWriteInFlight;
         }
         let running = if job.is_bound() {
             self.running_of(job_id)
         } else {
             0
         };
-        Known::View(JobView {
+        LocalStatus::View(JobView {
             state: if running > 0 {
                 ViewState::Running
             } else {
@@ -44,16 +44,16 @@
     }
 
     /// One line on orders that went straight to workers, and those in doubt.
-    pub fn order_summary(&self) -> String {
+    pub fn command_summary(&self) -> String {
         let counters = &self.fencing.counters;
         format!(
             "orders: direct_calls={} starts_in_doubt={} ended_by_token={} ended_by_session={} \
              machines_in_doubt={} tokens_raised={} heartbeats_withheld={} invariants_violated={}",
             counters.calls,
-            counters.doubts,
+            counters.unconfirmed_starts,
             counters.ended_by_token,
             counters.ended_by_session,
-            self.fencing.doubted(),
+            self.fencing.unconfirmed_machines(),
             counters.raises,
             counters.withheld,
             violation_count()
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -1,12 +1,12 @@
 //! Heartbeats as they arrive, and direct calls as they leave.
 
-use super::Heartbeat;
+use super::HeartbeatReply;
 use super::direct::{DirectCall, DirectResult};
-use super::wire::{Commands, Misdirected, Orders, Report, Sender};
+use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
+use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
 use crate::http::client::{CallError, ClientResponse};
 use crate::http::server::Response;
-use crate::node::Node;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 const DIRECT_TIME: Duration = Duration::from_millis(1500);
 /// Many machines may be suspected at once: asking them mustn't hold up orders for the others.
 const PROBE_TIME: Duration = Duration::from_millis(500);
-const MAX_KNOCKS: usize = 64;
+const MAX_REFUSED_HEARTBEATS: usize = 64;
 /// Longer than a watch on the leader takes.
 const VOUCHED: Micros = Micros::from_secs(6);
 /// A connection to a worker that wasn't used for this long may go when there are many.
@@ -65,51 +65,57 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub fn heartbeat(&self, body: &[u8]) -> Response {
         {
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
-            if core.acting(now).is_none() {
-                core.knocks.push_back(now);
-                while core.knocks.len() > MAX_KNOCKS {
-                    core.knocks.pop_front();
+            if state.acting(now).is_none() {
+                state.refused_heartbeats.push_back(now);
+                while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
+                    state.refused_heartbeats.pop_front();
                 }
-                let response = self.misdirected(&core);
-                drop(core);
+                let response = self.misdirected(&state);
+                drop(state);
                 self.note_refused(body, now);
                 return response;
             }
         }
-        let report: Report = match decode(body) {
+        let report: Heartbeat = match decode(body) {
             Ok(report) => report,
             Err(e) => {
                 log::info!("malformed report: {e}");
                 return Response::new(400, Vec::new());
             }
         };
-        let mut core = self.core();
+        let mut state = self.state();
         // The clock is read under the lock: a process may stand still at any point, and what was
         // allowed before it may be another's by now.
         let now = self.now();
-        let Some((lead, cluster)) = core.acting(now) else {
-            return self.misdirected(&core);
+        let Some((lead, scheduler)) = state.acting(now) else {
+            return self.misdirected(&state);
         };
         let (term, valid_until) = (lead.term, lead.valid_until);
-        match cluster.heartbeat(&report, now) {
-            Heartbeat::Orders { token, orders } => {
-                self.wake(cluster);
-                drop(core);
-                let body = encode(&Orders { token, orders });
+        match scheduler.heartbeat(&report, now) {
+            HeartbeatReply::Commands {
+                fencing_token,
+                commands,
+            } => {
+                self.wake(scheduler);
+                drop(state);
+                let body = encode(&HeartbeatReplyBody {
+                    fencing_token,
+                    commands,
+                });
                 Response {
                     valid_until: Some(valid_until),
                     ..Response::new(200, body)
                 }
             }
-            Heartbeat::Stale | Heartbeat::Withheld => Response::busy(1),
-            Heartbeat::Deposed => {
+            HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(1),
+            HeartbeatReply::Deposed => {
                 log::info!("a worker knows a higher term than {term}");
-                core.step_down = true;
+                state.step_down = true;
                 Response::busy(1)
             }
         }
@@ -118,31 +124,31 @@
     /// Remembers whose heartbeat was refused, where links are watched.
     fn note_refused(&self, body: &[u8], now: Moment) {
         if let Some(links) = &self.links
-            && let Ok(sender) = decode::<Sender>(body)
+            && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
-            links.refused_worker(&sender.host, now);
+            links.refused_worker(&sender.machine, now);
         }
     }
 
     /// Names the leader only while the state service vouched for it lately: a node that lost
     /// touch would send workers in circles.
-    fn misdirected(&self, core: &crate::node::Core) -> Response {
-        let vouched = self.now() - core.leader_seen < VOUCHED;
-        let foreman = core
+    fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
+        let vouched = self.now() - state.leader_seen < VOUCHED;
+        let leader = state
             .known_leader
             .as_ref()
             .filter(|_| vouched)
             .map(|l| l.node.clone())
             .filter(|n| *n != self.settings.node);
-        Response::new(421, encode(&Misdirected { foreman }))
+        Response::new(421, encode(&NotLeaderReply { leader }))
     }
 
     /// Wakes the threads that have something to do after a decision.
-    pub fn wake(&self, cluster: &mut crate::cluster::Cluster) {
-        if std::mem::take(&mut cluster.urgent_rounds) {
+    pub fn wake(&self, scheduler: &mut crate::scheduler::SchedulerState) {
+        if std::mem::take(&mut scheduler.writes_due) {
             self.changed.notify_all();
         }
-        if !cluster.direct_due.is_empty() {
+        if !scheduler.commands.due.is_empty() {
             self.direct_due.notify_one();
         }
     }
@@ -151,16 +157,16 @@
     pub fn direct_loop(&self) {
         loop {
             let call = {
-                let mut core = self.core();
+                let mut state = self.state();
                 let now = self.now();
-                let call = core
+                let call = state
                     .acting(now)
-                    .and_then(|(_, cluster)| cluster.next_direct(now));
+                    .and_then(|(_, scheduler)| scheduler.next_direct(now));
                 match call {
                     Some(call) => {
-                        if core
+                        if state
                             .acting(now)
-                            .is_some_and(|(_, c)| !c.direct_due.is_empty())
+                            .is_some_and(|(_, c)| !c.commands.due.is_empty())
                         {
                             self.direct_due.notify_one();
                         }
@@ -168,21 +174,21 @@
                     }
                     None => {
                         let observed = self.direct_due.prepare_wait();
-                        drop(core);
+                        drop(state);
                         self.direct_due.wait(observed, Duration::from_secs(60));
                         continue;
                     }
                 }
             };
             let result = self.call_worker(&call);
-            let mut core = self.core();
+            let mut state = self.state();
             let now = self.now();
             // Even if the lead is in doubt by now: what is known of the start must be kept.
-            let Some(cluster) = core.cluster.as_mut().filter(|c| c.term == call.term) else {
+            let Some(scheduler) = state.scheduler.as_mut().filter(|c| c.term == call.term) else {
                 continue;
             };
-            cluster.direct_done(&call, result, now);
-            self.wake(cluster);
+            scheduler.direct_done(&call, result, now);
+            self.wake(scheduler);
         }
     }
 
@@ -193,10 +199,10 @@
         let open = self.open.load(Ordering::Relaxed);
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
-        let body = encode(&Commands {
-            token: call.token,
-            session: call.session,
-            orders: &call.orders,
+        let body = encode(&DirectCommands {
+            fencing_token: call.fencing_token,
+            agent_epoch: call.agent_epoch,
+            commands: &call.commands,
         });
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
@@ -204,7 +210,7 @@
                 status: 200 | 409,
                 body,
             }) => match decode(&body) {
-                Ok(report) => DirectResult::Report(report),
+                Ok(report) => DirectResult::Answered(report),
                 Err(e) => {
                     log::info!("malformed answer of {}: {e}", call.machine);
                     DirectResult::Unknown
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -1,27 +1,27 @@
 //! What a report proves: which attempts a machine holds, which ended, and which never began.
 
 use super::exits::{Exit, settle_exit};
-use super::wire::{Cause, Report, TaskReport, TaskStatus};
+use super::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use super::{Attempt, AttemptKey, DesiredState, Orphan};
-use crate::cluster::Cluster;
 use crate::invariants::{self, Invariant};
 use crate::jobs::Job;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
 /// A start that is stopped sooner doesn't count as one.
 pub(super) const COUNTS_AFTER: Micros = Micros::from_secs(30);
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in a report that is newer than what is known. `checked_in`: it came as a heartbeat,
     /// not as the answer of a direct call.
-    pub(super) fn take_in(&mut self, report: &Report, by_heartbeat: bool, now: Moment) {
+    pub(super) fn take_in(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
         let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
-        let new_session = report.session > machine.session && machine.session > 0;
+        let new_session = report.agent_epoch > machine.agent_epoch && machine.agent_epoch > 0;
         if new_session {
-            self.end_session(&report.machine);
+            self.end_epoch(&report.machine);
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
@@ -30,8 +30,8 @@
             // It may have been away. It may also hear nothing of what is answered.
             machine.note_loss(now);
         }
-        machine.session = report.session;
-        machine.tick = report.tick;
+        machine.agent_epoch = report.agent_epoch;
+        machine.sequence = report.sequence;
         machine.lost = false;
         if machine.last_report.is_none() {
             machine.known_since = now;
@@ -41,14 +41,16 @@
         machine.type_name.clone_from(&report.type_name);
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
-        machine.total = self.fleet.room_of(&report.type_name);
-        machine.recalled = report.recall.is_some();
-        machine.recall_at = report.recall.map(|s| now + Micros::from_secs_f64(s.0));
-        machine.seen_token = machine.seen_token.max(report.token);
-        if !machine.counted_in && report.token >= self.term {
-            machine.counted_in = true;
+        machine.total = self.provisioning.room_of(&report.type_name);
+        machine.has_preemption_notice = report.preemption_notice_s.is_some();
+        machine.preempted_at = report
+            .preemption_notice_s
+            .map(|s| now + Micros::from_secs_f64(s.0));
+        machine.seen_fencing_token = machine.seen_fencing_token.max(report.fencing_token);
+        if !machine.reconciled && report.fencing_token >= self.term {
+            machine.reconciled = true;
             log::debug!("machine {} counted in", machine.name);
-            self.dirty = true;
+            self.placement.due = true;
         }
         self.settle_doubts(&report.machine, now);
         self.apply_tasks(report, by_heartbeat, now);
@@ -61,7 +63,7 @@
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let Some(recall_at) = machine.recall_at else {
+        let Some(preempted_at) = machine.preempted_at else {
             return;
         };
         let doomed: Vec<AttemptKey> = machine
@@ -74,7 +76,7 @@
                     .table
                     .get(&k.0)
                     .map_or(Micros::ZERO, |j| self.expected_run(j));
-                a.running_since.unwrap_or(now) + run > recall_at
+                a.running_since.unwrap_or(now) + run > preempted_at
             })
             .map(|(k, _)| *k)
             .collect();
@@ -84,7 +86,7 @@
     }
 
     /// Takes in a report's list of tasks, as a whole.
-    fn apply_tasks(&mut self, report: &Report, by_heartbeat: bool, now: Moment) {
+    fn apply_tasks(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
         let mut shown = BTreeSet::new();
         let mut orphans = Vec::new();
         for task in &report.tasks {
@@ -96,7 +98,7 @@
                 None => {
                     self.check_orphan(&report.machine, task, now);
                     orphans.push(Orphan {
-                        piece: task.piece.clone(),
+                        task_id: task.task_id.clone(),
                         attempt: task.attempt,
                         exited: task.status == TaskStatus::Exited,
                     });
@@ -117,15 +119,15 @@
     }
 
     /// The attempt that a worker tells of, if its job is known.
-    fn key_of(&self, task: &TaskReport) -> Option<AttemptKey> {
+    fn key_of(&self, task: &ReportedTask) -> Option<AttemptKey> {
         let (id, number) = task.parts()?;
         Some((self.jobs.find(id)?, number, task.attempt))
     }
 
     /// What one task's line in a report shows.
-    fn take_task(&mut self, report: &Report, key: AttemptKey, task: &TaskReport, now: Moment) {
+    fn take_task(&mut self, report: &Heartbeat, key: AttemptKey, task: &ReportedTask, now: Moment) {
         let (job_id, number, _) = key;
-        let cache_gb = self.fleet.cache_of(&report.type_name);
+        let cache_gb = self.provisioning.cache_of(&report.type_name);
         let (Some(job), Some(machine)) = (
             self.jobs.table.get_mut(&job_id),
             self.machines.get_mut(&report.machine),
@@ -144,12 +146,12 @@
         if task.status == TaskStatus::Exited && before != Some(TaskStatus::Exited) {
             let exit = Exit {
                 key,
-                cause: task.cause.unwrap_or(Cause::Other),
+                exit_reason: task.exit_reason.unwrap_or(ExitReason::Other),
                 at: now,
             };
             let effect = settle_exit(&exit, job, machine, &mut attempt);
-            self.dirty = true;
-            self.urgent_rounds |= effect.completes_job;
+            self.placement.due = true;
+            self.writes_due |= effect.completes_job;
             ran = effect.ran;
         }
         let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
@@ -162,7 +164,7 @@
     }
 
     /// A job that this leader let go must not run: nothing of it could be left.
-    fn check_orphan(&self, machine: &str, task: &TaskReport, now: Moment) {
+    fn check_orphan(&self, machine: &str, task: &ReportedTask, now: Moment) {
         let own = self.machines.get(machine);
         // The first thing heard of a machine may be a copy of what was long ago.
         let is_known = own.is_some_and(|m| m.known_since < now);
@@ -172,7 +174,7 @@
                 Invariant::ReleasedWithoutProof,
                 format_args!(
                     "machine={machine} task={} attempt={}",
-                    task.piece, task.attempt
+                    task.task_id, task.attempt
                 ),
             );
         }
@@ -180,7 +182,7 @@
 }
 
 /// An earlier leader's attempt, or one of an order thought lost.
-fn found_attempt(job: &mut Job, number: u32, task: &TaskReport, now: Moment) -> Attempt {
+fn found_attempt(job: &mut Job, number: u32, task: &ReportedTask, now: Moment) -> Attempt {
     let bound = task.status != TaskStatus::Exited;
     if bound {
         job.bind(number);
@@ -189,14 +191,14 @@
 }
 
 /// A task shows up for the first time: not of a job whose cancellation must be complete.
-fn check_start(job: &Job, task: &TaskReport, machine: &str, cancel: Micros, now: Moment) {
+fn check_start(job: &Job, task: &ReportedTask, machine: &str, cancel: Micros, now: Moment) {
     let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
     if is_late && task.status != TaskStatus::Exited {
         invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
             format_args!(
                 "machine={machine} task={} attempt={}",
-                task.piece, task.attempt
+                task.task_id, task.attempt
             ),
         );
     }
@@ -225,7 +227,7 @@
         && attempt.desired == DesiredState::Run
     {
         attempt.desired = DesiredState::Stop {
-            leeway: Micros::ZERO,
+            grace_period: Micros::ZERO,
         };
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,6 +2,9 @@
 //! between what is wanted of a machine and what it reports.
 
 mod absence;
+mod command_log;
+mod command_queue;
+mod commands;
 pub mod delivery;
 pub mod direct;
 pub mod edge;
@@ -9,24 +12,26 @@
 mod exits;
 pub mod fencing;
 mod machine;
-mod order_log;
-mod orders;
 mod sessions;
 pub mod wire;
 
-pub use delivery::StartDelivery;
+pub use command_queue::CommandQueue;
+pub use delivery::DeliveryStatus;
 pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Suspicion};
 
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
-use order_log::{OrderPath, Recipient, note_orders};
-use wire::{Order, Report};
+use command_log::{CommandPath, Recipient, log_commands};
+use wire::{Heartbeat, WorkerCommand};
 
 /// What a heartbeat is answered with.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heartbeat {
+pub enum HeartbeatReply {
     /// 200 with these orders, under this token.
-    Orders { token: u64, orders: Vec<Order> },
+    Commands {
+        fencing_token: u64,
+        commands: Vec<WorkerCommand>,
+    },
     /// It must not be answered, so that its session ends.
     Withheld,
     /// A late or repeated report: it renews nothing.
@@ -35,20 +40,20 @@
     Deposed,
 }
 
-impl Cluster {
+impl SchedulerState {
     /// Takes in a report and answers with what the machine is to do.
-    pub fn heartbeat(&mut self, report: &Report, now: Moment) -> Heartbeat {
-        if report.token > self.fencing.newest() {
-            return Heartbeat::Deposed;
+    pub fn heartbeat(&mut self, report: &Heartbeat, now: Moment) -> HeartbeatReply {
+        if report.fencing_token > self.fencing.newest() {
+            return HeartbeatReply::Deposed;
         }
-        if self.fleet.is_gone(&report.machine) {
-            return Heartbeat::Stale;
+        if self.provisioning.is_gone(&report.machine) {
+            return HeartbeatReply::Stale;
         }
         if !self.machines.contains_key(&report.machine) {
             if self.machines.len() >= self.config.most_machines {
-                return Heartbeat::Stale;
+                return HeartbeatReply::Stale;
             }
-            let total = self.fleet.room_of(&report.type_name);
+            let total = self.provisioning.room_of(&report.type_name);
             let mut machine = Machine::new(
                 &report.machine,
                 &report.type_name,
@@ -59,52 +64,57 @@
             );
             machine.lease_from = self.started;
             // A report may be late, and its machine gone: only a list or a rental proves more.
-            machine.exists_since = self.old_records.get(&report.machine).copied();
+            machine.exists_since = self.prior_term.machines.get(&report.machine).copied();
             self.machines.insert(report.machine.clone(), machine);
         }
-        let recorded = self.enroll(&report.machine, now);
+        let recorded = self.register(&report.machine, now);
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.recorded = recorded;
         }
         let Some(machine) = self.machines.get_mut(&report.machine) else {
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         };
-        if report.session < machine.session || (machine.lost && report.session <= machine.session) {
+        if report.agent_epoch < machine.agent_epoch
+            || (machine.lost && report.agent_epoch <= machine.agent_epoch)
+        {
             // After an expired lease the session is over, whatever a late report says.
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         }
-        let seen = (report.session, report.tick);
-        if seen <= machine.checked {
+        let seen = (report.agent_epoch, report.sequence);
+        if seen <= machine.newest_heartbeat {
             // A copy: it renews nothing, and doesn't prove that its sender is alive.
-            return Heartbeat::Stale;
+            return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
-        self.dirty |= !machine.is_alive(self.config.report, now);
-        machine.checked = seen;
+        self.placement.due |= !machine.is_alive(self.config.report, now);
+        machine.newest_heartbeat = seen;
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
-        if (report.session, report.tick) > (machine.session, machine.tick) {
+        if (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence) {
             self.take_in(report, true, now);
         }
         // Else the answer of a direct call overtook this report, whose task list is older than
         // what is known; the answer to it is as good as any.
         if self.must_withhold(&report.machine, now) {
-            return Heartbeat::Withheld;
+            return HeartbeatReply::Withheld;
         }
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.lease_from = now;
         }
         self.review_suspicion(&report.machine, now);
-        self.release_seen(now);
+        self.release_prior_term(now);
         self.place_soon(now);
-        let token = self.token_for(&report.machine);
-        let orders = self.orders(&report.machine, now);
+        let fencing_token = self.fencing_token_for(&report.machine);
+        let commands = self.commands(&report.machine, now);
         let to = Recipient {
             machine: &report.machine,
-            session: report.session,
-            token,
+            agent_epoch: report.agent_epoch,
+            fencing_token,
         };
-        note_orders(OrderPath::HeartbeatAnswer, &to, &orders);
-        Heartbeat::Orders { token, orders }
+        log_commands(CommandPath::HeartbeatAnswer, &to, &commands);
+        HeartbeatReply::Commands {
+            fencing_token,
+            commands,
+        }
     }
 }
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -1,9 +1,9 @@
 //! Worker sessions: they end with their lease, and everything on the machine with them.
 
-use crate::cluster::Cluster;
+use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
-impl Cluster {
+impl SchedulerState {
     /// A suspected machine is asked directly; one whose session lasts is heard and hears.
     pub(super) fn review_suspicion(&mut self, name: &str, now: Moment) {
         let span = self.lease_span();
@@ -15,14 +15,14 @@
         };
         if suspicion.is_refuted(span, now) {
             machine.suspicion = None;
-            self.dirty = true;
+            self.placement.due = true;
         } else if suspicion.may_probe(now) {
-            self.direct_due.insert(name.to_string());
+            self.commands.due.insert(name.to_string());
         }
     }
 
     /// Everything the machine had in its session is gone.
-    pub fn end_session(&mut self, name: &str) {
+    pub fn end_epoch(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -30,7 +30,7 @@
         machine.orphans.clear();
         self.fencing.forget(name);
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
-            if attempt.delivery.in_doubt().is_some() {
+            if attempt.delivery.unconfirmed().is_some() {
                 self.fencing.counters.ended_by_session += 1;
             }
             if attempt.holds()
@@ -39,7 +39,7 @@
                 job.unbind(key.1);
             }
         }
-        self.dirty = true;
+        self.placement.due = true;
     }
 
     /// Sessions end when nobody can have renewed their lease for its full time.
@@ -55,15 +55,15 @@
             if let Some(machine) = self.machines.get_mut(&name) {
                 log::info!(
                     "session over: machine={name} session={} reason=lease renewed_s_ago={:.3}",
-                    machine.session,
+                    machine.agent_epoch,
                     (now - machine.lease_from).as_secs_f64()
                 );
                 machine.lost = true;
-                machine.session_over = true;
+                machine.epoch_over = true;
                 machine.idle_since = None;
             }
-            self.end_session(&name);
+            self.end_epoch(&name);
         }
-        self.release_seen(now);
+        self.release_prior_term(now);
     }
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     #[serde(default)]
@@ -16,38 +16,41 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
-    pub tick: u64,
+    pub agent_epoch: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recallS", default)]
-    pub recall: Option<Number>,
+    pub preemption_notice_s: Option<Number>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<ReportedTask>,
 }
 
 /// Of a report, only whose it is.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Sender {
-    pub host: String,
+pub struct HeartbeatSender {
+    #[serde(rename = "host")]
+    pub machine: String,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskReport {
-    pub piece: String,
+pub struct ReportedTask {
+    #[serde(rename = "piece")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskStatus,
-    #[serde(default)]
-    pub cause: Option<Cause>,
-    #[serde(default)]
-    pub stored: Option<bool>,
+    #[serde(rename = "cause", default)]
+    pub exit_reason: Option<ExitReason>,
+    #[serde(rename = "stored", default)]
+    pub checkpointed: Option<bool>,
 }
 
-impl TaskReport {
+impl ReportedTask {
     /// Job and task number.
     pub fn parts(&self) -> Option<(&str, u32)> {
-        let (id, number) = self.piece.rsplit_once('/')?;
+        let (id, number) = self.task_id.rsplit_once('/')?;
         Some((id, number.parse().ok()?))
     }
 }
@@ -66,7 +69,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -79,42 +82,46 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandKind {
     Run,
     Stop,
     Clear,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
-    pub verb: Verb,
-    pub piece: String,
+pub struct WorkerCommand {
+    #[serde(rename = "verb")]
+    pub kind: CommandKind,
+    #[serde(rename = "piece")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     #[serde(rename = "leewayS", default, skip_serializing_if = "Option::is_none")]
-    pub leeway_s: Option<f64>,
+    pub grace_period_s: Option<f64>,
 }
 
-impl Eq for Order {}
+impl Eq for WorkerCommand {}
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatReplyBody {
     #[serde(rename = "baton")]
-    pub token: u64,
-    pub orders: Vec<Order>,
+    pub fencing_token: u64,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Serialize)]
-pub struct Misdirected {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub foreman: Option<String>,
+pub struct NotLeaderReply {
+    #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
+    pub leader: Option<String>,
 }
 
 #[derive(Debug, Serialize)]
-pub struct Commands<'a> {
+pub struct DirectCommands<'a> {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "shift")]
-    pub session: u64,
-    pub orders: &'a [Order],
+    pub agent_epoch: u64,
+    #[serde(rename = "orders")]
+    pub commands: &'a [WorkerCommand],
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -1,22 +1,24 @@
-//! A small world for traces: events go into a `Cluster`, and what it wants is written down.
+//! A small world for traces: events go into a `SchedulerState`, and what it wants is written down.
 
-use aspenreel::cluster::{Cluster, ClusterConfig};
-use aspenreel::fleet::wire::{Catalog, ListedMachine};
 use aspenreel::http::cbor::{Number, decode, encode};
-use aspenreel::jobs::Known;
+use aspenreel::jobs::LocalStatus;
 use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
 use aspenreel::jobs::spec::Submission;
+use aspenreel::provisioning::wire::{Catalog, ListedMachine};
+use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::Heartbeat;
+use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::direct::DirectResult;
-use aspenreel::workers::wire::{Cause, Order, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
+};
 use ciborium::cbor;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 pub struct World {
-    pub cluster: Cluster,
+    pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
     /// The state service takes higher tokens.
@@ -65,43 +67,43 @@
 }
 
 /// `run-1/0#5 running`: a task as a worker reports it.
-fn task_report(text: &str) -> TaskReport {
+fn task_report(text: &str) -> ReportedTask {
     let mut words = text.split(' ');
-    let (piece, attempt) = words.next().unwrap().split_once('#').unwrap();
-    let (status, cause) = match words.next().unwrap() {
+    let (task_id, attempt) = words.next().unwrap().split_once('#').unwrap();
+    let (status, exit_reason) = match words.next().unwrap() {
         "fetching" => (TaskStatus::Fetching, None),
         "running" => (TaskStatus::Running, None),
         "flushing" => (TaskStatus::Flushing, None),
-        "done" => (TaskStatus::Exited, Some(Cause::Done)),
-        "stopped" => (TaskStatus::Exited, Some(Cause::Stopped)),
-        "error" => (TaskStatus::Exited, Some(Cause::Error)),
+        "done" => (TaskStatus::Exited, Some(ExitReason::Done)),
+        "stopped" => (TaskStatus::Exited, Some(ExitReason::Stopped)),
+        "error" => (TaskStatus::Exited, Some(ExitReason::Error)),
         other => panic!("{other}"),
     };
     let (term, counter) = attempt.split_once('.').unwrap();
     let attempt = (term.parse::<u64>().unwrap() << 32) | counter.parse::<u64>().unwrap();
-    TaskReport {
-        piece: piece.into(),
+    ReportedTask {
+        task_id: task_id.into(),
         attempt,
         status,
-        cause,
-        stored: None,
+        exit_reason,
+        checkpointed: None,
     }
 }
 
-fn show(order: &Order) -> String {
-    let verb = match order.verb {
-        Verb::Run => "run",
-        Verb::Stop => "stop",
-        Verb::Clear => "clear",
+fn show(command: &WorkerCommand) -> String {
+    let kind = match command.kind {
+        CommandKind::Run => "run",
+        CommandKind::Stop => "stop",
+        CommandKind::Clear => "clear",
     };
-    let (term, counter) = (order.attempt >> 32, order.attempt & 0xffff_ffff);
-    format!("{verb} {}#{term}.{counter}", order.piece)
+    let (term, counter) = (command.attempt >> 32, command.attempt & 0xffff_ffff);
+    format!("{kind} {}#{term}.{counter}", command.task_id)
 }
 
 impl World {
     /// A leader of `term` that took over at second 0.
     pub fn new(term: u64, teams: Vec<TeamSettings>) -> World {
-        let config = ClusterConfig {
+        let config = SchedulerConfig {
             teams,
             lease: Micros::from_secs(20),
             cancel: Micros::from_secs(46),
@@ -118,10 +120,10 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = Cluster::new(config, term, at(0.0), 7);
-        cluster.fleet.catalog = catalog().types();
+        let mut scheduler = SchedulerState::new(config, term, at(0.0), 7);
+        scheduler.provisioning.catalog = catalog().types();
         World {
-            cluster,
+            scheduler,
             log: String::new(),
             now: at(0.0),
             raises_tokens: true,
@@ -148,21 +150,24 @@
 
     /// A job of which an earlier term claimed every task.
     pub fn old_job(&mut self, submission: Submission) -> &mut Self {
-        let claimed = submission.pieces as u32;
-        self.accepted(submission, claimed)
+        let start_watermark = submission.pieces as u32;
+        self.accepted(submission, start_watermark)
     }
 
     /// A job of which an earlier term claimed the first tasks.
-    pub fn accepted(&mut self, s: Submission, claimed: u32) -> &mut Self {
+    pub fn accepted(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
         self.epoch += 1;
         let mut earlier = String::new();
-        if claimed > 0 {
+        if start_watermark > 0 {
             let page = self.epoch as u32;
-            let entries = vec![(s.id.clone(), claimed)];
-            self.cluster.claims.load(page, self.epoch, entries);
-            earlier = format!(" under an earlier term, {claimed} claimed");
+            let entries = vec![(s.id.clone(), start_watermark)];
+            self.scheduler
+                .jobs
+                .start_watermarks
+                .load(page, self.epoch, entries);
+            earlier = format!(" under an earlier term, {start_watermark} claimed");
         }
-        self.cluster
+        self.scheduler
             .add_job(&s, self.epoch, self.now, WallTime(s.accepted_us));
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
@@ -171,65 +176,74 @@
         self
     }
 
-    pub fn report(&mut self, machine: &str, token: u64, session: u64, tasks: &[&str]) -> Report {
-        let tick = self.ticks.entry(machine.to_string()).or_insert(0);
-        *tick += 1;
+    pub fn report(
+        &mut self,
+        machine: &str,
+        fencing_token: u64,
+        agent_epoch: u64,
+        tasks: &[&str],
+    ) -> Heartbeat {
+        let sequence = self.ticks.entry(machine.to_string()).or_insert(0);
+        *sequence += 1;
         // Names tell type and zone: `small-east-1`.
         let parts: Vec<&str> = machine.split('-').collect();
-        Report {
+        Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:1".into(),
             type_name: parts[0].into(),
             zone: parts[1].into(),
             spot: true,
-            session,
-            tick: *tick,
-            token,
-            recall: None,
+            agent_epoch,
+            sequence: *sequence,
+            fencing_token,
+            preemption_notice_s: None,
             tasks: tasks.iter().map(|t| task_report(t)).collect(),
         }
     }
 
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
-        let token = self.token_of(machine);
-        let report = self.report(machine, token, 1, tasks);
+        let fencing_token = self.token_of(machine);
+        let report = self.report(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
     /// The highest token that a worker which takes every answer has seen.
     fn token_of(&self, machine: &str) -> u64 {
         let told = self.told.get(machine).copied();
-        told.unwrap_or(self.cluster.term)
+        told.unwrap_or(self.scheduler.term)
     }
 
-    pub fn send(&mut self, report: &Report) -> &mut Self {
+    pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
         self.send_to(report);
         self
     }
 
     /// Sends a report; the token of its answer, if it is answered.
-    pub fn send_to(&mut self, report: &Report) -> Option<u64> {
+    pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace claims and the roster are written as soon as they are due.
-        self.cluster.place(self.now);
+        self.scheduler.place(self.now);
         self.record_fleet();
-        let answer = self.cluster.heartbeat(report, self.now);
-        let token = match answer {
-            Heartbeat::Orders { token, .. } => Some(token),
+        let answer = self.scheduler.heartbeat(report, self.now);
+        let fencing_token = match answer {
+            HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token),
             _ => None,
         };
-        if let Some(token) = token {
-            self.told.insert(report.machine.clone(), token);
+        if let Some(fencing_token) = fencing_token {
+            self.told.insert(report.machine.clone(), fencing_token);
         }
         let text = match answer {
-            Heartbeat::Orders { token, orders } => {
-                let orders: Vec<String> = orders.iter().map(show).collect();
-                let text = match orders.is_empty() {
+            HeartbeatReply::Commands {
+                fencing_token,
+                commands,
+            } => {
+                let commands: Vec<String> = commands.iter().map(show).collect();
+                let text = match commands.is_empty() {
                     true => "nothing to do".to_string(),
-                    false => orders.join(", "),
+                    false => commands.join(", "),
                 };
-                match token == self.cluster.term {
+                match fencing_token == self.scheduler.term {
                     true => text,
-                    false => format!("{text} (token {token})"),
+                    false => format!("{text} (token {fencing_token})"),
                 }
             }
             other => format!("{other:?}"),
@@ -239,43 +253,43 @@
             .iter()
             .map(|t| {
                 let (term, n) = (t.attempt >> 32, t.attempt & 0xffff_ffff);
-                let end = t.cause.map(|c| format!(" {c:?}")).unwrap_or_default();
-                format!("{}#{term}.{n} {:?}{end}", t.piece, t.status)
+                let end = t.exit_reason.map(|c| format!(" {c:?}")).unwrap_or_default();
+                format!("{}#{term}.{n} {:?}{end}", t.task_id, t.status)
             })
             .collect();
         self.note(&format!(
             "{} (session {}, tick {}, token {}) reports [{}] -> {text}",
             report.machine,
-            report.session,
-            report.tick,
-            report.token,
+            report.agent_epoch,
+            report.sequence,
+            report.fencing_token,
             tasks.join(", ")
         ));
         // What passes too close to the last one left undone is done by the next tick.
-        if self.cluster.dirty {
-            self.cluster.place(self.now);
+        if self.scheduler.placement.due {
+            self.scheduler.place(self.now);
         }
         self.record_fleet();
-        token
+        fencing_token
     }
 
     /// Puts a higher token on record, if one is wanted.
-    fn raise_token(&mut self) {
-        if self.raises_tokens && self.cluster.token_raise_due(self.now) {
-            let token = self.cluster.fencing.newest() + 1;
-            self.cluster.token_raised(token, self.now);
-            self.note(&format!("token {token} is on record"));
+    fn raise_fencing_token(&mut self) {
+        if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
+            let fencing_token = self.scheduler.fencing.newest() + 1;
+            self.scheduler.fencing_token_raised(fencing_token, self.now);
+            self.note(&format!("token {fencing_token} is on record"));
         }
     }
 
     /// Writes what starts wait for.
     pub fn record_fleet(&mut self) {
-        self.raise_token();
-        let mut writes = self.cluster.due_claims();
-        writes.extend(self.cluster.due_roster(true));
+        self.raise_fencing_token();
+        let mut writes = self.scheduler.pending_watermark_writes();
+        writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
     }
 
@@ -284,28 +298,31 @@
         self.epoch += 1;
         let page = self.epoch as u32;
         let entries = vec![(machine.to_string(), 0)];
-        self.cluster.fleet.roster.load(page, self.epoch, entries);
-        self.cluster.note_unseen(machine, at(since));
+        self.scheduler
+            .provisioning
+            .registry
+            .load(page, self.epoch, entries);
+        self.scheduler.prior_term.note_machine(machine, at(since));
         self
     }
 
-    pub fn tick(&mut self, seconds: f64) -> &mut Self {
+    pub fn on_timer(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
-        self.cluster.tick(self.now);
+        self.scheduler.on_timer(self.now);
         self.record_fleet();
         self
     }
 
     /// Sends one direct call, if there is one, and ends it as told.
     pub fn direct(&mut self, result: impl FnOnce(&mut World) -> DirectResult) -> &mut Self {
-        let Some(call) = self.cluster.next_direct(self.now) else {
+        let Some(call) = self.scheduler.next_direct(self.now) else {
             self.note("no direct call");
             return self;
         };
-        let orders: Vec<String> = call.orders.iter().map(show).collect();
+        let commands: Vec<String> = call.commands.iter().map(show).collect();
         let result = result(self);
         let end = match &result {
-            DirectResult::Report(_) => "answered",
+            DirectResult::Answered(_) => "answered",
             DirectResult::Unsent => "not sent",
             DirectResult::Unreached => "no connection",
             DirectResult::Unknown => "no answer",
@@ -313,21 +330,21 @@
         self.note(&format!(
             "direct to {}: {} -> {end}",
             call.machine,
-            orders.join(", ")
+            commands.join(", ")
         ));
-        self.cluster.direct_done(&call, result, self.now);
+        self.scheduler.direct_done(&call, result, self.now);
         self
     }
 
     /// One write round; `commit` says whether the state service took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
-        let mut writes: Vec<RecordWrite> = self.cluster.due_finals(12);
-        writes.extend(self.cluster.due_sets(100));
-        writes.extend(self.cluster.due_retirements(100, 12));
+        let mut writes: Vec<RecordWrite> = self.scheduler.pending_final_writes(12);
+        writes.extend(self.scheduler.pending_done_sets(100));
+        writes.extend(self.scheduler.pending_retirements(100, 12));
         let told: Vec<String> = writes
             .iter()
             .map(|w| {
-                let id = |job| &self.cluster.jobs.table[job].spec.id;
+                let id = |job| &self.scheduler.jobs.table[job].spec.id;
                 match &w.kind {
                     WriteKind::Final(j, o) => format!("{} is {o:?}", id(j)),
                     WriteKind::Set { job, chunk, text } => {
@@ -343,22 +360,22 @@
         if commit {
             for write in &writes {
                 self.epoch += 1;
-                self.cluster.written(write, self.epoch);
+                self.scheduler.written(write, self.epoch);
             }
         }
         self
     }
 
     pub fn view(&mut self, id: &str) -> &mut Self {
-        let text = match self.cluster.view(id) {
-            Known::View(v) => format!(
+        let text = match self.scheduler.view(id) {
+            LocalStatus::View(v) => format!(
                 "{} ({} done, {} running)",
                 v.state.name(),
                 v.done,
                 v.running
             ),
-            Known::Deciding => "being decided".into(),
-            Known::Nothing => "unknown".into(),
+            LocalStatus::FinalWriteInFlight => "being decided".into(),
+            LocalStatus::Nothing => "unknown".into(),
         };
         self.note(&format!("{id} is told as {text}"));
         self
@@ -375,7 +392,7 @@
                 decode(&encode(&wire)).unwrap()
             })
             .collect();
-        self.cluster.listed(&list, self.now, self.now);
+        self.scheduler.listed(&list, self.now, self.now);
         self.record_fleet();
         let names: Vec<&str> = machines.iter().map(|(n, _)| *n).collect();
         self.note(&format!("the cloud lists [{}]", names.join(", ")));
@@ -383,10 +400,10 @@
     }
 
     pub fn rentals(&mut self) -> &mut Self {
-        self.cluster.plan_rentals(self.now);
+        self.scheduler.plan_rentals(self.now);
         let rental_requests: Vec<String> = self
-            .cluster
-            .fleet
+            .scheduler
+            .provisioning
             .rental_requests
             .iter()
             .map(|h| {
@@ -403,12 +420,12 @@
     /// What is bound, by machine.
     pub fn bound(&mut self) -> &mut Self {
         let mut lines = Vec::new();
-        for m in self.cluster.machines.values() {
+        for m in self.scheduler.machines.values() {
             let tasks: Vec<String> = m
                 .attempts
                 .iter()
                 .filter(|(_, a)| a.holds())
-                .map(|(k, _)| format!("{}/{}", self.cluster.jobs.table[&k.0].spec.id, k.1))
+                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.0].spec.id, k.1))
                 .collect();
             lines.push(format!("{}: {}", m.name, tasks.join(" ")));
         }
@@ -448,40 +465,40 @@
         let (over, tasks): (Vec<_>, Vec<_>) = worker.tasks.drain(..).partition(|t| t.2 <= seconds);
         worker.tasks = tasks;
         worker.over.extend(over.into_iter().map(|t| (t.0, t.1)));
-        let show = |piece: &str, attempt: u64, status: &str| {
+        let show = |task_id: &str, attempt: u64, status: &str| {
             task_report(&format!(
-                "{piece}#{}.{} {status}",
+                "{task_id}#{}.{} {status}",
                 attempt >> 32,
                 attempt & 0xffff_ffff
             ))
         };
-        let mut report = self.report(&worker.name, self.cluster.term, 1, &[]);
+        let mut report = self.report(&worker.name, self.scheduler.term, 1, &[]);
         let running = worker.tasks.iter().map(|t| show(&t.0, t.1, "running"));
         let done = worker.over.iter().map(|t| show(&t.0, t.1, "done"));
         report.tasks = running.chain(done).collect();
-        let answer = self.cluster.heartbeat(&report, self.now);
+        let answer = self.scheduler.heartbeat(&report, self.now);
         self.record_fleet();
-        let Heartbeat::Orders { orders, .. } = answer else {
+        let HeartbeatReply::Commands { commands, .. } = answer else {
             panic!("{answer:?}");
         };
-        for order in orders {
-            match order.verb {
-                Verb::Run => {
-                    let job = order.piece.split('/').next().unwrap().to_string();
+        for command in commands {
+            match command.kind {
+                CommandKind::Run => {
+                    let job = command.task_id.split('/').next().unwrap().to_string();
                     let ends = seconds + run(&job);
                     begun.entry(job).or_insert(seconds);
-                    worker.tasks.push((order.piece, order.attempt, ends));
+                    worker.tasks.push((command.task_id, command.attempt, ends));
                 }
-                Verb::Stop => worker.tasks.retain(|t| t.1 != order.attempt),
-                Verb::Clear => worker.over.retain(|t| t.1 != order.attempt),
+                CommandKind::Stop => worker.tasks.retain(|t| t.1 != command.attempt),
+                CommandKind::Clear => worker.over.retain(|t| t.1 != command.attempt),
             }
         }
-        let mut writes = self.cluster.due_finals(12);
-        writes.extend(self.cluster.due_sets(100));
-        writes.extend(self.cluster.due_retirements(100, 12));
+        let mut writes = self.scheduler.pending_final_writes(12);
+        writes.extend(self.scheduler.pending_done_sets(100));
+        writes.extend(self.scheduler.pending_retirements(100, 12));
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
     }
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -6,17 +6,19 @@
 //! profiler that counts instructions (`docs/operations.md`, *Measuring*), with `REPLAY_SCALE` times
 //! as much work on as many more machines.
 
-use aspenreel::cluster::{Cluster, ClusterConfig};
-use aspenreel::fleet::RentalResult;
-use aspenreel::fleet::wire::{Catalog, MachineList};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::rounds::affordable;
 use aspenreel::jobs::spec::Submission;
+use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::wire::{Catalog, MachineList};
+use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::Heartbeat;
+use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::direct::DirectResult;
-use aspenreel::workers::wire::{Cause, Order, Orders, Report, TaskReport, TaskStatus, Verb};
+use aspenreel::workers::wire::{
+    CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
+};
 use ciborium::cbor;
 use std::collections::{BTreeMap, HashMap};
 
@@ -26,7 +28,7 @@
 const FETCH_MS: u64 = 4_000;
 
 struct Task {
-    piece: String,
+    task_id: String,
     attempt: u64,
     runs_at: u64,
     ends_at: u64,
@@ -36,7 +38,7 @@
 struct Worker {
     name: String,
     up_at: u64,
-    tick: u64,
+    sequence: u64,
     next_report: u64,
     images: Vec<String>,
     tasks: Vec<Task>,
@@ -52,7 +54,7 @@
 }
 
 struct Replay {
-    cluster: Cluster,
+    scheduler: SchedulerState,
     workers: BTreeMap<String, Worker>,
     work: HashMap<String, Work>,
     rng: fastrand::Rng,
@@ -86,7 +88,7 @@
             class: Some(class.into()),
             within_s,
         };
-        let config = ClusterConfig {
+        let config = SchedulerConfig {
             teams: vec![team("quick", 420.0), team("bulk", 1200.0)],
             lease: Micros::from_secs(21),
             cancel: Micros::from_secs(46),
@@ -107,10 +109,10 @@
             job_bytes: 1 << 30,
             most_machines: 10_000,
         };
-        let mut cluster = Cluster::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
-        cluster.fleet.catalog = catalog.types();
+        let mut scheduler = SchedulerState::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
+        scheduler.provisioning.catalog = catalog.types();
         Replay {
-            cluster,
+            scheduler,
             workers: BTreeMap::new(),
             work: HashMap::new(),
             rng: fastrand::Rng::with_seed(11),
@@ -157,8 +159,8 @@
         s.accepted_us = self.wall().0;
         self.epoch += 1;
         let (epoch, now, wall) = (self.epoch, self.now(), self.wall());
-        self.cluster.add_job(&s, epoch, now, wall);
-        self.cluster.place_soon(now);
+        self.scheduler.add_job(&s, epoch, now, wall);
+        self.scheduler.place_soon(now);
         let work = Work {
             image,
             cpus,
@@ -171,66 +173,68 @@
     fn report(&mut self, name: &str) -> Vec<u8> {
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
-        w.tick += 1;
-        let tasks = w.tasks.iter().map(|t| TaskReport {
-            piece: t.piece.clone(),
+        w.sequence += 1;
+        let tasks = w.tasks.iter().map(|t| ReportedTask {
+            task_id: t.task_id.clone(),
             attempt: t.attempt,
             status: match t {
                 t if t.over => TaskStatus::Exited,
                 t if t.runs_at <= now => TaskStatus::Running,
                 _ => TaskStatus::Fetching,
             },
-            cause: t.over.then_some(Cause::Done),
-            stored: None,
+            exit_reason: t.over.then_some(ExitReason::Done),
+            checkpointed: None,
         });
-        encode(&Report {
+        encode(&Heartbeat {
             machine: name.into(),
             addr: "10.1.0.2:9000".into(),
             type_name: "t64".into(),
             zone: "a".into(),
             spot: true,
-            session: 1,
-            tick: w.tick,
-            token: TERM,
-            recall: None,
+            agent_epoch: 1,
+            sequence: w.sequence,
+            fencing_token: TERM,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         })
     }
 
-    fn execute(&mut self, name: &str, orders: &[Order]) {
+    fn execute(&mut self, name: &str, commands: &[WorkerCommand]) {
         let now = self.now_ms;
         let w = self.workers.get_mut(name).unwrap();
-        for order in orders {
+        for command in commands {
             let at = w
                 .tasks
                 .iter()
-                .position(|t| (&t.piece, t.attempt) == (&order.piece, order.attempt));
-            match (order.verb, at) {
-                (Verb::Run, None) => {
-                    let work = &self.work[order.piece.split('/').next().unwrap()];
-                    let other = self.running.insert(order.piece.clone(), name.to_string());
-                    assert_eq!(other, None, "{} starts on {name} as well", order.piece);
+                .position(|t| (&t.task_id, t.attempt) == (&command.task_id, command.attempt));
+            match (command.kind, at) {
+                (CommandKind::Run, None) => {
+                    let work = &self.work[command.task_id.split('/').next().unwrap()];
+                    let other = self
+                        .running
+                        .insert(command.task_id.clone(), name.to_string());
+                    assert_eq!(other, None, "{} starts on {name} as well", command.task_id);
                     w.free -= work.cpus;
-                    assert!(w.free >= 0.0, "{name} has no room for {}", order.piece);
+                    assert!(w.free >= 0.0, "{name} has no room for {}", command.task_id);
                     let mut runs_at = now;
                     if !w.images.contains(&work.image) {
                         w.images.push(work.image.clone());
                         runs_at += FETCH_MS;
                     }
                     w.tasks.push(Task {
-                        piece: order.piece.clone(),
-                        attempt: order.attempt,
+                        task_id: command.task_id.clone(),
+                        attempt: command.attempt,
                         runs_at,
                         ends_at: runs_at + work.run_ms,
                         over: false,
                     });
                 }
-                (Verb::Run, Some(_)) | (_, None) => {}
-                (Verb::Stop | Verb::Clear, Some(at)) => {
+                (CommandKind::Run, Some(_)) | (_, None) => {}
+                (CommandKind::Stop | CommandKind::Clear, Some(at)) => {
                     let t = w.tasks.remove(at);
                     if !t.over {
-                        w.free += self.work[t.piece.split('/').next().unwrap()].cpus;
-                        self.running.remove(&t.piece);
+                        w.free += self.work[t.task_id.split('/').next().unwrap()].cpus;
+                        self.running.remove(&t.task_id);
                     }
                 }
             }
@@ -242,9 +246,9 @@
         for w in self.workers.values_mut() {
             for t in w.tasks.iter_mut().filter(|t| !t.over && t.ends_at <= now) {
                 t.over = true;
-                let job = t.piece.split('/').next().unwrap();
+                let job = t.task_id.split('/').next().unwrap();
                 w.free += self.work[job].cpus;
-                self.running.remove(&t.piece);
+                self.running.remove(&t.task_id);
                 *self.done.entry(job.to_string()).or_insert(0) += 1;
                 // What changed is told soon.
                 w.next_report = w.next_report.min(now + 100);
@@ -262,58 +266,68 @@
         for name in due {
             self.heartbeats += 1;
             let body = self.report(&name);
-            let report: Report = decode(&body).unwrap();
-            let Heartbeat::Orders { orders, .. } = self.cluster.heartbeat(&report, self.now())
+            let report: Heartbeat = decode(&body).unwrap();
+            let HeartbeatReply::Commands { commands, .. } =
+                self.scheduler.heartbeat(&report, self.now())
             else {
                 panic!("{name} is turned away");
             };
-            let answer = encode(&Orders {
-                token: TERM,
-                orders,
+            let answer = encode(&HeartbeatReplyBody {
+                fencing_token: TERM,
+                commands,
             });
-            let answer: Orders = decode(&answer).unwrap();
-            self.execute(&name, &answer.orders);
+            let answer: HeartbeatReplyBody = decode(&answer).unwrap();
+            self.execute(&name, &answer.commands);
             let pause = self.rng.u64(2_250..3_750);
             self.workers.get_mut(&name).unwrap().next_report = now + pause;
         }
     }
 
     fn direct_calls(&mut self) {
-        while let Some(call) = self.cluster.next_direct(self.now()) {
+        while let Some(call) = self.scheduler.next_direct(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
-            self.execute(&name, &call.orders);
+            self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
-            self.cluster
-                .direct_done(&call, DirectResult::Report(report), now);
+            self.scheduler
+                .direct_done(&call, DirectResult::Answered(report), now);
         }
     }
 
     /// What the state service takes: as many changes as the leader may write in a step.
     fn write(&mut self, in_round: bool, mut left: usize) {
-        let mut writes = affordable(self.cluster.due_roster(false), &mut left);
-        writes.extend(affordable(self.cluster.due_claims(), &mut left));
-        writes.extend(affordable(self.cluster.due_finals(12), &mut left));
+        let mut writes = affordable(self.scheduler.pending_registry_writes(false), &mut left);
+        writes.extend(affordable(
+            self.scheduler.pending_watermark_writes(),
+            &mut left,
+        ));
+        writes.extend(affordable(
+            self.scheduler.pending_final_writes(12),
+            &mut left,
+        ));
         if in_round {
-            writes.extend(affordable(self.cluster.due_sets(left), &mut left));
             writes.extend(affordable(
-                self.cluster.due_retirements(left, 12),
+                self.scheduler.pending_done_sets(left),
+                &mut left,
+            ));
+            writes.extend(affordable(
+                self.scheduler.pending_retirements(left, 12),
                 &mut left,
             ));
         }
         for write in &writes {
             self.epoch += 1;
-            self.cluster.written(write, self.epoch);
+            self.scheduler.written(write, self.epoch);
         }
         let now = self.now();
-        self.cluster.place_soon(now);
+        self.scheduler.place_soon(now);
     }
 
-    fn fleet(&mut self) {
+    fn provisioning(&mut self) {
         let now = self.now();
-        self.cluster.plan_rentals(now);
-        for hire in self.cluster.fleet.rental_requests.clone() {
+        self.scheduler.plan_rentals(now);
+        for hire in self.scheduler.provisioning.rental_requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
             let count = u64::from(hire.count).min(left);
             let names: Vec<String> = (0..count)
@@ -328,7 +342,7 @@
                 let worker = Worker {
                     name: name.clone(),
                     up_at,
-                    tick: 0,
+                    sequence: 0,
                     next_report: up_at,
                     images: Vec::new(),
                     tasks: Vec::new(),
@@ -340,9 +354,9 @@
                 true => RentalResult::NoCapacity,
                 false => RentalResult::Rented(names),
             };
-            self.cluster.rental_answered(&hire.name, result, now);
+            self.scheduler.rental_answered(&hire.name, result, now);
         }
-        let names = self.cluster.plan_returns(now);
+        let names = self.scheduler.plan_returns(now);
         for name in &names {
             let gone = self.workers.remove(name).unwrap();
             assert!(
@@ -350,7 +364,7 @@
                 "{name} is returned with work on it"
             );
         }
-        self.cluster.returned(&names);
+        self.scheduler.returned(&names);
     }
 
     fn list(&mut self) {
@@ -371,7 +385,7 @@
         let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
-        self.cluster.listed(&list.hosts, now, now);
+        self.scheduler.listed(&list.hosts, now, now);
     }
 
     fn step(&mut self) {
@@ -382,17 +396,17 @@
         self.write(self.now_ms.is_multiple_of(2000), 6);
         if self.now_ms.is_multiple_of(250) {
             let now = self.now();
-            self.cluster.tick(now);
+            self.scheduler.on_timer(now);
         }
         if self.now_ms.is_multiple_of(500) {
-            self.fleet();
+            self.provisioning();
         }
         if self.now_ms.is_multiple_of(3000) {
             self.list();
         }
         for job in self.work.keys() {
             if self.now_ms.is_multiple_of(5000) {
-                self.cluster.view(job);
+                self.scheduler.view(job);
             }
         }
     }
@@ -416,7 +430,7 @@
         r.step();
     }
     let most = r.workers.len();
-    while !r.cluster.jobs.table.is_empty() && r.now_ms < 900_000 {
+    while !r.scheduler.jobs.table.is_empty() && r.now_ms < 900_000 {
         r.step();
     }
     println!(
