--- a/src/controller.rs
+++ b/src/controller.rs
@@ -100,7 +100,7 @@
     pub cloud_tokens: Mutex<TokenBucket>,
     pub catalog: Mutex<Option<Arc<Vec<MachineType>>>>,
     /// Connections of users and workers that are open.
-    pub open: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
     /// Neither the state service nor any peer answers.
     pub isolated: AtomicBool,
     /// The record format that all controllers are known to know, as last read.
@@ -152,7 +152,7 @@
             submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
             cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
             catalog: Mutex::new(None),
-            open: Arc::default(),
+            open_connections: Arc::default(),
             isolated: AtomicBool::new(false),
             level: Mutex::default(),
             links,
@@ -262,8 +262,8 @@
             max_pool_threads: quota.pool_threads(),
             max_buffered_bytes: quota.buffered(),
         };
-        let open = self.open.clone();
-        serve(public, self, system, limits, open)
+        let open_connections = self.open_connections.clone();
+        serve(public, self, system, limits, open_connections)
     }
 
     fn timer_loop(&self) {
--- a/src/http/handler.rs
+++ b/src/http/handler.rs
@@ -16,12 +16,12 @@
 /// Answers the requests of a server. Methods are called from several threads at the same time.
 pub trait Handler: Send + Sync + 'static {
     /// Answers a request on the event loop's thread. A request whose answer may need a blocking call is
-    /// returned as `Err`, and goes to [`Handler::handle`] unless the worker pool is full.
+    /// returned as `Err`, and goes to [`Handler::handle`] unless the thread pool is full.
     fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         Err(request)
     }
 
-    /// Answers a request on a thread of the worker pool, which may block.
+    /// Answers a request on a thread of the thread pool, which may block.
     fn handle(&self, request: Request) -> Response;
 
     /// The priority of a request. It also holds for the further requests of the same connection, until
--- a/src/http/server/exchange.rs
+++ b/src/http/server/exchange.rs
@@ -1,7 +1,7 @@
 //! Requests and responses on one connection: reading, dispatching and writing.
 //!
 //! Methods that return an `Option<ActiveConnection>` return the connection if the caller goes on with it,
-//! and `None` if it was parked, closed or passed to the worker pool.
+//! and `None` if it was parked, closed or passed to the thread pool.
 
 use super::Server;
 use super::connection::{ActiveConnection, ConnectionId};
@@ -89,7 +89,7 @@
         self.send_response(connection, Response::new(status, Vec::new()), true)
     }
 
-    /// Answers a request, or passes it to the worker pool if that may block.
+    /// Answers a request, or passes it to the thread pool if that may block.
     fn dispatch(
         self: &Arc<Self>,
         mut connection: ActiveConnection,
--- a/src/http/server/mod.rs
+++ b/src/http/server/mod.rs
@@ -1,9 +1,9 @@
-//! The HTTP server: one event loop and a small worker pool serve any number of connections.
+//! The HTTP server: one event loop and a small thread pool serve any number of connections.
 //!
 //! Each worker of the fleet and each user keeps a connection open. A thread for each connection would
 //! exceed the number of threads that a process may have, so idle connections are *parked*: they wait
 //! in an epoll set without a thread. The event loop reads what arrives and answers requests that
-//! need no blocking call. Requests that may block go to the [worker pool](worker_pool), which grows by
+//! need no blocking call. Requests that may block go to the thread pool, which grows by
 //! need up to a bound. A slow or silent client occupies its connection for a bounded time, and never a
 //! thread.
 //!
@@ -21,7 +21,7 @@
 //! | `poll_sets` | the two epoll sets |
 //! | `exchange` | reads requests and writes responses on one connection |
 //! | `response_encoder` | the bytes of a response |
-//! | `worker_pool` | threads for requests that may block |
+//! | `thread_pool` | threads for requests that may block |
 
 #![warn(missing_docs)]
 
@@ -32,7 +32,7 @@
 mod exchange;
 mod poll_sets;
 mod response_encoder;
-mod worker_pool;
+mod thread_pool;
 
 pub use super::handler::{Handler, RequestPriority};
 pub use super::message::{Request, Response};
@@ -44,7 +44,7 @@
 use std::net::TcpListener;
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, MutexGuard};
-use worker_pool::WorkerPool;
+use thread_pool::ThreadPool;
 
 /// Stack size, in bytes, of a thread that answers requests. Only the pages that are touched cost memory.
 pub const THREAD_STACK_BYTES: usize = 256 * 1024;
@@ -54,19 +54,19 @@
 pub struct ServerLimits {
     /// Open connections. Further ones get status 503 and are closed.
     pub max_connections: usize,
-    /// Threads of the worker pool, which may block in place of the event loop.
+    /// Threads of the thread pool, which may block in place of the event loop.
     pub max_pool_threads: usize,
     /// Bytes of incomplete requests and of unsent responses; separately, of the bodies of requests
     /// that wait for a pool thread.
     pub max_buffered_bytes: usize,
 }
 
-/// What the event loop and the worker pool share.
+/// What the event loop and the thread pool share.
 struct Server {
     handler: Arc<dyn Handler>,
     os: Arc<System>,
     connections: ConnectionTable,
-    pool: WorkerPool,
+    pool: ThreadPool,
 }
 
 /// Serves `listener` until polling fails; otherwise it never returns.
@@ -92,7 +92,7 @@
         handler,
         os,
         connections: ConnectionTable::new(poll_sets, limits, open_connections),
-        pool: WorkerPool::new(limits),
+        pool: ThreadPool::new(limits),
     };
     EventLoop::new(Arc::new(server), listener).run()
 }
--- a/src/http/server/worker_pool.rs
+++ b/src/http/server/thread_pool.rs
@@ -1,4 +1,4 @@
-//! The worker pool: threads for requests that may block.
+//! The thread pool: threads for requests that may block.
 //!
 //! A thread is started when a request finds no idle one, up to the limit, and ends after it was idle for
 //! [`THREAD_IDLE_TIMEOUT`]. The queue is bounded in requests and in bytes.
@@ -16,7 +16,7 @@
 /// Length of the queue for each thread that the pool may have. Further requests get status 503.
 const MAX_QUEUED_PER_THREAD: usize = 4;
 /// Name of the pool's threads.
-const THREAD_NAME: &str = "http-worker";
+const THREAD_NAME: &str = "http-pool";
 
 /// A request that waits for a thread, with the connection that it came on.
 struct QueuedRequest {
@@ -51,15 +51,15 @@
 }
 
 /// Threads and the queue of requests for them.
-pub(super) struct WorkerPool {
+pub(super) struct ThreadPool {
     limits: ServerLimits,
     state: Mutex<PoolState>,
     request_queued: Condvar,
 }
 
-impl WorkerPool {
+impl ThreadPool {
     pub(super) fn new(limits: ServerLimits) -> Self {
-        WorkerPool {
+        ThreadPool {
             limits,
             state: Mutex::default(),
             request_queued: Condvar::new(),
@@ -112,7 +112,7 @@
 }
 
 impl Server {
-    /// Queues a request for the worker pool. Returns the connection if the queue is full or no thread
+    /// Queues a request for the thread pool. Returns the connection if the queue is full or no thread
     /// can be started.
     pub(super) fn enqueue(
         self: &Arc<Self>,
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -196,7 +196,7 @@
         let Ok(addr) = call.addr.parse::<SocketAddr>() else {
             return DirectResult::Unsent;
         };
-        let open = self.open.load(Ordering::Relaxed);
+        let open = self.open_connections.load(Ordering::Relaxed);
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
         let body = encode(&DirectCommands {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -18,8 +18,8 @@
 /// Answers requests with their body, except for some paths:
 /// - `/expired`: a response that is not valid any more;
 /// - `/large`: a body of `LARGE_BODY_BYTES`;
-/// - `/pool`: answered by the worker pool;
-/// - `/pool/gate`: answered by the worker pool, once the gate is open;
+/// - `/pool`: answered by the thread pool;
+/// - `/pool/gate`: answered by the thread pool, once the gate is open;
 /// - `/low-priority`: of low priority;
 /// - `/low-priority/gate`: of low priority, and blocks the event loop until the gate is open.
 #[derive(Default)]
@@ -363,7 +363,7 @@
     }
 }
 
-/// The queue of the worker pool is bounded in bytes as well: few large requests may wait.
+/// The queue of the thread pool is bounded in bytes as well: few large requests may wait.
 #[test]
 fn large_requests_in_the_queue_are_bounded_in_bytes() {
     let (addr, handler) = start_server(ServerLimits {
