--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -7,8 +7,8 @@
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
 use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
-use aspenreel_testbed::checker::JobPlan;
-use aspenreel_testbed::users::body_of;
+use aspenreel_simulation::checker::JobPlan;
+use aspenreel_simulation::users::body_of;
 use ciborium::cbor;
 use std::time::{Duration, Instant};
 
--- a/crates/testbed/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,7 +1,7 @@
 //! Each rule of the checker has a case in which it fires.
 
-use aspenreel_testbed::checker::*;
-use aspenreel_testbed::sched::secs;
+use aspenreel_simulation::checker::*;
+use aspenreel_simulation::sched::secs;
 
 fn place(machine: &str, zone: &str) -> Place {
     Place {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -2,11 +2,11 @@
 
 use crate::controllers::{self, Controllers, Launch};
 use crate::schedule::{Planned, Schedule, Target, Trouble};
-use aspenreel_testbed::cuts::Way;
-use aspenreel_testbed::loopback::{LoopbackCluster, NODES};
-use aspenreel_testbed::loopback_users::{Demand, Users};
-use aspenreel_testbed::processes::{CANCEL_S, Site};
-use aspenreel_testbed::relay::Traffic;
+use aspenreel_simulation::cuts::Way;
+use aspenreel_simulation::loopback::{LoopbackCluster, NODES};
+use aspenreel_simulation::loopback_users::{Demand, Users};
+use aspenreel_simulation::processes::{CANCEL_S, Site};
+use aspenreel_simulation::relay::Traffic;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
--- a/src/os.rs
+++ b/src/os.rs
@@ -1,6 +1,6 @@
 //! What a controller's threads take from the system that they run on: clocks, waits and calls.
 //!
-//! In production that is the operating system. The model of `crates/testbed` puts several controllers,
+//! In production that is the operating system. The model of `crates/simulation` puts several controllers,
 //! and whatever they talk to, into one process on simulated time: it gives them clocks, waits and
 //! calls of its own, and everything else is the code that runs in production.
 
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -4,10 +4,10 @@
 //! A change of behavior changes them too. Then the kept file is written anew, in the commit that says what else
 //! the controllers do now.
 
-use aspenreel_testbed::plans::*;
-use aspenreel_testbed::play::play;
-use aspenreel_testbed::trouble;
-use aspenreel_testbed::world::{CANCEL_S, Setup, Summary};
+use aspenreel_simulation::plans::*;
+use aspenreel_simulation::play::play;
+use aspenreel_simulation::trouble;
+use aspenreel_simulation::world::{CANCEL_S, Setup, Summary};
 use std::fmt::Write;
 
 const SEEDS_OF_EACH: u64 = 3;
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -8,9 +8,9 @@
 mod services;
 mod upgrades;
 
-use aspenreel_testbed::play::play;
-use aspenreel_testbed::world::Setup;
-use aspenreel_testbed::{checker, trouble};
+use aspenreel_simulation::play::play;
+use aspenreel_simulation::world::Setup;
+use aspenreel_simulation::{checker, trouble};
 
 /// Without any trouble every job runs to its end, each task once.
 #[test]
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -1,9 +1,9 @@
 //! Each meeting that the operators name, brought about on purpose, its times drawn by seeds.
 
-use aspenreel_testbed::checker::{JobPlan, Question};
-use aspenreel_testbed::plans::*;
-use aspenreel_testbed::play::play;
-use aspenreel_testbed::world::{CANCEL_S, LEASE_S, Setup, World};
+use aspenreel_simulation::checker::{JobPlan, Question};
+use aspenreel_simulation::plans::*;
+use aspenreel_simulation::play::play;
+use aspenreel_simulation::world::{CANCEL_S, LEASE_S, Setup, World};
 use std::sync::Arc;
 
 /// Users ask at all nodes, again and again within milliseconds, and repeat the submission, right
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -1,10 +1,10 @@
 //! Standing services: what happens to them when machines and leaders are lost.
 
-use aspenreel_testbed::plans::*;
-use aspenreel_testbed::play::play;
-use aspenreel_testbed::sched::lock;
-use aspenreel_testbed::trouble;
-use aspenreel_testbed::world::{Setup, World};
+use aspenreel_simulation::plans::*;
+use aspenreel_simulation::play::play;
+use aspenreel_simulation::sched::lock;
+use aspenreel_simulation::trouble;
+use aspenreel_simulation::world::{Setup, World};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -2,12 +2,12 @@
 
 use crate::services::standing_jobs;
 use aspenreel::http::cbor::json_len;
-use aspenreel_testbed::checker::{JobPlan, Question};
-use aspenreel_testbed::keys::Limits;
-use aspenreel_testbed::older;
-use aspenreel_testbed::plans::*;
-use aspenreel_testbed::play::play;
-use aspenreel_testbed::world::{Setup, World};
+use aspenreel_simulation::checker::{JobPlan, Question};
+use aspenreel_simulation::keys::Limits;
+use aspenreel_simulation::older;
+use aspenreel_simulation::plans::*;
+use aspenreel_simulation::play::play;
+use aspenreel_simulation::world::{Setup, World};
 use std::sync::Arc;
 
 /// What the state service takes once its limits are lowered.
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -1,11 +1,11 @@
 //! Orders to workers are held on their way for longer than a cancellation takes, while heartbeats flow.
 
 use crate::nodes::spawn;
-use aspenreel_testbed::checker::Checker;
-use aspenreel_testbed::loopback::LoopbackCluster;
-use aspenreel_testbed::loopback_users::Users;
-use aspenreel_testbed::processes::{CANCEL_S, Site};
-use aspenreel_testbed::relay::Traffic;
+use aspenreel_simulation::checker::Checker;
+use aspenreel_simulation::loopback::LoopbackCluster;
+use aspenreel_simulation::loopback_users::Users;
+use aspenreel_simulation::processes::{CANCEL_S, Site};
+use aspenreel_simulation::relay::Traffic;
 use std::time::Duration;
 
 /// Orders that are held arrive this much later than a cancellation may take.
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -33,7 +33,7 @@
     (output.status.code().unwrap(), answers)
 }
 
-fn watching(tag: &str) -> (std::sync::Arc<aspenreel_testbed::servers::State>, Nodes) {
+fn watching(tag: &str) -> (std::sync::Arc<aspenreel_simulation::servers::State>, Nodes) {
     let (state, _, mut nodes) = serving(tag);
     for n in 0..3 {
         nodes.children[n].kill().unwrap();
