--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -38,6 +38,11 @@
     }
 }
 
+/// One team whose quota is no limit in most traces.
+pub fn one_team() -> Vec<TeamSettings> {
+    vec![team("a", 100.0, 100.0)]
+}
+
 pub fn at(seconds: f64) -> Moment {
     Moment((1_000_000_000 + (seconds * 1e6) as i64) as u64)
 }
--- /dev/null
+++ b/tests/traces/admission.rs
@@ -0,0 +1,66 @@
+//! What outsiders can make a leader hold is bounded.
+
+use crate::trace::{World, at, one_team, submission};
+use insta::assert_snapshot;
+
+/// What outsiders can make a leader hold is bounded: jobs by their bytes, large ones by their tasks,
+/// machines by their number, and images that take no room in a cache.
+#[test]
+fn memory_is_bounded() {
+    let mut w = World::new(2, one_team());
+    w.scheduler.config.job_bytes = 100_000;
+    w.scheduler.config.most_machines = 2;
+    let mut n = 0;
+    while !w.scheduler.is_full(false) {
+        n += 1;
+        w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+    }
+    w.note(&format!("full after {n} small jobs"));
+    w.scheduler.forget_job("run-1");
+    let states = (w.scheduler.is_full(false), w.scheduler.is_full(true));
+    w.note(&format!(
+        "one less: full {states:?} if it was not, if it was"
+    ));
+    for n in 2..=8 {
+        w.scheduler.forget_job(&format!("run-{n}"));
+    }
+    let full = w.scheduler.is_full(true);
+    w.note(&format!("a tenth less: full {full}"));
+    w.job(submission("run-999", |s| s.pieces = 100_000));
+    let full = w.scheduler.is_full(false);
+    w.note(&format!("one of 100,000 tasks more: full {full}"));
+    for n in 1..=3 {
+        w.heartbeat(&format!("big-east-{n}"), &[]);
+    }
+    let m = w.scheduler.machines.get_mut("big-east-1").unwrap();
+    for n in 0..1000 {
+        m.note_image(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
+    }
+    let images = m.images.len();
+    w.note(&format!(
+        "{images} of 1000 images of no size are remembered"
+    ));
+    assert_snapshot!(
+        w.log
+            .lines()
+            .filter(|l| !l.contains("accepted"))
+            .collect::<Vec<_>>()
+            .join("\n")
+    );
+}
+
+/// The mark that no more jobs are accepted is written until that is known, before its opposite is: a
+/// late one would undo it, and nobody would accept anything for as long as this leader leads.
+#[test]
+fn the_mark_of_being_full_is_never_in_doubt_for_long() {
+    let mut mark = aspenreel::jobs::edge::Fullness::default();
+    assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
+    mark.unconfirmed = Some(true);
+    assert_eq!(mark.next(false), Some(true));
+    mark.known(true, 7);
+    assert_eq!((mark.next(true), mark.next(false)), (None, Some(false)));
+    mark.unconfirmed = Some(false);
+    assert_eq!(mark.next(true), Some(false));
+    mark.known(false, 0);
+    assert_eq!((mark.next(false), mark.revision), (None, 0));
+}
--- /dev/null
+++ b/tests/traces/provisioning.rs
@@ -0,0 +1,141 @@
+//! Machines are rented and returned.
+
+use crate::trace::{World, at, decimal, one_team, submission};
+use aspenreel::jobs::spec::Shape;
+use aspenreel::provisioning::RentalResult;
+use aspenreel::settings::Objective;
+use insta::assert_snapshot;
+
+/// Room is kept ready where work is to start sooner than a machine can be had; where the aims leave
+/// time for a boot, idle machines would cost money for nothing.
+#[test]
+fn room_is_kept_where_no_boot_fits_the_aim() {
+    let rental_requests = |within_s: f64| {
+        let mut w = World::new(2, one_team());
+        w.scheduler.config.reserve = 4.0;
+        w.scheduler.config.objectives = vec![Objective {
+            kind: "wait".into(),
+            class: Some("train".into()),
+            within_s,
+        }];
+        w.heartbeat("big-east-1", &[]);
+        w.at(1.0).job(submission("run-1", |_| ()));
+        w.heartbeat("big-east-1", &[])
+            .list(&[("big-east-1", "running")]);
+        w.scheduler.plan_rentals(at(2.0));
+        w.scheduler.provisioning.rental_requests.len()
+    };
+    // The soonest machine boots in 20 s, and some take half as long again.
+    assert_eq!((rental_requests(29.0), rental_requests(31.0)), (1, 0));
+}
+
+/// Waiting work rents the cheapest that holds it; what is refused isn't asked for at once again.
+#[test]
+fn renting() {
+    let mut w = World::new(4, one_team());
+    w.job(submission("run-1", |s| {
+        s.pieces = 3;
+        s.cpus = decimal(8.0);
+        s.yard = Some("west".into());
+    }));
+    w.rentals();
+    w.at(1.0).list(&[]).rentals();
+    w.scheduler.rental_answered(
+        "r-4-1",
+        RentalResult::Rented(vec!["small-west-7".into()]),
+        at(2.0),
+    );
+    w.at(2.0).rentals();
+    w.at(3.0).job(submission("run-2", |s| {
+        s.cpus = decimal(8.0);
+        s.pieces = 1;
+        s.loaners = false;
+    }));
+    w.rentals();
+    w.scheduler
+        .rental_answered("r-4-2", RentalResult::Unknown, at(4.0));
+    w.at(4.0).rentals();
+    w.scheduler
+        .rental_answered("r-4-2", RentalResult::NoCapacity, at(5.0));
+    w.at(5.0).rentals();
+    assert_snapshot!(w.log);
+}
+
+/// A new leader keeps machines that it has not heard from yet, and returns what never came up.
+#[test]
+fn returns() {
+    let mut w = World::new(4, one_team());
+    w.recorded("big-east-1", -300.0);
+    w.at(1.0)
+        .list(&[("big-east-1", "running"), ("small-west-2", "starting")]);
+    let due = w.scheduler.plan_returns(at(1.0));
+    w.note(&format!("to return: {due:?}"));
+    for t in [5.0, 30.0, 60.0, 140.0] {
+        w.at(t).heartbeat("big-east-1", &[]);
+        w.on_timer(t);
+        let due = w.scheduler.plan_returns(at(t));
+        w.note(&format!("to return: {due:?}"));
+    }
+    w.scheduler.returned(&["big-east-1".into()]);
+    w.at(141.0).heartbeat("big-east-1", &[]);
+    assert_snapshot!(w.log);
+}
+
+/// A job that is spread, or bound to one zone, has no use for room elsewhere: a machine is rented where
+/// its tasks may run, however much room there is in the other zone.
+#[test]
+fn rentals_mind_zones() {
+    let mut w = World::new(2, one_team());
+    for name in ["big-east-1", "big-east-2"] {
+        w.heartbeat(name, &[]);
+    }
+    w.job(submission("run-1", |s| {
+        s.pieces = 4;
+        s.spread = true;
+    }));
+    w.on_timer(1.0).bound();
+    w.list(&[("big-east-1", "running"), ("big-east-2", "running")]);
+    w.rentals();
+    assert_snapshot!(w.log);
+}
+
+/// Room for replicas that may not use spot machines is kept ready: on two of the smallest ordinary machines
+/// at least, as soon as an objective on starting times tells of them, and for what comes within a boot.
+/// What lower ranks use counts, since it is stopped for them. Without standing jobs or such an objective
+/// none is kept.
+#[test]
+fn room_is_kept_for_replicas() {
+    let mut w = World::new(2, one_team());
+    w.heartbeat("big-east-1", &[]);
+    w.list(&[("big-east-1", "running")]);
+    w.rentals();
+    w.note("an objective: services start within 2 s");
+    w.scheduler.config.objectives = vec![Objective {
+        kind: "wait".into(),
+        class: Some("portal".into()),
+        within_s: 2.0,
+    }];
+    w.at(3.0).rentals();
+    w.scheduler
+        .rental_answered("r-2-1", RentalResult::Rented(Vec::new()), at(3.0));
+    w.note("two other machines are up");
+    let reports = |w: &mut World| {
+        for name in ["small-east-8", "small-east-9"] {
+            let mut report = w.report(name, 2, 1, &[]);
+            report.spot = false;
+            w.send(&report);
+        }
+    };
+    reports(&mut w);
+    w.at(6.0).rentals();
+    for n in 1..4 {
+        w.job(submission(&format!("run-{n}"), |s| {
+            s.shape = Shape::Standing;
+            s.lane = "portal".into();
+            s.loaners = false;
+            s.pieces = 1;
+        }));
+    }
+    w.on_timer(7.0).bound().rentals();
+    assert_snapshot!(w.log);
+}
