--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -5,10 +5,10 @@
 use crate::sched::{Time, lock};
 use crate::transcript::Channel;
 use crate::world::World;
-use aspenreel::http::client::CallError;
+use aspenreel::http::client::{CallError, ClientResponse, ResponseError};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
-use aspenreel::os::{HttpClient, Os, Signal};
+use aspenreel::os::{EventCount, HttpClient, ObservedCount, Os};
 use aspenreel::time::{Moment, WallTime};
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
@@ -54,14 +54,14 @@
         self.world.sched.sleep_until(at);
     }
 
-    fn signal(&self) -> Arc<dyn Signal> {
+    fn event_count(&self) -> Arc<dyn EventCount> {
         Arc::new(SimSignal {
             world: self.world.clone(),
             state: Mutex::default(),
         })
     }
 
-    fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
+    fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         Arc::new(SimHttp {
             world: self.world.clone(),
             node: self.node,
@@ -70,7 +70,7 @@
         })
     }
 
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
         let IpAddr::V4(ip) = addr.ip() else {
             panic!("peers have IPv4 addresses");
         };
@@ -88,21 +88,21 @@
     state: Mutex<(u64, Vec<(u64, u64)>)>,
 }
 
-impl Signal for SimSignal {
-    fn ticket(&self) -> u64 {
-        lock(&self.state).0
+impl EventCount for SimSignal {
+    fn prepare_wait(&self) -> ObservedCount {
+        ObservedCount(lock(&self.state).0)
     }
 
-    fn wait(&self, ticket: u64, most: Duration) {
+    fn wait(&self, observed: ObservedCount, timeout: Duration) {
         let sleeper = self.world.sched.sleeper();
         {
             let mut state = lock(&self.state);
-            if state.0 != ticket {
+            if ObservedCount(state.0) != observed {
                 return;
             }
             state.1.push(sleeper);
         }
-        let until = self.world.now() + most.as_micros() as Time;
+        let until = self.world.now() + timeout.as_micros() as Time;
         self.world.sched.sleep_until(until);
         lock(&self.state).1.retain(|s| *s != sleeper);
     }
@@ -169,7 +169,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let request = Request {
             method: method.into(),
             path: path.into(),
@@ -201,17 +201,29 @@
             }
             _ => return self.call_worker(&request.body, timeout),
         };
-        answer.ok_or_else(|| CallError::Unknown("timeout".into()))
+        self.received(answer)
     }
 }
 
 impl SimHttp {
-    fn call_worker(&self, body: &[u8], timeout: Duration) -> Result<(u16, Vec<u8>), CallError> {
+    /// The response that arrived, or else the end of its time.
+    fn received(&self, answer: Option<(u16, Vec<u8>)>) -> Result<ClientResponse, CallError> {
+        let response = answer.map(|(status, body)| ClientResponse { status, body });
+        response.ok_or(CallError::OutcomeUnknown {
+            peer: self.addr,
+            source: ResponseError::TimedOut,
+        })
+    }
+
+    fn call_worker(&self, body: &[u8], timeout: Duration) -> Result<ClientResponse, CallError> {
         let reached = self.world.reaches_worker(self.node, self.addr);
         if !reached && !self.connected.load(Ordering::Relaxed) {
             let until = self.world.now() + timeout.as_micros() as Time;
             self.world.sched.sleep_until(until);
-            return Err(CallError::Unreached("timeout".into()));
+            return Err(CallError::Unreachable {
+                peer: self.addr,
+                source: ErrorKind::TimedOut.into(),
+            });
         }
         self.connected.store(true, Ordering::Relaxed);
         let slot = Slot::new(&self.world);
@@ -223,10 +235,11 @@
                 to.arrive(w, w.latency(), answer);
             });
         });
-        slot.wait(&self.world, timeout).ok_or_else(|| {
+        let answer = slot.wait(&self.world, timeout);
+        if answer.is_none() {
             self.connected.store(false, Ordering::Relaxed);
-            CallError::Unknown("timeout".into())
-        })
+        }
+        self.received(answer)
     }
 }
 
@@ -374,7 +387,9 @@
                     path: request.path.clone(),
                     body: request.body.clone(),
                 };
-                let response = node.at_once(request).unwrap_or_else(|r| node.handle(r));
+                let response = node
+                    .handle_without_blocking(request)
+                    .unwrap_or_else(|r| node.handle(r));
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -1,10 +1,10 @@
 //! What the controllers say to each other: borsh in length-prefixed frames over TCP.
 
 use crate::jobs::JobView;
-use crate::links::EvidenceSink;
+use crate::link_health::EvidenceSink;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_links::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::evidence::{Failure, Link, Outcome};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -112,7 +112,7 @@
     /// A client that leaves a peer alone for so long.
     pub fn leaving_alone(os: Arc<dyn Os>, addr: SocketAddr, left_alone: Micros) -> Self {
         PeerClient {
-            link: os.peer(addr),
+            link: os.peer_link(addr),
             os,
             timed_out: Mutex::new(None),
             left_alone,
@@ -272,7 +272,7 @@
         open.fetch_add(1, Ordering::Relaxed);
         let (answer, count) = (answer.clone(), open.clone());
         let spawned = std::thread::Builder::new()
-            .stack_size(crate::http::server::STACK)
+            .stack_size(crate::http::server::THREAD_STACK_BYTES)
             .spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(120)));
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
 use aspenreel::controller::Controller;
 use aspenreel::leadership::rollback::allow_earlier_versions;
-use aspenreel::links::command::{ask_for_links, exit_code, links_json, links_table};
+use aspenreel::link_health::command::{ask_for_links, exit_code, links_json, links_table};
 use aspenreel::os::System;
 use aspenreel::settings::Settings;
 use aspenreel::state_store::Store;
@@ -26,7 +26,7 @@
 
 fn serve(options: ServeOptions) -> Result<(), String> {
     let level = std::env::var("LOG_LEVEL").ok();
-    aspenreel::logging::start(level.as_deref())?;
+    aspenreel::logging::init(level.as_deref()).map_err(|e| e.to_string())?;
     let settings = Settings::load(&options.config).map_err(|e| e.to_string())?;
     for warning in settings.settings.quota.warnings() {
         log::warn!("{warning}");
