--- a/crates/link-health/src/handover.rs
+++ b/crates/link-health/src/handover.rs
@@ -1,75 +1,67 @@
-//! Whether a leader should hand the lead over, and to whom.
+//! Whether a leader should hand leadership over, and to whom.
 //!
-//! A leader that hears less than half of its workers, or can't write, gives the lead up only for a peer
-//! that is clearly better placed, for a while, and not soon after the last handover. The time and the
-//! number of the last handovers are on record, so that the pause holds for all controllers together:
-//! however links flap, the number of handovers in any span is bounded.
+//! A leader that less than half of its workers reach, or that can't write, hands over only to a peer that has
+//! been clearly better placed for a while, and not soon after the last handover. The last handover is on
+//! record in the key-value store, so that the pause holds for all controllers together: however links flap,
+//! the number of handovers in any span of time is bounded.
 
-use crate::evidence::NodeName;
+use crate::link::NodeName;
 use crate::monitor::LinkState;
+use crate::reachability::Reachability;
 use crate::settings::LinkSettings;
 use crate::view::LinkView;
-use crate::workers::Hearing;
 use aspenreel_time::{Micros, Moment, WallTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// A peer must hear at least one in so many of the known workers more than the leader does.
-const MARGIN_SHARE: u32 = 4;
+/// At least the expected workers divided by this must reach a better-placed peer in addition to those that
+/// reach the leader.
+const MARGIN_DIVISOR: u32 = 4;
 /// More doublings of the pause than this make no difference.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Why the lead is handed over.
+/// Why leadership is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reason {
-    /// Most workers are silent here, and a peer hears more of them.
-    WorkersUnheard,
-    /// Writes fail here, and a peer's don't.
+pub enum HandoverReason {
+    /// Most workers don't reach the leader, and more of them reach a peer.
+    #[serde(rename = "workers-unheard")]
+    WorkersUnreachable,
+    /// The leader's writes to the key-value store fail, and a peer's don't.
     CannotWrite,
 }
 
-impl fmt::Display for Reason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.pad(match self {
-            Reason::WorkersUnheard => "most workers are silent here",
-            Reason::CannotWrite => "the state service takes no writes from here",
-        })
-    }
-}
-
-/// The last handover, as it is on record in the state service.
+/// The last handover, as it is on record in the key-value store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverRecord {
     /// The term that was handed over.
     pub term: u64,
     /// The controller that should lead next.
     pub preferred: NodeName,
-    /// Why.
-    pub reason: Reason,
-    /// The time of day, in microseconds.
+    /// Why leadership was handed over.
+    pub reason: HandoverReason,
+    /// The time of day of the handover, in microseconds.
     pub at: u64,
-    /// How many handovers followed each other within their pauses, this one included.
+    /// The number of handovers in a row with less than twice the pause between them, this one included.
     pub streak: u32,
 }
 
 impl HandoverRecord {
-    /// How long after this handover the next one may be.
+    /// How long after this handover the next one may be made.
     fn pause(&self, settings: &LinkSettings) -> Micros {
-        let doublings = self.streak.saturating_sub(1).min(MOST_DOUBLINGS);
+        let doublings = self.streak.saturating_sub(1).min(MAX_DOUBLINGS);
         let pause = settings.handover_pause.0.saturating_mul(1 << doublings);
         Micros(pause).min(settings.handover_pause_max)
     }
 }
 
-/// A decision to hand the lead over.
+/// A decision to hand leadership over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handover {
     /// The peer that should lead next.
     pub to: NodeName,
-    /// Why.
-    pub reason: Reason,
+    /// Why it should.
+    pub reason: HandoverReason,
 }
 
 /// What a leader knows when it considers a handover.
@@ -77,34 +69,34 @@
 pub struct Situation<'a> {
     /// The leader's term.
     pub term: u64,
-    /// Which workers it hears.
-    pub hearing: Hearing,
-    /// Its link for writes.
+    /// How many workers reach it.
+    pub reachability: Reachability,
+    /// Its link for writes to the key-value store.
     pub state_writes: LinkState,
-    /// Peers' views that are young enough.
+    /// The peers' views that may be used.
     pub views: &'a [&'a LinkView],
-    /// By peer that isn't reached from here, the silent workers of its zone. They are taken to be beyond
-    /// the same cut as the peer, so that it hears them: it takes workers up to a lease to find it and be counted.
-    pub silent_beyond: &'a BTreeMap<NodeName, u32>,
+    /// For each peer that the leader doesn't reach, the number of silent workers in the peer's zone. They are
+    /// assumed to be on the peer's side of a network partition and to reach it: until they try the peer and
+    /// are counted in its view, up to a lease can pass.
+    pub silent_near_unreached: &'a BTreeMap<NodeName, u32>,
 }
 
 impl Situation<'_> {
-    /// How many workers a peer hears, or would hear.
-    fn hears(&self, view: &LinkView) -> u32 {
-        let beyond = self.silent_beyond.get(&view.from);
-        view.hearing.heard.max(beyond.copied().unwrap_or(0))
+    /// How many workers reach a peer, or would if they tried it.
+    fn workers_of(&self, view: &LinkView) -> u32 {
+        let assumed = self.silent_near_unreached.get(&view.from);
+        view.reachability
+            .reachable
+            .max(assumed.copied().unwrap_or(0))
     }
 
-    /// The peer that is better placed, and in what. Equal peers are told apart by name.
+    /// The peer that is better placed, and in which respect. Of equal peers the first by name is chosen.
     fn better_placed(&self) -> Option<Handover> {
-        let mut able = Vec::new();
-        for view in self.views {
-            if view.term == self.term && !view.leads && view.has_state() {
-                able.push(*view);
-            }
-        }
+        let can_lead =
+            |view: &&LinkView| view.term == self.term && !view.leads && view.reaches_store();
+        let mut able: Vec<&LinkView> = self.views.iter().copied().filter(can_lead).collect();
         able.sort_by(|a, b| {
-            let more_workers = self.hears(b).cmp(&self.hears(a));
+            let more_workers = self.workers_of(b).cmp(&self.workers_of(a));
             more_workers.then_with(|| a.from.cmp(&b.from))
         });
         let best = able.first()?;
@@ -113,33 +105,42 @@
             reason,
         };
         if self.state_writes == LinkState::Down {
-            return Some(handover(Reason::CannotWrite));
+            return Some(handover(HandoverReason::CannotWrite));
         }
-        let margin = (self.hearing.known / MARGIN_SHARE).max(1);
-        let hears_more = self.hears(best) >= self.hearing.heard + margin;
-        (self.hearing.is_blind() && hears_more).then(|| handover(Reason::WorkersUnheard))
+        let margin = (self.reachability.expected / MARGIN_DIVISOR).max(1);
+        let more_workers = self.workers_of(best) >= self.reachability.reachable + margin;
+        (self.reachability.most_are_unreachable() && more_workers)
+            .then(|| handover(HandoverReason::WorkersUnreachable))
     }
 }
 
-/// Considers handovers for as long as one controller leads.
+/// Decides about handovers during one term of one leader.
 #[derive(Debug, Default)]
 pub struct HandoverPlanner {
-    /// Since when some peer has been better placed, and in what. Which one may change: views come in turn.
-    better_since: Option<(Reason, Moment)>,
+    /// Set while some peer is better placed. Which one may change: peers' views arrive in turn.
+    better_placed: Option<BetterPlaced>,
     last: Option<HandoverRecord>,
 }
 
+/// Some peer is better placed than the leader.
+#[derive(Clone, Copy, Debug)]
+struct BetterPlaced {
+    reason: HandoverReason,
+    since: Moment,
+}
+
 impl HandoverPlanner {
     /// Begins a term, with the last handover on record.
     pub fn new(last: Option<HandoverRecord>) -> HandoverPlanner {
         HandoverPlanner {
-            better_since: None,
+            better_placed: None,
             last,
         }
     }
 
-    /// Looks at the situation; a handover once a peer has been better placed for long enough.
-    pub fn consider(
+    /// A handover, once some peer has been better placed for [`LinkSettings::handover_after`] and the pause
+    /// after the last handover is over. Must be called several times in that span.
+    pub fn decide(
         &mut self,
         situation: &Situation<'_>,
         now: Moment,
@@ -147,19 +148,23 @@
         settings: &LinkSettings,
     ) -> Option<Handover> {
         let Some(better) = situation.better_placed() else {
-            self.better_since = None;
+            self.better_placed = None;
             return None;
         };
-        let before = self
-            .better_since
-            .filter(|(reason, _)| *reason == better.reason);
-        let since = before.map_or(now, |(_, since)| since);
-        let waited = now - since >= settings.handover_after;
-        self.better_since = Some((better.reason, since));
-        (waited && !self.is_paused(wall, settings)).then_some(better)
+        let same_reason = |before: &BetterPlaced| before.reason == better.reason;
+        let since = self
+            .better_placed
+            .filter(same_reason)
+            .map_or(now, |before| before.since);
+        self.better_placed = Some(BetterPlaced {
+            reason: better.reason,
+            since,
+        });
+        let has_lasted = now - since >= settings.handover_after;
+        (has_lasted && !self.is_paused(wall, settings)).then_some(better)
     }
 
-    /// The record of a handover that is carried out now.
+    /// The record of a handover that is carried out at the time of day `wall`.
     pub fn record(
         &self,
         handover: &Handover,
@@ -167,7 +172,7 @@
         wall: WallTime,
         settings: &LinkSettings,
     ) -> HandoverRecord {
-        // Twice the pause without a handover ends a streak.
+        // A streak ends after twice the pause without a handover.
         let last = self.last.as_ref();
         let streak = last
             .filter(|last| since(last, wall) < Micros(2 * last.pause(settings).0))
--- a/crates/link-health/src/lib.rs
+++ b/crates/link-health/src/lib.rs
@@ -1,28 +1,33 @@
-//! What a controller believes about its network links, and what follows from it.
+//! What a controller concludes about its network links, and what follows from it.
 //!
-//! A network can fail in one direction, for one peer, or for one kind of request only. This crate turns
-//! what calls and heartbeats showed ([`evidence`]) into a state for each link ([`monitor`]), with
-//! hysteresis and flap damping, and derives three decisions from the states:
+//! A network can fail in one direction, for one peer, or for one kind of request only. This package turns
+//! the outcomes of calls and heartbeats ([`observation`]) into a state for each link ([`monitor`], for all
+//! links [`tracker`]), with hysteresis and flap damping, and derives three decisions from the states:
 //!
 //! - what a leader may decide now ([`permissions`]),
-//! - whether it should hand the lead over, and to whom ([`handover`]),
-//! - how long a candidate waits before it stands for election ([`election`]).
+//! - whether it should hand leadership over, and to whom ([`handover`]),
+//! - how long a candidate waits before it campaigns ([`election`]).
 //!
-//! Everything here is deterministic: evidence and the current time go in, states and decisions come
-//! out. Nothing in the safety argument leans on it: a wrong belief can cost time, never correctness
+//! Controllers tell each other what they see as [`view`]s, and operators in a [`report`].
+//!
+//! Everything here is deterministic: observations and the current time go in, states and decisions come
+//! out. No safety property depends on it: a wrong conclusion can cost time, never correctness
 //! (`docs/half-cut-links.md`).
 
 #![warn(missing_docs)]
 
 pub mod election;
-pub mod evidence;
 pub mod handover;
+pub mod link;
 pub mod monitor;
+pub mod observation;
+pub mod peer_views;
 pub mod permissions;
+pub mod reachability;
+pub mod refused_heartbeats;
 pub mod report;
 pub mod settings;
 pub mod tracker;
 pub mod view;
-pub mod workers;
 
 pub use aspenreel_time as time;
--- a/crates/link-health/src/monitor.rs
+++ b/crates/link-health/src/monitor.rs
@@ -1,27 +1,27 @@
 //! The state of one link: up, suspect or down, with hysteresis and flap damping.
 //!
-//! One failure makes a link suspect, one answer clears the suspicion. Failures without an answer between
-//! them for [`LinkSettings::down_after`] take the link down. A link that is down must answer for a while
-//! before it counts as up again, and for twice as long each time it was lost lately, up to a bound: so a
-//! link that flaps spends most of its time down, and what depends on it doesn't flap along.
+//! One failure makes a link suspect, one answer makes it up again. Failures without an answer between them
+//! for [`LinkSettings::down_after`] take the link down. A link that is down must answer for a while before it
+//! counts as up, and for twice as long for each time it went down lately, up to a bound. So a link that
+//! flaps is down most of the time, and what depends on it doesn't flap with it.
 
-use crate::evidence::{Failure, Outcome};
+use crate::observation::{CallFailure, CallOutcome};
 use crate::settings::LinkSettings;
 use aspenreel_time::{Micros, Moment};
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Two failures can be one hiccup.
+/// A link goes down after at least this many failures: two may have one short cause.
 const FAILURES_TO_DOWN: u32 = 3;
-/// After this long without a loss one earlier loss is forgiven.
+/// After this long without going down, one earlier flap is forgiven.
 const FORGIVE_AFTER: Micros = Micros::from_secs(60);
-/// A pause between answers longer than this doesn't count as answering.
-const ANSWERS_APART: Micros = Micros::from_secs(3);
-/// More losses than this make no difference.
-const MOST_FLAPS: u32 = 16;
+/// Answers further apart than this don't count as answering without a break.
+const MAX_ANSWER_GAP: Micros = Micros::from_secs(3);
+/// More flaps than this make no difference.
+const MAX_FLAPS: u32 = 16;
 
-/// What is believed of a link.
+/// The state of a link.
 #[derive(
     Clone,
     Copy,
@@ -36,14 +36,14 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkState {
-    /// Nothing was heard of it yet.
+    /// Nothing has been observed yet.
     #[default]
     Unknown,
     /// It answers.
     Up,
     /// Its last call failed.
     Suspect,
-    /// It doesn't answer, or hasn't for long enough since.
+    /// It doesn't answer, or has not answered for long enough since it failed.
     Down,
 }
 
@@ -65,42 +65,44 @@
     pub from: LinkState,
     /// The state now.
     pub to: LinkState,
-    /// The last failure, where one led to this.
-    pub failure: Option<Failure>,
+    /// The last failure, where the new state is worse than up.
+    pub failure: Option<CallFailure>,
     /// How long the link must answer before it is up again, where it went down.
     pub recovery: Option<Micros>,
 }
 
-/// Watches one link.
+/// Keeps the state of one link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkMonitor {
     state: LinkState,
     since: Moment,
-    /// Failures since the last answer, and when the first of them was.
+    /// Failures since the last answer.
     failures: u32,
+    /// When the first of them was.
     failing_since: Option<Moment>,
-    last_failure: Option<Failure>,
+    last_failure: Option<CallFailure>,
     last_answer: Option<Moment>,
-    last_heard: Option<Moment>,
-    /// While down: since when it has answered without a failure.
+    last_received: Option<Moment>,
+    /// While down: since when it has answered without a failure or a long gap.
     answering_since: Option<Moment>,
-    /// How often it went down lately.
+    /// How often it went down lately, less the flaps that were forgiven.
     flaps: u32,
+    /// When it last went down or was last forgiven a flap.
     forgiven_at: Moment,
 }
 
 impl LinkMonitor {
-    /// What is believed now.
+    /// The state now.
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// It is down, and has not answered since its last failure. Unlike the state this isn't damped.
+    /// Whether it is down and has not answered since its last failure. Unlike the state, this isn't damped.
     pub fn is_failing(&self) -> bool {
         self.state == LinkState::Down && self.answering_since.is_none()
     }
 
-    /// Since when.
+    /// When it entered its state.
     pub fn since(&self) -> Moment {
         self.since
     }
@@ -110,13 +112,13 @@
         self.last_answer
     }
 
-    /// When a message of the other end last arrived.
-    pub fn last_heard(&self) -> Option<Moment> {
-        self.last_heard
+    /// When a message from the other end last arrived.
+    pub fn last_received(&self) -> Option<Moment> {
+        self.last_received
     }
 
-    /// How its last failing call failed.
-    pub fn last_failure(&self) -> Option<Failure> {
+    /// How its last failed call failed.
+    pub fn last_failure(&self) -> Option<CallFailure> {
         self.last_failure
     }
 
@@ -125,25 +127,25 @@
         self.flaps
     }
 
-    /// Takes in the outcome of a call or a message.
+    /// Takes in the outcome of a call or a message; a change of state, if it makes one.
     pub fn observe(
         &mut self,
-        outcome: Outcome,
+        outcome: CallOutcome,
         at: Moment,
         settings: &LinkSettings,
     ) -> Option<Transition> {
         match outcome {
-            Outcome::Heard => {
-                self.last_heard = Some(at);
+            CallOutcome::MessageReceived => {
+                self.last_received = Some(at);
                 None
             }
-            Outcome::Answered => self.answered(at, settings),
-            Outcome::Failed(failure) => self.failed(failure, at, settings),
+            CallOutcome::Answered => self.on_answer(at, settings),
+            CallOutcome::Failed(failure) => self.on_failure(failure, at, settings),
         }
     }
 
-    /// Lets losses of long ago be forgotten.
-    pub fn tick(&mut self, now: Moment) {
+    /// Forgives one flap if the last one was long ago.
+    pub fn forgive_old_flap(&mut self, now: Moment) {
         if self.flaps > 0 && now - self.forgiven_at >= FORGIVE_AFTER {
             self.flaps -= 1;
             self.forgiven_at = now;
@@ -152,34 +154,34 @@
 
     /// How long the link must answer before it is up again.
     pub fn recovery(&self, settings: &LinkSettings) -> Micros {
-        let doublings = self.flaps.saturating_sub(1).min(MOST_FLAPS);
+        let doublings = self.flaps.saturating_sub(1).min(MAX_FLAPS);
         let wait = Micros(settings.up_after.0.saturating_mul(1 << doublings));
         wait.min(settings.up_after_max)
     }
 
-    fn answered(&mut self, at: Moment, settings: &LinkSettings) -> Option<Transition> {
-        let gap = self.last_answer.is_none_or(|t| at - t > ANSWERS_APART);
+    fn on_answer(&mut self, at: Moment, settings: &LinkSettings) -> Option<Transition> {
+        let after_gap = self.last_answer.is_none_or(|t| at - t > MAX_ANSWER_GAP);
         self.last_answer = Some(at);
-        self.last_heard = Some(at);
+        self.last_received = Some(at);
         self.failures = 0;
         self.failing_since = None;
         match self.state {
             LinkState::Up => None,
-            LinkState::Unknown | LinkState::Suspect => self.change(LinkState::Up, at, settings),
+            LinkState::Unknown | LinkState::Suspect => self.enter(LinkState::Up, at, settings),
             LinkState::Down => {
-                if gap {
+                if after_gap {
                     self.answering_since = None;
                 }
                 let since = *self.answering_since.get_or_insert(at);
                 let recovered = at - since >= self.recovery(settings);
-                recovered.then(|| self.change(LinkState::Up, at, settings))?
+                recovered.then(|| self.enter(LinkState::Up, at, settings))?
             }
         }
     }
 
-    fn failed(
+    fn on_failure(
         &mut self,
-        failure: Failure,
+        failure: CallFailure,
         at: Moment,
         settings: &LinkSettings,
     ) -> Option<Transition> {
@@ -190,24 +192,24 @@
         match self.state {
             LinkState::Down => None,
             _ if self.failures >= FAILURES_TO_DOWN && at - since >= settings.down_after => {
-                self.flaps = (self.flaps + 1).min(MOST_FLAPS);
+                self.flaps = (self.flaps + 1).min(MAX_FLAPS);
                 self.forgiven_at = at;
-                self.change(LinkState::Down, at, settings)
+                self.enter(LinkState::Down, at, settings)
             }
             LinkState::Suspect => None,
-            LinkState::Unknown | LinkState::Up => self.change(LinkState::Suspect, at, settings),
+            LinkState::Unknown | LinkState::Up => self.enter(LinkState::Suspect, at, settings),
         }
     }
 
-    fn change(&mut self, to: LinkState, at: Moment, settings: &LinkSettings) -> Option<Transition> {
+    fn enter(&mut self, to: LinkState, at: Moment, settings: &LinkSettings) -> Option<Transition> {
         let from = std::mem::replace(&mut self.state, to);
         self.since = at;
         self.answering_since = None;
-        let failed = to != LinkState::Up;
+        let is_worse = to != LinkState::Up;
         Some(Transition {
             from,
             to,
-            failure: self.last_failure.filter(|_| failed),
+            failure: self.last_failure.filter(|_| is_worse),
             recovery: (to == LinkState::Down).then(|| self.recovery(settings)),
         })
     }
--- a/crates/link-health/src/permissions.rs
+++ b/crates/link-health/src/permissions.rs
@@ -1,4 +1,4 @@
-//! What a leader may decide now: the one place that says so.
+//! Which decisions a leader may make now. No other place decides that.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::Serialize;
@@ -9,33 +9,33 @@
 /// decided before stands, since it is either on record or its effect hasn't left the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct Permissions {
-    /// Bind waiting tasks to machines.
+    /// Place waiting tasks on machines.
     pub assign: bool,
-    /// Write claims, done sets and final states.
+    /// Write start watermarks, done sets and terminal states.
     pub record: bool,
-    /// Tell workers to forget outcomes.
+    /// Tell workers to forget outcomes that are on record.
     pub release: bool,
 }
 
 impl Permissions {
-    /// Nothing stands in the way.
+    /// Every decision is allowed.
     pub const ALL: Permissions = Permissions {
         assign: true,
         record: true,
         release: true,
     };
 
-    /// No decision may be made that needs a record.
+    /// No decision that needs a record is allowed.
     pub const NONE: Permissions = Permissions {
         assign: false,
         record: false,
         release: false,
     };
 
-    /// What the link for writes allows: everything, unless it fails now.
+    /// Allows everything, unless writes to the key-value store fail now.
     ///
-    /// Its damped state doesn't matter here. A leader whose writes come and go, and whom nobody better
-    /// placed can follow, decides while they come.
+    /// The damped state of the link doesn't matter here: a leader whose writes succeed from time to time, and
+    /// that has no better-placed successor, decides while they do.
     pub fn of(writes_fail: bool) -> Permissions {
         match writes_fail {
             true => Permissions::NONE,
--- a/crates/link-health/src/report.rs
+++ b/crates/link-health/src/report.rs
@@ -1,9 +1,10 @@
 //! What a controller tells operators about its links.
 
-use crate::evidence::{Failure, Link, NodeName};
+use crate::link::{Link, NodeName};
 use crate::monitor::LinkState;
+use crate::observation::CallFailure;
 use crate::permissions::Permissions;
-use crate::workers::Hearing;
+use crate::reachability::Reachability;
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::Serialize;
 
@@ -15,18 +16,19 @@
 pub struct LinkRow {
     /// The link.
     pub link: Link,
-    /// What is believed of it.
+    /// Its state.
     pub state: LinkState,
-    /// For how long, in milliseconds.
+    /// How long it has been in this state, in milliseconds.
     pub for_ms: u64,
-    /// The age of the last answer, if there was one.
+    /// The age of the last answer in milliseconds, if there was one.
     pub answered_ms_ago: Option<u64>,
-    /// The age of the last message of the other end, if there was one.
-    pub heard_ms_ago: Option<u64>,
-    /// How often it was lost lately.
+    /// The age of the last message from the other end in milliseconds, if there was one.
+    #[serde(rename = "heard_ms_ago")]
+    pub received_ms_ago: Option<u64>,
+    /// How often it went down lately.
     pub flaps: u32,
-    /// How it last failed.
-    pub last_failure: Option<Failure>,
+    /// How its last failed call failed.
+    pub last_failure: Option<CallFailure>,
 }
 
 /// What is known of a peer's view.
@@ -34,46 +36,49 @@
 pub struct PeerRow {
     /// The peer.
     pub peer: NodeName,
-    /// It exchanges views.
+    /// Whether it exchanges views.
     pub offers_views: bool,
-    /// The age of its last view, if there is one.
+    /// The age of its last view in milliseconds, if there is one.
     pub view_ms_ago: Option<u64>,
-    /// Workers that it hears.
-    pub hears: Option<u32>,
+    /// The number of workers that reach it, according to that view.
+    #[serde(rename = "hears")]
+    pub reachable_workers: Option<u32>,
 }
 
-/// What one controller believes about its links.
+/// What one controller concludes about its links.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct LinkReport {
     /// The controller.
     pub node: NodeName,
     /// The newest term that it knows of.
     pub term: u64,
-    /// Who leads it, as far as it knows.
+    /// The leader of that term, as far as it knows.
     pub leader: Option<NodeName>,
-    /// It leads, and its lease surely lives.
+    /// Whether it leads, with a lease that has surely not expired.
     pub leads: bool,
-    /// Which workers it hears.
-    pub hearing: Hearing,
-    /// What it may decide if it leads.
+    /// How many workers reach it.
+    #[serde(rename = "hearing")]
+    pub reachability: Reachability,
+    /// Which decisions it may make if it leads.
     pub permissions: Permissions,
     /// Its links.
     pub links: Vec<LinkRow>,
     /// Its peers' views.
     pub peers: Vec<PeerRow>,
-    /// Views that were without effect.
+    /// The number of views that were rejected.
     pub rejected_views: u64,
-    /// Observations that were dropped since too many came at once.
-    pub dropped_evidence: u64,
+    /// The number of observations that were dropped because too many came at once.
+    #[serde(rename = "dropped_evidence")]
+    pub dropped_observations: u64,
 }
 
-/// A report that can't be read.
+/// Why a report can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// Of a version that isn't known here.
+    /// The version is unknown here.
     #[error("its report has an unknown version")]
     Version,
-    /// Not a report.
+    /// The bytes are no report.
     #[error("its report is malformed")]
     Malformed,
 }
@@ -88,6 +93,10 @@
     }
 
     /// Reads a report. Fields that a later version appended are ignored.
+    ///
+    /// # Errors
+    ///
+    /// [`ReportError::Version`] or [`ReportError::Malformed`].
     pub fn decode(bytes: &[u8]) -> Result<LinkReport, ReportError> {
         match bytes.split_first() {
             Some((&REPORT_VERSION, mut rest)) => {
--- a/crates/link-health/src/settings.rs
+++ b/crates/link-health/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator may tune about links, checked before anything is opened.
+//! The limits and delays that an operator may set, and the check that they agree.
 
 use aspenreel_time::Micros;
 
@@ -11,7 +11,7 @@
     pub up_after: Micros,
     /// Each further loss of the link doubles `up_after`, up to this.
     pub up_after_max: Micros,
-    /// Some peer must have been better placed for this long before the lead is handed over to it.
+    /// Some peer must have been better placed for this long before leadership is handed over to it.
     pub handover_after: Micros,
     /// The next handover is at least this long after the last one.
     pub handover_pause: Micros,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A contradiction between two settings. The names are those of the flags.
+/// Two settings that contradict each other. The names are those of the flags.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{smaller} must not exceed {larger}: {smaller_ms} ms is more than {larger_ms} ms")]
 pub struct SettingsConflict {
@@ -43,7 +43,11 @@
 }
 
 impl LinkSettings {
-    /// Checks that each bound is at least what it bounds.
+    /// Checks that no delay exceeds its upper bound.
+    ///
+    /// # Errors
+    ///
+    /// The first pair of settings that contradict each other.
     pub fn check(&self) -> Result<(), SettingsConflict> {
         let in_order = |smaller, low: Micros, larger, high: Micros| {
             if low <= high {
--- a/crates/link-health/src/tracker.rs
+++ b/crates/link-health/src/tracker.rs
@@ -1,35 +1,36 @@
-//! All links of one controller.
+//! The states of all links of one controller.
 
-use crate::evidence::{Evidence, Link, NodeName};
+use crate::link::{Link, NodeName};
 use crate::monitor::{LinkMonitor, LinkState, Transition};
+use crate::observation::Observation;
 use crate::permissions::Permissions;
+use crate::reachability::Reachability;
 use crate::report::LinkRow;
 use crate::settings::LinkSettings;
-use crate::workers::Hearing;
 use aspenreel_time::{Micros, Moment};
 use std::collections::BTreeMap;
 
-/// A change that operators should see in the log.
+/// A change of one link's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkChange {
     /// The link.
     pub link: Link,
-    /// What changed.
+    /// The states before and after.
     pub transition: Transition,
 }
 
-/// Watches all links of one controller.
+/// Keeps the states of all links of one controller.
 #[derive(Debug)]
 pub struct LinkTracker {
     settings: LinkSettings,
     monitors: BTreeMap<Link, LinkMonitor>,
-    hearing: Hearing,
+    reachability: Reachability,
     workers_state: LinkState,
     workers_since: Moment,
 }
 
 impl LinkTracker {
-    /// Nothing is known of any link yet.
+    /// All links are unknown.
     pub fn new(settings: LinkSettings, peers: &[NodeName]) -> LinkTracker {
         let peers = peers.iter().cloned().map(Link::Peer);
         let links = [Link::StateReads, Link::StateWrites]
@@ -38,26 +39,30 @@
         LinkTracker {
             settings,
             monitors: links.map(|link| (link, LinkMonitor::default())).collect(),
-            hearing: Hearing::default(),
+            reachability: Reachability::default(),
             workers_state: LinkState::Unknown,
             workers_since: Moment(0),
         }
     }
 
-    /// Takes in an observation. Those of links that aren't watched have no effect.
-    pub fn observe(&mut self, evidence: Evidence) -> Option<LinkChange> {
-        let monitor = self.monitors.get_mut(&evidence.link)?;
-        let transition = monitor.observe(evidence.outcome, evidence.at, &self.settings)?;
+    /// Takes in an observation; one of a link that isn't watched has no effect.
+    pub fn observe(&mut self, observation: Observation) -> Option<LinkChange> {
+        let monitor = self.monitors.get_mut(&observation.link)?;
+        let transition = monitor.observe(observation.outcome, observation.at, &self.settings)?;
         Some(LinkChange {
-            link: evidence.link,
+            link: observation.link,
             transition,
         })
     }
 
-    /// Takes in which workers are heard now.
-    pub fn hear(&mut self, hearing: Hearing, now: Moment) -> Option<LinkChange> {
-        self.hearing = hearing;
-        let to = hearing.state();
+    /// Takes in how many workers reach the controller now.
+    pub fn update_reachability(
+        &mut self,
+        reachability: Reachability,
+        now: Moment,
+    ) -> Option<LinkChange> {
+        self.reachability = reachability;
+        let to = reachability.state();
         let from = std::mem::replace(&mut self.workers_state, to);
         if from == to {
             return None;
@@ -75,10 +80,10 @@
         })
     }
 
-    /// What time alone changes.
-    pub fn tick(&mut self, now: Moment) {
+    /// Forgives each link a flap of long ago, where one is due.
+    pub fn forgive_old_flaps(&mut self, now: Moment) {
         for monitor in self.monitors.values_mut() {
-            monitor.tick(now);
+            monitor.forgive_old_flap(now);
         }
     }
 
@@ -93,27 +98,27 @@
         }
     }
 
-    /// Which workers are heard.
-    pub fn hearing(&self) -> Hearing {
-        self.hearing
+    /// How many workers reach the controller, as last taken in.
+    pub fn reachability(&self) -> Reachability {
+        self.reachability
     }
 
-    /// What a leader may decide now.
+    /// Which decisions a leader may make now.
     pub fn permissions(&self) -> Permissions {
         let writes = self.monitors.get(&Link::StateWrites);
         Permissions::of(writes.is_some_and(LinkMonitor::is_failing))
     }
 
-    /// True if the link has been silent for so long that only a probe tells its state.
+    /// Whether only a probe can tell the state of the link: it isn't up, or has not answered for `silence`.
     pub fn wants_probe(&self, link: &Link, silence: Micros, now: Moment) -> bool {
         let Some(monitor) = self.monitors.get(link) else {
             return false;
         };
-        let settled = monitor.state() == LinkState::Up;
-        !settled || monitor.last_answer().is_none_or(|at| now - at >= silence)
+        let is_up = monitor.state() == LinkState::Up;
+        !is_up || monitor.last_answer().is_none_or(|at| now - at >= silence)
     }
 
-    /// All links, for an operator.
+    /// A row for each link, for an operator; that of the workers is the last.
     pub fn rows(&self, now: Moment) -> Vec<LinkRow> {
         let age = |at: Option<Moment>| at.map(|at| (now - at).0 / 1000);
         let mut rows: Vec<LinkRow> = self
@@ -124,7 +129,7 @@
                 state: monitor.state(),
                 for_ms: (now - monitor.since()).0 / 1000,
                 answered_ms_ago: age(monitor.last_answer()),
-                heard_ms_ago: age(monitor.last_heard()),
+                received_ms_ago: age(monitor.last_received()),
                 flaps: monitor.flaps(),
                 last_failure: monitor.last_failure(),
             })
@@ -134,7 +139,7 @@
             state: self.workers_state,
             for_ms: (now - self.workers_since).0 / 1000,
             answered_ms_ago: None,
-            heard_ms_ago: None,
+            received_ms_ago: None,
             flaps: 0,
             last_failure: None,
         });
--- a/crates/link-health/tests/decisions.rs
+++ b/crates/link-health/tests/decisions.rs
@@ -1,18 +1,17 @@
-//! When the lead is handed over, who stands first, and which views count.
+//! When leadership is handed over, who campaigns first, and which views count.
 
-use aspenreel_link_health::election::{Candidate, LONGEST_WAIT};
-use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::election::{Candidate, MAX_CAMPAIGN_DELAY};
 use aspenreel_link_health::handover::{
-    Handover, HandoverPlanner, HandoverRecord, Reason, Situation,
+    Handover, HandoverPlanner, HandoverReason, HandoverRecord, Situation,
 };
+use aspenreel_link_health::link::NodeName;
 use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::peer_views::{PeerView, PeerViews, ViewLifetimes};
+use aspenreel_link_health::reachability::Reachability;
 use aspenreel_link_health::report::{LinkReport, ReportError};
 use aspenreel_link_health::settings::LinkSettings;
 use aspenreel_link_health::time::{Micros, Moment, WallTime};
-use aspenreel_link_health::view::{
-    BelievedFor, LinkView, MAX_VIEW_BYTES, PeerView, ViewBook, ViewError,
-};
-use aspenreel_link_health::workers::Hearing;
+use aspenreel_link_health::view::{LinkView, MAX_VIEW_BYTES, ViewError};
 use std::collections::BTreeMap;
 
 const HOUR_MS: u64 = 3_600_000;
@@ -31,7 +30,7 @@
     WallTime((50 * HOUR_MS + ms) * 1000)
 }
 
-fn view(from: &str, heard: u32) -> LinkView {
+fn view(from: &str, reachable: u32) -> LinkView {
     LinkView {
         from: name(from),
         to: name("n-0"),
@@ -41,23 +40,29 @@
         leads: false,
         state_reads: LinkState::Up,
         state_writes: LinkState::Up,
-        hearing: Hearing { heard, known: 0 },
+        reachability: Reachability {
+            reachable,
+            expected: 0,
+        },
     }
 }
 
-/// What a leader knows that hears so many of eight workers.
-fn situation<'a>(heard: u32, views: &'a [&'a LinkView]) -> Situation<'a> {
+/// What a leader knows that so many of eight workers reach.
+fn situation<'a>(reachable: u32, views: &'a [&'a LinkView]) -> Situation<'a> {
     Situation {
         term: TERM,
-        hearing: Hearing { heard, known: 8 },
+        reachability: Reachability {
+            reachable,
+            expected: 8,
+        },
         state_writes: LinkState::Up,
         views,
-        silent_beyond: &NOBODY,
+        silent_near_unreached: &NOBODY,
     }
 }
 
-/// Considers the same situation every 250 ms; when the lead was handed over, and to whom.
-fn played(
+/// Decides about the same situation every 250 ms; when leadership was handed over, and to whom.
+fn first_handover(
     planner: &mut HandoverPlanner,
     situation: &Situation<'_>,
     from_ms: u64,
@@ -65,16 +70,16 @@
 ) -> Option<(u64, Handover)> {
     let settings = LinkSettings::default();
     (from_ms..to_ms).step_by(250).find_map(|ms| {
-        let handover = planner.consider(situation, at(ms), wall(ms), &settings)?;
+        let handover = planner.decide(situation, at(ms), wall(ms), &settings)?;
         Some((ms, handover))
     })
 }
 
 fn decided(situation: &Situation<'_>) -> Option<(u64, Handover)> {
-    played(&mut HandoverPlanner::default(), situation, 0, 10_000)
+    first_handover(&mut HandoverPlanner::default(), situation, 0, 10_000)
 }
 
-fn to(node: &str, reason: Reason) -> Handover {
+fn to(node: &str, reason: HandoverReason) -> Handover {
     Handover {
         to: name(node),
         reason,
@@ -82,20 +87,26 @@
 }
 
 #[test]
-fn a_blind_leader_hands_over_to_whoever_hears_most() {
+fn a_leader_without_workers_hands_over_to_the_peer_with_most() {
     let (some, most) = (view("n-1", 3), view("n-2", 6));
     let handover = decided(&situation(1, &[&some, &most]));
-    assert_eq!(handover, Some((1000, to("n-2", Reason::WorkersUnheard))));
+    assert_eq!(
+        handover,
+        Some((1000, to("n-2", HandoverReason::WorkersUnreachable)))
+    );
     // Of equals, one is chosen, and always the same.
     let (one, other) = (view("n-2", 6), view("n-1", 6));
     let handover = decided(&situation(1, &[&one, &other]));
-    assert_eq!(handover, Some((1000, to("n-1", Reason::WorkersUnheard))));
+    assert_eq!(
+        handover,
+        Some((1000, to("n-1", HandoverReason::WorkersUnreachable)))
+    );
 }
 
 #[test]
 fn nothing_moves_when_nobody_is_better_placed() {
-    let blind = view("n-1", 0);
-    assert_eq!(decided(&situation(0, &[&blind])), None);
+    let unreached = view("n-1", 0);
+    assert_eq!(decided(&situation(0, &[&unreached])), None);
     assert_eq!(decided(&situation(0, &[])), None);
     // Hardly better is not better: the margin is a quarter of the workers.
     let hardly = view("n-1", 4);
@@ -105,7 +116,10 @@
     assert_eq!(decided(&situation(4, &[&all])), None);
     // Few workers may be silent for their own reasons.
     let few = Situation {
-        hearing: Hearing { heard: 0, known: 2 },
+        reachability: Reachability {
+            reachable: 0,
+            expected: 2,
+        },
         ..situation(0, &[])
     };
     let both = view("n-1", 2);
@@ -118,22 +132,22 @@
 
 #[test]
 fn a_peer_that_could_not_lead_is_not_preferred() {
-    let hears_all = || view("n-1", 8);
+    let reaches_all = || view("n-1", 8);
     let cut = LinkView {
         state_writes: LinkState::Down,
-        ..hears_all()
+        ..reaches_all()
     };
     let unproven = LinkView {
         state_reads: LinkState::Unknown,
-        ..hears_all()
+        ..reaches_all()
     };
     let of_an_old_term = LinkView {
         term: TERM - 1,
-        ..hears_all()
+        ..reaches_all()
     };
     let thinks_it_leads = LinkView {
         leads: true,
-        ..hears_all()
+        ..reaches_all()
     };
     for view in [cut, unproven, of_an_old_term, thinks_it_leads] {
         assert_eq!(decided(&situation(0, &[&view])), None, "{view:?}");
@@ -154,24 +168,24 @@
     };
     assert_eq!(
         decided(&peer_can),
-        Some((1000, to("n-1", Reason::CannotWrite)))
+        Some((1000, to("n-1", HandoverReason::CannotWrite)))
     );
 }
 
 /// A cut between zones: the peer and the silent workers of its zone are beyond it together. The peer's view
-/// came through the state service, and no worker has found the peer yet.
+/// came through the key-value store, and no worker has found the peer yet.
 #[test]
 fn silent_workers_are_taken_to_reach_a_peer_beyond_the_same_cut() {
     let beyond = BTreeMap::from([(name("n-2"), 6)]);
     let (near, far) = (view("n-1", 1), view("n-2", 0));
     let both = [&near, &far];
     let partitioned = Situation {
-        silent_beyond: &beyond,
+        silent_near_unreached: &beyond,
         ..situation(2, &both)
     };
-    let handover = Some((1000, to("n-2", Reason::WorkersUnheard)));
+    let handover = Some((1000, to("n-2", HandoverReason::WorkersUnreachable)));
     assert_eq!(decided(&partitioned), handover);
-    // A peer that doesn't tell that it has the state service may as well be down.
+    // A peer that doesn't tell that it reaches the key-value store may as well be down.
     let without_its_view = Situation {
         views: &[&near],
         ..partitioned
@@ -180,7 +194,7 @@
     // A minority beyond the cut moves nothing.
     let few = BTreeMap::from([(name("n-2"), 2)]);
     let minority = Situation {
-        silent_beyond: &few,
+        silent_near_unreached: &few,
         ..situation(6, &both)
     };
     assert_eq!(decided(&minority), None);
@@ -191,16 +205,16 @@
 fn a_better_place_must_last() {
     let mut planner = HandoverPlanner::default();
     let settings = LinkSettings::default();
-    let (able, blind) = (view("n-1", 6), view("n-1", 0));
+    let (able, unreached) = (view("n-1", 6), view("n-1", 0));
     for round in 0..40 {
-        let views = [if round % 4 < 3 { &able } else { &blind }];
+        let views = [if round % 4 < 3 { &able } else { &unreached }];
         let ms = round * 300;
-        let decided = planner.consider(&situation(0, &views), at(ms), wall(ms), &settings);
+        let decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided, None, "at {ms} ms");
     }
 }
 
-/// Views through the state service come in turn: which peer is best placed may change meanwhile.
+/// Views through the key-value store come in turn: which peer is best placed may change meanwhile.
 #[test]
 fn the_best_placed_peer_may_change() {
     let mut planner = HandoverPlanner::default();
@@ -210,10 +224,10 @@
     for round in 0..4 {
         let views = [if round % 2 == 0 { &one } else { &other }];
         let ms = round * 400;
-        decided = planner.consider(&situation(0, &views), at(ms), wall(ms), &settings);
+        decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided.is_some(), ms >= 1000, "at {ms} ms");
     }
-    assert_eq!(decided, Some(to("n-2", Reason::WorkersUnheard)));
+    assert_eq!(decided, Some(to("n-2", HandoverReason::WorkersUnreachable)));
 }
 
 /// However links flap, the time between handovers grows, for all controllers together: each reads the
@@ -224,13 +238,13 @@
     let mut record: Option<HandoverRecord> = None;
     let mut lines = Vec::new();
     let mut ms = 0;
-    let hears_all = view("n-1", 8);
-    let views = [&hears_all];
+    let reaches_all = view("n-1", 8);
+    let views = [&reaches_all];
     let cut_off = situation(0, &views);
     for _ in 0..6 {
         // Each term begins with the record, as the next leader reads it.
         let mut planner = HandoverPlanner::new(record.clone());
-        let (when, handover) = played(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
+        let (when, handover) = first_handover(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
         let made = planner.record(&handover, TERM, wall(when), &settings);
         lines.push(format!(
             "handover after {:>5.1} s, streak {}",
@@ -243,7 +257,7 @@
     // After a calm the streak is over.
     ms += 600_000;
     let mut planner = HandoverPlanner::new(record);
-    let (when, handover) = played(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
+    let (when, handover) = first_handover(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
     let made = planner.record(&handover, TERM, wall(when), &settings);
     lines.push(format!("after ten calm minutes: streak {}", made.streak));
     insta::assert_snapshot!(lines.join("\n"));
@@ -256,26 +270,26 @@
     let record = HandoverRecord {
         term: TERM - 1,
         preferred: name("n-0"),
-        reason: Reason::WorkersUnheard,
+        reason: HandoverReason::WorkersUnreachable,
         at: wall(60_000).0,
         streak: 1,
     };
     let mut planner = HandoverPlanner::new(Some(record));
-    let hears_all = view("n-1", 8);
-    let views = [&hears_all];
+    let reaches_all = view("n-1", 8);
+    let views = [&reaches_all];
     for ms in (0..20_000).step_by(250) {
-        let decided = planner.consider(&situation(0, &views), at(ms), wall(ms), &settings);
+        let decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided, None);
     }
 }
 
 #[test]
-fn well_connected_candidates_stand_first() {
+fn well_connected_candidates_campaign_first() {
     let own = name("n-1");
     let handover_to = |node: &str| HandoverRecord {
         term: TERM,
         preferred: name(node),
-        reason: Reason::WorkersUnheard,
+        reason: HandoverReason::WorkersUnreachable,
         at: 0,
         streak: 1,
     };
@@ -289,16 +303,19 @@
     };
     let mut lines = Vec::new();
     let mut case = |text: &str, candidate: Candidate<'_>| {
-        assert!(candidate.wait() <= LONGEST_WAIT, "{text}");
-        lines.push(format!("{:>5} ms  {text}", candidate.wait().0 / 1000));
+        assert!(candidate.campaign_delay() <= MAX_CAMPAIGN_DELAY, "{text}");
+        lines.push(format!(
+            "{:>5} ms  {text}",
+            candidate.campaign_delay().0 / 1000
+        ));
     };
     case("nothing is known", usual.clone());
-    let hears = |refused_workers| Candidate {
+    let refusing = |refused_workers| Candidate {
         refused_workers,
         ..usual.clone()
     };
-    case("four workers came", hears(4));
-    case("4,000 workers came", hears(4000));
+    case("four workers came", refusing(4));
+    case("4,000 workers came", refusing(4000));
     let in_silent_zone = Candidate {
         in_silent_zone: true,
         ..usual.clone()
@@ -327,36 +344,36 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-fn book() -> ViewBook {
+fn book() -> PeerViews {
     let peers = [name("n-1"), name("n-2")];
-    let believed_for = BelievedFor {
+    let lifetimes = ViewLifetimes {
         direct: Micros::from_secs(4),
         stored: Micros::from_secs(8),
     };
-    ViewBook::new(name("n-0"), &peers, believed_for)
+    PeerViews::new(name("n-0"), &peers, lifetimes)
 }
 
 #[test]
 fn views_that_do_not_count_have_no_effect() {
     let mut book = book();
     let peer = name("n-1");
-    let mut take = |view: &LinkView, ms| book.take(&peer, &view.encode(), at(ms));
+    let mut accept = |view: &LinkView, ms| book.accept(&peer, &view.encode(), at(ms));
     let at_sequence = |process, sequence| LinkView {
         process,
         sequence,
         ..view("n-1", 3)
     };
-    assert_eq!(take(&at_sequence(1, 5), 0), Ok(()));
-    assert_eq!(take(&at_sequence(1, 5), 100), Err(ViewError::Late));
-    assert_eq!(take(&at_sequence(1, 4), 100), Err(ViewError::Late));
+    assert_eq!(accept(&at_sequence(1, 5), 0), Ok(()));
+    assert_eq!(accept(&at_sequence(1, 5), 100), Err(ViewError::Late));
+    assert_eq!(accept(&at_sequence(1, 4), 100), Err(ViewError::Late));
     // Another process of the peer begins anew.
-    assert_eq!(take(&at_sequence(2, 0), 200), Ok(()));
-    assert_eq!(take(&view("n-2", 8), 300), Err(ViewError::WrongSender));
+    assert_eq!(accept(&at_sequence(2, 0), 200), Ok(()));
+    assert_eq!(accept(&view("n-2", 8), 300), Err(ViewError::WrongSender));
     let elsewhere = LinkView {
         to: name("n-9"),
         ..at_sequence(2, 9)
     };
-    assert_eq!(take(&elsewhere, 300), Err(ViewError::WrongReceiver));
+    assert_eq!(accept(&elsewhere, 300), Err(ViewError::WrongReceiver));
     assert_eq!(book.rejected(), 4);
     let fresh: Vec<u64> = book.fresh(at(300)).iter().map(|v| v.process).collect();
     assert_eq!(fresh, [2]);
@@ -366,60 +383,63 @@
 fn malformed_views_are_refused() {
     let mut book = book();
     let whole = view("n-1", 3).encode();
-    let mut take = |bytes: &[u8]| book.take(&name("n-1"), bytes, at(0));
-    assert_eq!(take(&[]), Err(ViewError::Malformed));
+    let mut accept = |bytes: &[u8]| book.accept(&name("n-1"), bytes, at(0));
+    assert_eq!(accept(&[]), Err(ViewError::Malformed));
     for cut in 1..whole.len() {
         assert_eq!(
-            take(&whole[..cut]),
+            accept(&whole[..cut]),
             Err(ViewError::Malformed),
             "{cut} bytes"
         );
     }
-    assert_eq!(take(&[9; 40]), Err(ViewError::Version));
-    assert_eq!(take(&vec![1; MAX_VIEW_BYTES + 1]), Err(ViewError::TooLarge));
+    assert_eq!(accept(&[9; 40]), Err(ViewError::Version));
+    assert_eq!(
+        accept(&vec![1; MAX_VIEW_BYTES + 1]),
+        Err(ViewError::TooLarge)
+    );
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..2000 {
         // Whatever comes, it is an answer and not a panic.
         let noise: Vec<u8> = (0..rng.usize(1..200)).map(|_| rng.u8(..)).collect();
-        let _ = take(&noise);
+        let _ = accept(&noise);
     }
     // A later version may append fields.
     let mut longer = whole;
     longer.extend([1, 2, 3]);
-    assert_eq!(take(&longer), Ok(()));
+    assert_eq!(accept(&longer), Ok(()));
 }
 
-/// A view is as old as the question that it answers, and is believed only while it is young.
+/// A view is as old as the request that it answers, and counts only while it is young.
 #[test]
-fn old_views_are_not_believed() {
+fn old_views_do_not_count() {
     let mut book = book();
     let encoded = view("n-1", 3).encode();
-    book.take(&name("n-1"), &encoded, at(1000)).unwrap();
+    book.accept(&name("n-1"), &encoded, at(1000)).unwrap();
     assert_eq!(book.fresh(at(4999)).len(), 1);
     assert_eq!(book.fresh(at(5000)).len(), 0);
-    // Those from the state service come seldom, and never from before a cut.
+    // Those from the key-value store come seldom, and never from before a partition.
     let newer = LinkView {
         sequence: 2,
         ..view("n-1", 3)
     };
-    let taken = book.take_stored(&name("n-1"), &newer.encode(), at(6000));
-    assert_eq!(taken, Ok(()));
+    let accepted = book.accept_stored(&name("n-1"), &newer.encode(), at(6000));
+    assert_eq!(accepted, Ok(()));
     assert_eq!(book.fresh(at(13_999)).len(), 1);
     assert_eq!(book.fresh(at(14_000)).len(), 0);
 }
 
 #[test]
-fn peers_without_views_are_known() {
+fn peers_that_support_no_views_are_known() {
     let mut book = book();
-    assert!(!book.some_not_offered());
-    book.not_offered(&name("n-2"));
-    assert!(book.some_not_offered());
+    assert!(!book.any_unsupported());
+    book.mark_unsupported(&name("n-2"));
+    assert!(book.any_unsupported());
     let views: Vec<&PeerView> = book.peers().map(|(_, view)| view).collect();
-    assert_eq!(views, [&PeerView::Unheard, &PeerView::NotOffered]);
+    assert_eq!(views, [&PeerView::NotReceived, &PeerView::Unsupported]);
     // It was replaced by a version that exchanges views.
-    book.take(&name("n-2"), &view("n-2", 0).encode(), at(0))
+    book.accept(&name("n-2"), &view("n-2", 0).encode(), at(0))
         .unwrap();
-    assert!(!book.some_not_offered());
+    assert!(!book.any_unsupported());
 }
 
 #[test]
--- a/crates/link-health/tests/formats.rs
+++ b/crates/link-health/tests/formats.rs
@@ -1,31 +1,35 @@
 //! The forms in which other versions and scripts read what this package makes: they stay as they are.
 
-use aspenreel_link_health::evidence::{Failure, Link, NodeName};
-use aspenreel_link_health::handover::{HandoverRecord, Reason};
+use aspenreel_link_health::handover::{HandoverReason, HandoverRecord};
+use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::observation::CallFailure;
 use aspenreel_link_health::permissions::Permissions;
+use aspenreel_link_health::reachability::Reachability;
 use aspenreel_link_health::report::{LinkReport, LinkRow, PeerRow};
 use aspenreel_link_health::view::LinkView;
-use aspenreel_link_health::workers::Hearing;
 use serde::Serialize;
 
-const REACHABILITY: Hearing = Hearing { heard: 3, known: 8 };
+const REACHABILITY: Reachability = Reachability {
+    reachable: 3,
+    expected: 8,
+};
 
 fn json(value: &impl Serialize) -> String {
-    serde_json::to_string_pretty(value).unwrap()
+    serde_json::to_string_pretty(value).expect("JSON of a value without maps")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn row(link: Link, state: LinkState, last_failure: Option<Failure>) -> LinkRow {
+fn row(link: Link, state: LinkState, last_failure: Option<CallFailure>) -> LinkRow {
     LinkRow {
         link,
         state,
         for_ms: 1500,
         answered_ms_ago: Some(20),
-        heard_ms_ago: None,
+        received_ms_ago: None,
         flaps: 2,
         last_failure,
     }
@@ -36,32 +40,36 @@
         peer: NodeName::from("n-1"),
         offers_views: true,
         view_ms_ago: Some(700),
-        hears: Some(5),
+        reachable_workers: Some(5),
     };
     LinkReport {
         node: NodeName::from("n-0"),
         term: 7,
         leader: Some(NodeName::from("n-2")),
         leads: false,
-        hearing: REACHABILITY,
+        reachability: REACHABILITY,
         permissions: Permissions::NONE,
         links: vec![
             row(Link::StateReads, LinkState::Up, None),
             row(
                 Link::StateWrites,
                 LinkState::Suspect,
-                Some(Failure::Refused),
+                Some(CallFailure::Refused),
             ),
             row(
                 Link::Peer(NodeName::from("n-1")),
                 LinkState::Down,
-                Some(Failure::Unreachable),
+                Some(CallFailure::Unreachable),
+            ),
+            row(
+                Link::Workers,
+                LinkState::Unknown,
+                Some(CallFailure::NoAnswer),
             ),
-            row(Link::Workers, LinkState::Unknown, Some(Failure::NoAnswer)),
         ],
         peers: vec![peer],
         rejected_views: 4,
-        dropped_evidence: 6,
+        dropped_observations: 6,
     }
 }
 
@@ -83,7 +91,7 @@
         leads: true,
         state_reads: LinkState::Up,
         state_writes: LinkState::Down,
-        hearing: REACHABILITY,
+        reachability: REACHABILITY,
     };
     assert_eq!(LinkView::decode(&view.encode()), Ok(view.clone()));
     let stored: LinkView = serde_json::from_str(&json(&view)).unwrap();
@@ -100,7 +108,11 @@
         at: 13,
         streak: 2,
     };
-    let records = [Reason::WorkersUnheard, Reason::CannotWrite].map(record);
+    let records = [
+        HandoverReason::WorkersUnreachable,
+        HandoverReason::CannotWrite,
+    ]
+    .map(record);
     let stored: [HandoverRecord; 2] = serde_json::from_str(&json(&records)).unwrap();
     assert_eq!(stored, records);
     insta::assert_snapshot!(json(&records));
--- a/crates/link-health/tests/states.rs
+++ b/crates/link-health/tests/states.rs
@@ -1,14 +1,16 @@
 //! What the states of links do: kept traces, one line for each observation that changed something.
 
-use aspenreel_link_health::evidence::{Evidence, Failure, Link, NodeName, Outcome};
+use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::observation::{CallFailure, CallOutcome, Observation};
 use aspenreel_link_health::permissions::Permissions;
+use aspenreel_link_health::reachability::Reachability;
+use aspenreel_link_health::refused_heartbeats::RefusedHeartbeats;
 use aspenreel_link_health::settings::LinkSettings;
 use aspenreel_link_health::time::{Micros, Moment};
 use aspenreel_link_health::tracker::{LinkChange, LinkTracker};
-use aspenreel_link_health::workers::{Hearing, RefusedWorkers};
 
-const FAILED: Outcome = Outcome::Failed(Failure::NoAnswer);
+const FAILED: CallOutcome = CallOutcome::Failed(CallFailure::NoAnswer);
 
 /// A tracker and the trace of its changes.
 struct Trace {
@@ -25,13 +27,13 @@
         }
     }
 
-    fn see(&mut self, link: &Link, outcome: Outcome, at_ms: u64) {
-        let evidence = Evidence {
+    fn see(&mut self, link: &Link, outcome: CallOutcome, at_ms: u64) {
+        let observation = Observation {
             link: link.clone(),
             outcome,
             at: at(at_ms),
         };
-        let change = self.tracker.observe(evidence);
+        let change = self.tracker.observe(observation);
         self.note(change, at_ms);
     }
 
@@ -63,9 +65,9 @@
 fn hysteresis() {
     let mut trace = Trace::new();
     let writes = Link::StateWrites;
-    trace.see(&writes, Outcome::Answered, 0);
+    trace.see(&writes, CallOutcome::Answered, 0);
     trace.see(&writes, FAILED, 100);
-    trace.see(&writes, Outcome::Answered, 200);
+    trace.see(&writes, CallOutcome::Answered, 200);
     // Many failures at once, as when requests that were under way together fail together.
     for _ in 0..5 {
         trace.see(&writes, FAILED, 1000);
@@ -73,11 +75,11 @@
     trace.see(&writes, FAILED, 2400);
     trace.see(&writes, FAILED, 2600);
     // One answer isn't enough, and a failure begins the wait anew.
-    trace.see(&writes, Outcome::Answered, 3000);
+    trace.see(&writes, CallOutcome::Answered, 3000);
     trace.see(&writes, FAILED, 3500);
-    trace.see(&writes, Outcome::Answered, 4000);
-    trace.see(&writes, Outcome::Answered, 4900);
-    trace.see(&writes, Outcome::Answered, 5000);
+    trace.see(&writes, CallOutcome::Answered, 4000);
+    trace.see(&writes, CallOutcome::Answered, 4900);
+    trace.see(&writes, CallOutcome::Answered, 5000);
     insta::assert_snapshot!(trace.text());
 }
 
@@ -89,10 +91,10 @@
     for ms in [0, 1000, 2000] {
         trace.see(&reads, FAILED, ms);
     }
-    trace.see(&reads, Outcome::Answered, 3000);
-    trace.see(&reads, Outcome::Answered, 9000);
+    trace.see(&reads, CallOutcome::Answered, 3000);
+    trace.see(&reads, CallOutcome::Answered, 9000);
     assert_eq!(trace.tracker.state(&reads), LinkState::Down);
-    trace.see(&reads, Outcome::Answered, 10_000);
+    trace.see(&reads, CallOutcome::Answered, 10_000);
     assert_eq!(trace.tracker.state(&reads), LinkState::Up);
 }
 
@@ -108,13 +110,13 @@
             ms += 800;
         }
         while trace.tracker.state(&peer) != LinkState::Up {
-            trace.see(&peer, Outcome::Answered, ms);
+            trace.see(&peer, CallOutcome::Answered, ms);
             ms += 800;
         }
     }
     // Long calm: the losses are forgiven one by one.
     for minute in 1..=9 {
-        trace.tracker.tick(at(ms + minute * 60_000));
+        trace.tracker.forgive_old_flaps(at(ms + minute * 60_000));
     }
     ms += 9 * 60_000;
     for _ in 0..4 {
@@ -137,8 +139,9 @@
             let ms = step * 100;
             let cut = (ms / (period_ms / 2)) % 2 == 1;
             let before = trace.tracker.state(&writes);
-            trace.see(&writes, if cut { FAILED } else { Outcome::Answered }, ms);
-            trace.tracker.tick(at(ms));
+            let outcome = if cut { FAILED } else { CallOutcome::Answered };
+            trace.see(&writes, outcome, ms);
+            trace.tracker.forgive_old_flaps(at(ms));
             let after = trace.tracker.state(&writes);
             losses += u32::from(before != LinkState::Down && after == LinkState::Down);
             up += u32::from(after != LinkState::Down);
@@ -158,16 +161,16 @@
     let peer = Link::Peer(NodeName::from("n-1"));
     for ms in [0, 800, 1600] {
         trace.see(&peer, FAILED, ms);
-        trace.see(&peer, Outcome::Heard, ms + 100);
+        trace.see(&peer, CallOutcome::MessageReceived, ms + 100);
     }
     assert_eq!(trace.tracker.state(&peer), LinkState::Down);
     let rows = trace.tracker.rows(at(2000));
     let row = rows.iter().find(|row| row.link == peer).unwrap();
-    assert_eq!(row.heard_ms_ago, Some(300));
+    assert_eq!(row.received_ms_ago, Some(300));
     assert_eq!(row.answered_ms_ago, None);
 }
 
-/// Evidence of a link that isn't watched has no effect.
+/// An observation of a link that isn't watched has no effect.
 #[test]
 fn unknown_links_are_ignored() {
     let mut trace = Trace::new();
@@ -190,7 +193,7 @@
     assert_eq!(trace.tracker.permissions(), Permissions::NONE);
     // The first answer allows decisions again, though the link is still down for whoever would prefer
     // this controller as a leader.
-    trace.see(&Link::StateWrites, Outcome::Answered, 4000);
+    trace.see(&Link::StateWrites, CallOutcome::Answered, 4000);
     assert_eq!(trace.tracker.permissions(), Permissions::ALL);
     assert_eq!(trace.tracker.state(&Link::StateWrites), LinkState::Down);
     trace.see(&Link::StateWrites, FAILED, 4100);
@@ -205,7 +208,7 @@
     let silence = Micros::from_secs(4);
     let wanted = |trace: &mut Trace, ms| trace.tracker.wants_probe(&writes, silence, at(ms));
     assert!(wanted(&mut trace, 0));
-    trace.see(&Link::StateWrites, Outcome::Answered, 0);
+    trace.see(&Link::StateWrites, CallOutcome::Answered, 0);
     assert!(!wanted(&mut trace, 3999));
     assert!(wanted(&mut trace, 4000));
     trace.see(&Link::StateWrites, FAILED, 4000);
@@ -215,28 +218,34 @@
 /// The workers' link goes by how many are heard.
 #[test]
 fn workers_are_watched_as_a_set() {
-    let hearing = |heard, known| Hearing { heard, known }.state();
-    assert_eq!(hearing(0, 0), LinkState::Unknown);
+    let state = |reachable, expected| {
+        Reachability {
+            reachable,
+            expected,
+        }
+        .state()
+    };
+    assert_eq!(state(0, 0), LinkState::Unknown);
     // Two workers may well be silent for their own reasons.
-    assert_eq!(hearing(0, 2), LinkState::Suspect);
-    assert_eq!(hearing(4000, 4000), LinkState::Up);
-    assert_eq!(hearing(2500, 4000), LinkState::Suspect);
-    assert_eq!(hearing(1999, 4000), LinkState::Down);
+    assert_eq!(state(0, 2), LinkState::Suspect);
+    assert_eq!(state(4000, 4000), LinkState::Up);
+    assert_eq!(state(2500, 4000), LinkState::Suspect);
+    assert_eq!(state(1999, 4000), LinkState::Down);
 }
 
 /// A worker counts once however often it comes, and not for ever; their number is bounded.
 #[test]
 fn refused_workers_are_counted_once() {
-    let mut refused = RefusedWorkers::new(3, Micros::from_secs(12));
+    let mut refused = RefusedHeartbeats::new(3, Micros::from_secs(12));
     for ms in [0, 1000, 2000] {
-        refused.note("m-1", at(ms));
-        refused.note("m-2", at(ms));
+        refused.record("m-1", at(ms));
+        refused.record("m-2", at(ms));
     }
     assert_eq!(refused.count(at(2000)), 2);
-    refused.note("m-3", at(5000));
-    refused.note("m-4", at(6000));
+    refused.record("m-3", at(5000));
+    refused.record("m-4", at(6000));
     assert_eq!(refused.count(at(6000)), 3);
-    refused.note("m-5", at(15_000));
+    refused.record("m-5", at(15_000));
     assert_eq!(refused.count(at(15_000)), 2);
     assert_eq!(refused.count(at(27_000)), 0);
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -11,7 +11,7 @@
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
 use crate::leadership::{LeaderLease, LeaderRecord};
-use crate::link_health::Links;
+use crate::link_health::LinkHealth;
 use crate::os::{HttpClient, Os, Signal, System};
 use crate::provisioning::MachineType;
 use crate::scheduler::{SchedulerConfig, SchedulerState};
@@ -20,8 +20,8 @@
 use crate::state_store::bucket::TokenBucket;
 use crate::time::{Micros, Moment};
 use crate::workers::edge::WorkerClients;
-use aspenreel_link_health::evidence::{Link, NodeName};
 use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord};
+use aspenreel_link_health::link::{Link, NodeName};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
@@ -106,7 +106,7 @@
     /// The record format that all controllers are known to know, as last read.
     pub level: Mutex<Level>,
     /// What is believed of the links, where they are watched.
-    pub links: Option<Arc<Links>>,
+    pub link_health: Option<Arc<LinkHealth>>,
 }
 
 impl Controller {
@@ -117,9 +117,12 @@
     ) -> Result<Controller, SettingsError> {
         let asked = options.leader_lease_ms.map(Micros::from_millis);
         let lease_life = settings.leader_lease(asked)?;
-        let links = options.links.settings()?;
-        let links = links.map(|links| Arc::new(Links::new(&settings, links, os.wall())));
-        let sink = links.as_ref().map(|links| links.sink.clone());
+        let link_settings = options.links.settings()?;
+        let link_health =
+            link_settings.map(|links| Arc::new(LinkHealth::new(&settings, links, os.wall())));
+        let observations = link_health
+            .as_ref()
+            .map(|health| health.observations.clone());
         let now = os.now();
         let nodes = settings.members.len() as f64 + 1.0;
         let site = &settings.settings;
@@ -132,14 +135,14 @@
             .map(|member| {
                 let link = Link::Peer(NodeName(member.node.clone()));
                 let client = PeerClient::new(os.clone(), member.peer_addr);
-                let client = client.with_evidence(link, sink.clone());
+                let client = client.with_observations(link, observations.clone());
                 (member.node.clone(), client)
             })
             .collect();
         Ok(Controller {
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
-                .with_evidence(sink),
+                .with_observations(observations),
             cloud: os.http(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
                 terminal_states: TerminalStates::new(site.quota.remembered()),
@@ -155,7 +158,7 @@
             open: Arc::default(),
             isolated: AtomicBool::new(false),
             level: Mutex::default(),
-            links,
+            link_health,
             lease_life,
             os,
             settings,
@@ -222,9 +225,9 @@
             ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
         ];
-        if self.links.is_some() {
-            duties.push(("links", duty(Controller::links_loop)));
-            duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
+        if self.link_health.is_some() {
+            duties.push(("links", duty(Controller::link_state_loop)));
+            duties.push(("link-exchange", duty(Controller::view_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
             duties.push(("direct", duty(Controller::direct_loop)));
@@ -312,8 +315,8 @@
 
     /// A leader that hears few workers stands down whoever else hears them, unless it can tell.
     fn stands_down_unasked(&self) -> bool {
-        let links = self.links.as_ref();
-        links.is_none_or(|links| links.some_peer_without_views())
+        let link_health = self.link_health.as_ref();
+        link_health.is_none_or(|health| health.any_peer_without_views())
     }
 
     pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -58,7 +58,7 @@
         let in_silent_zone = refused_heartbeats == 0
             && matches!(self.store.get(HINT_KEY, Urgency::LeaderLease), Ok(Some(row))
                 if from_value::<String>(&row.data).as_ref() == Some(&self.settings.location));
-        let wait = match self.candidate_wait(in_silent_zone) {
+        let wait = match self.campaign_delay(in_silent_zone) {
             Some(wait) => wait.0 / 1000,
             None if in_silent_zone => 50,
             None => 500 / (1 + refused_heartbeats),
@@ -135,7 +135,7 @@
             state.handover = None;
             state.handover_planner = None;
         }
-        let handover_planner = self.plan_handovers();
+        let handover_planner = self.new_handover_planner();
         let mut renewed = started;
         let mut scheduler = self.load(&lead, started, &mut renewed);
         if let Some(scheduler) = scheduler.take() {
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -1,10 +1,11 @@
 //! What the controllers say to each other: borsh in length-prefixed frames over TCP.
 
 use crate::jobs::JobView;
-use crate::link_health::EvidenceSink;
+use crate::link_health::ObservationQueue;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::link::Link;
+use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -97,7 +98,7 @@
     timed_out: Mutex<Option<Moment>>,
     left_alone: Micros,
     /// Where it is noted what questions showed of the link.
-    evidence: Option<(Link, Arc<EvidenceSink>)>,
+    observations: Option<(Link, Arc<ObservationQueue>)>,
 }
 
 /// After a question that ran out of time a peer isn't asked for this long. It may be gone; or it has
@@ -116,28 +117,32 @@
             os,
             timed_out: Mutex::new(None),
             left_alone,
-            evidence: None,
+            observations: None,
         }
     }
 
     /// The same client, which notes what its questions show of the link.
-    pub fn with_evidence(self, link: Link, evidence: Option<Arc<EvidenceSink>>) -> Self {
+    pub fn with_observations(
+        self,
+        link: Link,
+        observations: Option<Arc<ObservationQueue>>,
+    ) -> Self {
         PeerClient {
-            evidence: evidence.map(|sink| (link, sink)),
+            observations: observations.map(|queue| (link, queue)),
             ..self
         }
     }
 
-    fn note_evidence<T>(&self, result: &std::io::Result<T>) {
-        let Some((link, evidence)) = &self.evidence else {
+    fn record_observation<T>(&self, result: &std::io::Result<T>) {
+        let Some((link, observations)) = &self.observations else {
             return;
         };
         let outcome = match result {
-            Ok(_) => Outcome::Answered,
-            Err(e) if is_timeout(e) => Outcome::Failed(Failure::NoAnswer),
-            Err(_) => Outcome::Failed(Failure::Unreachable),
+            Ok(_) => CallOutcome::Answered,
+            Err(e) if is_timeout(e) => CallOutcome::Failed(CallFailure::NoAnswer),
+            Err(_) => CallOutcome::Failed(CallFailure::Unreachable),
         };
-        evidence.note(link.clone(), outcome, self.os.now());
+        observations.record(link.clone(), outcome, self.os.now());
     }
 
     /// Sends a view and asks for the peer's.
@@ -145,17 +150,17 @@
         let result = self.link.ask(&PeerRequest::Links { view }, timeout);
         match result {
             Ok(PeerReply::Links { view }) => {
-                self.note_evidence(&Ok(()));
+                self.record_observation(&Ok(()));
                 Exchange::View(view)
             }
             Ok(_) => {
-                self.note_evidence(&Ok(()));
+                self.record_observation(&Ok(()));
                 Exchange::NotOffered
             }
             // An earlier version closes the connection on a request that it doesn't know.
             Err(e) if !is_timeout(&e) && self.answers(timeout) => Exchange::NotOffered,
             Err(e) => {
-                self.note_evidence::<()>(&Err(e));
+                self.record_observation::<()>(&Err(e));
                 Exchange::Failed
             }
         }
@@ -169,7 +174,7 @@
             return Err(ErrorKind::TimedOut.into());
         }
         let result = self.link.ask(request, timeout);
-        self.note_evidence(&result);
+        self.record_observation(&result);
         // Only what it answers from memory tells: the others wait for the state service, and a leader
         // that is slow for want of it still knows its jobs.
         if matches!(request, PeerRequest::Status { .. })
@@ -184,7 +189,7 @@
     /// True if the peer answers, whatever became of earlier questions.
     pub fn answers(&self, timeout: Duration) -> bool {
         let result = self.link.ask(&PeerRequest::Ping, timeout);
-        self.note_evidence(&result);
+        self.record_observation(&result);
         result.is_ok()
     }
 }
--- a/src/link_health/command.rs
+++ b/src/link_health/command.rs
@@ -1,8 +1,8 @@
-//! `aspenreel links`: what each controller believes about its links, for a person or a script.
+//! `aspenreel links`: what each controller concludes about its links, for a person or a script.
 
 use crate::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
 use crate::settings::Settings;
-use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::link::NodeName;
 use aspenreel_link_health::report::{LinkReport, LinkRow, PeerRow, ReportError};
 use serde::Serialize;
 use std::fmt::Write;
@@ -12,25 +12,25 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Exit code where some controllers answered and some didn't.
-const SOME_SILENT: u8 = 3;
-/// Exit code where no controller answered.
-const ALL_SILENT: u8 = 4;
+/// The exit code if some controllers answered and some didn't.
+const EXIT_SOME_SILENT: u8 = 3;
+/// The exit code if no controller answered.
+const EXIT_ALL_SILENT: u8 = 4;
 
-/// Why a controller told nothing about its links.
+/// Why there is no report of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NoReport {
     /// Nothing listens there.
     #[error("refuses connections: it is down, or has no free sockets")]
     Refused,
-    /// It said nothing within the time.
+    /// It didn't answer in time.
     #[error("no answer in time: it is down, busy, or cut off from here")]
     Silent,
-    /// It closed the connection on the question.
+    /// It closed the connection on the request.
     #[error("closes the connection: an earlier version, or not a controller")]
     Closed,
-    /// It answers something else than a controller would.
+    /// Its answer is none that a controller would give.
     #[error("answers in another protocol: not a controller")]
     Foreign,
     /// It doesn't watch its links.
@@ -55,8 +55,8 @@
     pub report: Result<LinkReport, NoReport>,
 }
 
-/// Asks all controllers that the settings name, at the same time. Never takes much longer than
-/// `timeout`, whatever the other ends do.
+/// Asks all controllers that the settings name at the same time; their answers by name. Never takes much longer
+/// than twice `timeout`, whatever the other ends do.
 pub fn ask_for_links(settings: &Settings, timeout: Duration) -> Vec<Answer> {
     let own = (settings.node.clone(), settings.peer_listen);
     let members = settings.members.iter();
@@ -67,7 +67,7 @@
         .into_iter()
         .map(|(node, addr)| {
             let (sender, receiver) = mpsc::channel();
-            // A controller that sends byte by byte keeps its thread, but not this command.
+            // An answer that arrives byte by byte delays this thread, but not the command.
             std::thread::spawn(move || {
                 let _ = sender.send(ask(addr, timeout));
             });
@@ -111,20 +111,20 @@
     }
 }
 
-/// 0 if all controllers answered, else which of them did.
+/// 0 if all controllers answered, 3 if some did, 4 if none did.
 pub fn exit_code(answers: &[Answer]) -> ExitCode {
     let silent = answers.iter().filter(|a| a.report.is_err()).count();
     match silent {
         0 => ExitCode::SUCCESS,
-        n if n == answers.len() => ExitCode::from(ALL_SILENT),
-        _ => ExitCode::from(SOME_SILENT),
+        n if n == answers.len() => ExitCode::from(EXIT_ALL_SILENT),
+        _ => ExitCode::from(EXIT_SOME_SILENT),
     }
 }
 
 /// All answers as one JSON document.
 pub fn links_json(answers: &[Answer]) -> String {
     #[derive(Serialize)]
-    struct Line<'a> {
+    struct AnswerJson<'a> {
         node: &'a NodeName,
         addr: SocketAddr,
         #[serde(skip_serializing_if = "Option::is_none")]
@@ -132,16 +132,16 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         problem: Option<&'a NoReport>,
     }
-    let lines: Vec<Line> = answers
+    let answers: Vec<AnswerJson> = answers
         .iter()
-        .map(|answer| Line {
+        .map(|answer| AnswerJson {
             node: &answer.node,
             addr: answer.addr,
             report: answer.report.as_ref().ok(),
             problem: answer.report.as_ref().err(),
         })
         .collect();
-    serde_json::to_string_pretty(&lines).unwrap_or_default()
+    serde_json::to_string_pretty(&answers).unwrap_or_default()
 }
 
 /// All answers as tables.
@@ -170,14 +170,14 @@
         (true, false) => "none, it can't record them",
     };
     writeln!(out, "  decisions: {decisions}")?;
-    let hearing = report.hearing;
+    let reachability = report.reachability;
     match report.leads {
         true => writeln!(
             out,
             "  workers heard: {} of {}",
-            hearing.heard, hearing.known
+            reachability.reachable, reachability.expected
         )?,
-        false => writeln!(out, "  workers refused lately: {}", hearing.heard)?,
+        false => writeln!(out, "  workers refused lately: {}", reachability.reachable)?,
     }
     writeln!(
         out,
@@ -205,17 +205,20 @@
         row.state,
         seconds(Some(row.for_ms)),
         seconds(row.answered_ms_ago),
-        seconds(row.heard_ms_ago),
+        seconds(row.received_ms_ago),
         row.flaps,
         failure.unwrap_or_else(|| "-".into())
     )
 }
 
 fn write_peer(out: &mut String, peer: &PeerRow) -> std::fmt::Result {
-    let text = match (peer.offers_views, peer.view_ms_ago, peer.hears) {
+    let text = match (peer.offers_views, peer.view_ms_ago, peer.reachable_workers) {
         (false, _, _) => "doesn't exchange views".to_string(),
-        (true, Some(age), Some(hears)) => {
-            format!("view of {} ago, hears {hears} workers", seconds(Some(age)))
+        (true, Some(age), Some(workers)) => {
+            format!(
+                "view of {} ago, hears {workers} workers",
+                seconds(Some(age))
+            )
         }
         _ => "no view yet".to_string(),
     };
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -1,38 +1,38 @@
-//! Handing the lead over: the record, the transaction, and what candidates read of it.
+//! Handing leadership over: the record, the transaction, and what candidates read of it.
 
-use super::{Links, lock};
 use crate::controller::Controller;
 use crate::leadership::{HINT_KEY, LEADER_KEY, LeaderLease};
 use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::Micros;
 use aspenreel_link_health::election::Candidate;
-use aspenreel_link_health::evidence::{Link, NodeName};
-use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord, Reason};
+use aspenreel_link_health::handover::{HandoverPlanner, HandoverReason, HandoverRecord};
+use aspenreel_link_health::link::{Link, NodeName};
 use std::time::Duration;
 
-/// The last handover.
+/// The key of the last [`HandoverRecord`].
 pub const HANDOVER_KEY: &str = "handover";
-/// Direct calls that are under way are waited for this long: longer than any of them takes.
-const CALLS_END: Micros = Micros::from_millis(1600);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The longest wait for direct calls that are under way: longer than any of them takes.
+const MAX_CALL_WAIT: Micros = Micros::from_millis(1600);
+/// How often it is checked whether they have ended.
+const CALL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Controller {
-    /// The last handover on record; None as well if it can't be read.
+    /// The last handover on record; `None` also if it can't be read.
     fn last_handover(&self) -> Option<HandoverRecord> {
         let row = self.store.get(HANDOVER_KEY, Urgency::LeaderLease).ok()??;
         from_value(&row.data)
     }
 
-    /// A planner for a term that begins.
-    pub fn plan_handovers(&self) -> Option<HandoverPlanner> {
-        self.links.as_ref()?;
+    /// A planner for a term that begins, where links are watched.
+    pub fn new_handover_planner(&self) -> Option<HandoverPlanner> {
+        self.link_health.as_ref()?;
         let last = match self.store.get(HANDOVER_KEY, Urgency::LeaderLease) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
-            // One may have been a moment ago, for all that is known.
+            // Assume that the last one was just now, so that the pause is surely kept.
             Err(_) => Some(HandoverRecord {
                 term: 0,
                 preferred: NodeName(self.settings.node.clone()),
-                reason: Reason::WorkersUnheard,
+                reason: HandoverReason::WorkersUnreachable,
                 at: self.os.wall().0,
                 streak: 1,
             }),
@@ -40,31 +40,31 @@
         Some(HandoverPlanner::new(last))
     }
 
-    /// How long this controller waits before it stands, where links are watched.
-    pub fn candidate_wait(&self, in_silent_zone: bool) -> Option<Micros> {
-        let links = self.links.as_ref()?;
+    /// How long this controller waits before it campaigns, where links are watched.
+    pub fn campaign_delay(&self, in_silent_zone: bool) -> Option<Micros> {
+        let link_health = self.link_health.as_ref()?;
         let newest_term = self.state().newest_term;
-        // Only the handover that ended the newest term prefers anybody.
+        // Only a handover that ended the newest term still states a preference.
         let last = self.last_handover();
         let handover = last.filter(|record| record.term == newest_term);
         let candidate = Candidate {
-            name: &links.own,
-            refused_workers: links.refused_workers(self.now()),
+            name: &link_health.own_name,
+            refused_workers: link_health.refused_workers(self.now()),
             in_silent_zone,
-            state_writes: lock(&links.tracker).state(&Link::StateWrites),
+            state_writes: link_health.state(&Link::StateWrites),
             handover: handover.as_ref(),
         };
-        Some(candidate.wait())
+        Some(candidate.campaign_delay())
     }
 
-    /// Gives the lead up for the preferred peer. This controller has stopped acting already.
+    /// Gives leadership up for the preferred peer. This controller has stopped acting already.
     ///
-    /// One transaction, guarded by the lead itself, records the handover and removes the leader. If it
-    /// gets no answer nothing is lost: the lease is ended after it, and a late one fails its guard once
-    /// somebody else leads.
+    /// One transaction records the handover and removes the leader, on the precondition that this controller
+    /// still leads. If it gets no answer nothing is lost: the caller ends the lease next, and a transaction that
+    /// is applied late fails its precondition once another controller leads.
     pub fn hand_over(
         &self,
-        lead: &LeaderLease,
+        lease: &LeaderLease,
         record: &HandoverRecord,
         silent_zone: Option<&str>,
     ) {
@@ -73,18 +73,19 @@
             Change::write(HANDOVER_KEY, to_value(record)),
             Change::delete(LEADER_KEY),
         ];
-        // Controllers that don't watch links go by this.
+        // Controllers that don't watch their links read only the preferred zone.
         changes.extend(silent_zone.map(|zone| Change::write(HINT_KEY, to_value(&zone))));
         match self
             .store
-            .transact(&[lead.guard()], &changes, Urgency::LeaderLease)
+            .transact(&[lease.guard()], &changes, Urgency::LeaderLease)
         {
-            Ok(_) => log::info!("term {} is handed over", lead.term),
-            Err(e) => log::info!("the handover is not on record: {e}"),
+            Ok(_) => log::info!("handover recorded term={}", lease.term),
+            Err(e) => log::info!("handover not recorded term={} reason=\"{e}\"", lease.term),
         }
     }
 
-    /// Orders that are on their way arrive, or are given up, before somebody else leads.
+    /// Waits until commands that are under way have arrived or been given up, so that none arrives under the next
+    /// leader.
     fn await_direct_calls(&self) {
         let began = self.now();
         let under_way = || {
@@ -94,14 +95,8 @@
                 .as_ref()
                 .is_some_and(|c| !c.commands.calls_in_flight.is_empty())
         };
-        while under_way() && self.now() - began < CALLS_END {
-            self.os.sleep(LOOK_EVERY);
+        while under_way() && self.now() - began < MAX_CALL_WAIT {
+            self.os.sleep(CALL_CHECK_INTERVAL);
         }
     }
 }
-
-impl Links {
-    fn refused_workers(&self, now: crate::time::Moment) -> u32 {
-        lock(&self.refused).count(now)
-    }
-}
--- /dev/null
+++ b/src/link_health/link_state_loop.rs
@@ -0,0 +1,238 @@
+//! The thread that keeps the states of the links, publishes them and acts on them.
+
+use super::{LinkHealth, PublishedHealth, lock};
+use crate::controller::{Controller, ControllerState};
+use crate::time::{Micros, Moment};
+use aspenreel_link_health::handover::{HandoverRecord, Situation};
+use aspenreel_link_health::link::{Link, NodeName};
+use aspenreel_link_health::monitor::{LinkState, Transition};
+use aspenreel_link_health::peer_views::PeerView;
+use aspenreel_link_health::reachability::Reachability;
+use aspenreel_link_health::report::{LinkReport, PeerRow};
+use aspenreel_link_health::tracker::LinkChange;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::sync::Arc;
+
+/// The time between two drains of the observations.
+const INTERVAL: Micros = Micros::from_millis(250);
+/// For how long a leader that handed over doesn't campaign.
+const ABSTAIN: Micros = Micros::from_secs(40);
+
+impl Controller {
+    /// Keeps the states of the links and acts on them for as long as the process lives.
+    pub fn link_state_loop(&self) {
+        let Some(link_health) = self.link_health.clone() else {
+            return;
+        };
+        loop {
+            self.os.sleep(INTERVAL.duration());
+            self.update_link_states(&link_health);
+        }
+    }
+
+    fn update_link_states(&self, link_health: &LinkHealth) {
+        let now = self.now();
+        let refused = link_health.refused_workers(now);
+        let mut state = self.state();
+        let reachability = worker_reachability(&mut state, refused, now);
+        let changes = link_health.drain_observations(reachability, now);
+        let permissions = lock(&link_health.tracker).permissions();
+        let reopened = match &mut state.scheduler {
+            Some(scheduler) => scheduler.set_permissions(permissions),
+            None => false,
+        };
+        self.begin_handover_if_due(link_health, &mut state, reachability, now);
+        let report = link_health.report(&mut state, now);
+        let stepping_down = state.step_down;
+        drop(state);
+        link_health.publish(report);
+        for change in changes {
+            log_change(&change);
+        }
+        if reopened || stepping_down {
+            self.changed.notify_all();
+        }
+    }
+
+    /// Makes this leader step down if a peer has been better placed for long enough.
+    fn begin_handover_if_due(
+        &self,
+        link_health: &LinkHealth,
+        state: &mut ControllerState,
+        reachability: Reachability,
+        now: Moment,
+    ) {
+        let Some(record) = self.decide_handover(link_health, state, reachability, now) else {
+            return;
+        };
+        log::info!(
+            "handover begins term={} preferred={} reason={:?}",
+            record.term,
+            record.preferred,
+            record.reason
+        );
+        state.handover = Some(record);
+        state.step_down = true;
+        state.abstain_until = now + ABSTAIN;
+    }
+
+    /// The record of the handover that is due now, if this controller leads and one is.
+    fn decide_handover(
+        &self,
+        link_health: &LinkHealth,
+        state: &mut ControllerState,
+        reachability: Reachability,
+        now: Moment,
+    ) -> Option<HandoverRecord> {
+        let (lease, scheduler) = state.acting(now)?;
+        let (term, wall) = (lease.term, self.os.wall());
+        let silent_near_unreached =
+            link_health.silent_near_unreached(&scheduler.silent_by_zone(now));
+        // A new or overloaded leader can't tell that workers are silent.
+        let reachability = match scheduler.reachability_is_settled(now) {
+            true => reachability,
+            false => Reachability::default(),
+        };
+        let state_writes = link_health.state(&Link::StateWrites);
+        let peer_views = lock(&link_health.peer_views);
+        let situation = Situation {
+            term,
+            reachability,
+            state_writes,
+            views: &peer_views.fresh(now),
+            silent_near_unreached: &silent_near_unreached,
+        };
+        let settings = &link_health.settings;
+        let planner = state.handover_planner.as_mut()?;
+        let handover = planner.decide(&situation, now, wall, settings)?;
+        Some(planner.record(&handover, term, wall, settings))
+    }
+}
+
+/// How many workers reach this controller: as a leader by their heartbeats, otherwise by the heartbeats that it
+/// refused.
+fn worker_reachability(
+    state: &mut ControllerState,
+    refused_workers: u32,
+    now: Moment,
+) -> Reachability {
+    match state.acting(now) {
+        Some((_, scheduler)) => scheduler.reachability_both_ways(now),
+        None => Reachability {
+            reachable: refused_workers,
+            expected: 0,
+        },
+    }
+}
+
+impl LinkHealth {
+    /// Takes in all observations; the changes of state that follow.
+    fn drain_observations(&self, reachability: Reachability, now: Moment) -> Vec<LinkChange> {
+        let mut tracker = lock(&self.tracker);
+        let mut changes = Vec::new();
+        while let Some(observation) = self.observations.pop() {
+            changes.extend(tracker.observe(observation));
+        }
+        changes.extend(tracker.update_reachability(reachability, now));
+        tracker.forgive_old_flaps(now);
+        changes
+    }
+
+    /// For each peer that isn't reached, the number of silent machines in its zone.
+    fn silent_near_unreached(
+        &self,
+        silent_by_zone: &BTreeMap<&str, u32>,
+    ) -> BTreeMap<NodeName, u32> {
+        let tracker = lock(&self.tracker);
+        let mut silent_near_unreached = BTreeMap::new();
+        for (peer, zone) in &self.peer_zones {
+            let is_reached = tracker.state(&Link::Peer(peer.clone())) == LinkState::Up;
+            if let Some(count) = silent_by_zone.get(zone.as_str()).filter(|_| !is_reached) {
+                silent_near_unreached.insert(peer.clone(), *count);
+            }
+        }
+        silent_near_unreached
+    }
+
+    fn report(&self, state: &mut ControllerState, now: Moment) -> LinkReport {
+        let leads = state.acting(now).is_some();
+        let leader = state.known_leader.as_ref();
+        let tracker = lock(&self.tracker);
+        let peer_views = lock(&self.peer_views);
+        let peers = peer_views.peers();
+        LinkReport {
+            node: self.own_name.clone(),
+            term: state.newest_term,
+            leader: leader.map(|record| NodeName(record.node.clone())),
+            leads,
+            reachability: tracker.reachability(),
+            permissions: tracker.permissions(),
+            links: tracker.rows(now),
+            peers: peers
+                .map(|(peer, view)| peer_row(peer, view, now))
+                .collect(),
+            rejected_views: peer_views.rejected(),
+            dropped_observations: self.observations.dropped(),
+        }
+    }
+
+    fn publish(&self, report: LinkReport) {
+        let state = |link| {
+            let row = report.links.iter().find(|row| row.link == link);
+            row.map_or(LinkState::Unknown, |row| row.state)
+        };
+        let published = PublishedHealth {
+            state_reads: state(Link::StateReads),
+            state_writes: state(Link::StateWrites),
+            report,
+        };
+        self.published.store(Arc::new(published));
+    }
+}
+
+fn peer_row(peer: &NodeName, view: &PeerView, now: Moment) -> PeerRow {
+    let (offers_views, known) = match view {
+        PeerView::NotReceived => (true, None),
+        PeerView::Unsupported => (false, None),
+        PeerView::Known { view, asked, .. } => (true, Some((view, *asked))),
+    };
+    PeerRow {
+        peer: peer.clone(),
+        offers_views,
+        view_ms_ago: known.map(|(_, asked)| (now - asked).0 / 1000),
+        reachable_workers: known.map(|(view, _)| view.reachability.reachable),
+    }
+}
+
+/// Logs a change of state at the level of its importance to an operator.
+fn log_change(change: &LinkChange) {
+    let Transition { from, to, .. } = change.transition;
+    let level = match (from, to) {
+        // Single failures are frequent and mostly without consequence.
+        (_, LinkState::Suspect) | (LinkState::Suspect | LinkState::Unknown, LinkState::Up) => {
+            log::Level::Debug
+        }
+        (_, LinkState::Down) => log::Level::Warn,
+        _ => log::Level::Info,
+    };
+    log::log!(level, "{}", change_line(change));
+}
+
+fn change_line(change: &LinkChange) -> String {
+    let transition = &change.transition;
+    let mut line = format!(
+        "link changed link={:?} state={} was={}",
+        change.link.to_string(),
+        transition.to,
+        transition.from
+    );
+    // Writing to a string doesn't fail.
+    if let Some(failure) = transition.failure {
+        let _ = write!(line, " reason={failure:?}");
+    }
+    if let Some(recovery) = transition.recovery {
+        let _ = write!(line, " recovery_s={}", recovery.as_secs_f64());
+    }
+    line
+}
--- a/src/link_health/mod.rs
+++ b/src/link_health/mod.rs
@@ -1,165 +1,195 @@
-//! Half-cut links: what this controller believes about its links, and what follows from it.
+//! Link health: what this controller concludes about its links, and what follows from it.
 //!
-//! The decisions are made by the crate [`aspenreel_link_health`]; this slice feeds it and acts on it. All
-//! threads that call anything leave evidence in a lock-free queue ([`EvidenceSink`]); one thread
-//! ([`watch`]) drains it, keeps the states and publishes them; another ([`exchange`]) asks peers for
-//! their views and probes what is silent. Readers of the published states take no lock.
+//! The package [`aspenreel_link_health`] makes the decisions; this slice supplies its input and carries out
+//! its decisions. All threads that call another process record what their calls showed in a lock-free queue
+//! ([`ObservationQueue`]). One thread (`link_state_loop`) drains it, keeps the states of the links and
+//! publishes them; another (`view_exchange_loop`) asks peers for their views and probes links that are
+//! silent. Readers of the published states take no lock.
 //!
 //! All of this exists only with `--half-cut-links`.
 
 pub mod command;
-mod exchange;
 mod handover;
+mod link_state_loop;
+mod observation_queue;
 mod options;
-mod sink;
-mod watch;
+mod view_exchange_loop;
 
 pub use handover::HANDOVER_KEY;
+pub use observation_queue::ObservationQueue;
 pub use options::LinkOptions;
-pub use sink::EvidenceSink;
 
-use crate::settings::Settings;
+use crate::settings::{Settings, Site};
 use crate::time::{Micros, Moment, WallTime};
 use arc_swap::ArcSwap;
-use aspenreel_link_health::evidence::NodeName;
+use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::peer_views::{PeerViews, ViewLifetimes};
 use aspenreel_link_health::permissions::Permissions;
+use aspenreel_link_health::reachability::Reachability;
+use aspenreel_link_health::refused_heartbeats::RefusedHeartbeats;
 use aspenreel_link_health::report::LinkReport;
 use aspenreel_link_health::settings::LinkSettings;
 use aspenreel_link_health::tracker::LinkTracker;
-use aspenreel_link_health::view::{BelievedFor, LinkView, ViewBook, ViewError};
-use aspenreel_link_health::workers::{Hearing, RefusedWorkers};
+use aspenreel_link_health::view::{LinkView, ViewError};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A direct view is believed for so many report intervals: less than the silence of workers takes to show.
-const DIRECT_VIEW_REPORTS: f64 = 4.0 / 3.0;
-/// Peers are asked about every second.
-const SHORTEST_BELIEF: Micros = Micros::from_millis(1500);
-/// Through the state service a view comes every 2 to 3 s, and is read as often.
-const STORED_VIEW_BELIEVED_FOR: Micros = Micros::from_secs(8);
-/// A worker gives a controller up after 4 s, and waits 1 s before it tries the next.
+/// The lifetime of a direct view in heartbeat intervals: less than the silence after which a worker counts as
+/// unreachable.
+const DIRECT_VIEW_INTERVALS: f64 = 4.0 / 3.0;
+/// The shortest lifetime of a direct view: peers are asked about once a second.
+const MIN_DIRECT_VIEW_LIFETIME: Micros = Micros::from_millis(1500);
+/// The lifetime of a stored view: it is written every 2 to 3 s, and read as often.
+const STORED_VIEW_LIFETIME: Micros = Micros::from_secs(8);
+/// How long a worker takes to try the next controller: 4 s until it gives one up, and a pause of 1 s, rounded
+/// up.
 const WORKER_RETRY: Micros = Micros::from_secs(6);
 
-/// What other threads may read at any time, without a lock.
+/// The states of the links that other threads read without a lock.
 #[derive(Clone, Debug)]
-pub struct Published {
-    /// What an operator is told.
-    pub report: LinkReport,
-    /// The link for reads of the state service.
-    pub state_reads: LinkState,
-    /// The link for writes.
-    pub state_writes: LinkState,
+struct PublishedHealth {
+    /// The report for operators.
+    report: LinkReport,
+    /// The link for reads of the key-value store.
+    state_reads: LinkState,
+    /// The link for writes to the key-value store.
+    state_writes: LinkState,
 }
 
 /// Everything that this process keeps about its links.
-pub struct Links {
-    pub settings: LinkSettings,
-    /// Where evidence is left.
-    pub sink: Arc<EvidenceSink>,
-    own: NodeName,
+pub struct LinkHealth {
+    settings: LinkSettings,
+    /// Where all threads record what their calls showed.
+    pub observations: Arc<ObservationQueue>,
+    own_name: NodeName,
     peers: Vec<NodeName>,
-    /// The peers' zones.
-    zones: BTreeMap<NodeName, String>,
+    peer_zones: BTreeMap<NodeName, String>,
     tracker: Mutex<LinkTracker>,
-    views: Mutex<ViewBook>,
-    refused: Mutex<RefusedWorkers>,
-    published: ArcSwap<Published>,
-    /// The time of day at which this process began.
+    peer_views: Mutex<PeerViews>,
+    refused_heartbeats: Mutex<RefusedHeartbeats>,
+    published: ArcSwap<PublishedHealth>,
+    /// The time of day at which this process began, in microseconds.
     process: u64,
-    sequence: AtomicU64,
-    /// A view without effect was told in the log.
-    told_rejected: AtomicBool,
+    /// The sequence number of the next view.
+    next_sequence: AtomicU64,
+    /// A rejected view has been logged. Only the first one is; all are counted.
+    rejection_logged: AtomicBool,
 }
 
-impl Links {
-    /// Nothing is known yet.
-    pub fn new(settings: &Settings, links: LinkSettings, wall: WallTime) -> Links {
-        let own = NodeName(settings.node.clone());
+impl LinkHealth {
+    /// The state of a process that began at the time of day `wall`: nothing is known of any link yet.
+    pub fn new(settings: &Settings, link_settings: LinkSettings, wall: WallTime) -> LinkHealth {
+        let own_name = NodeName(settings.node.clone());
+        let peer_zones: BTreeMap<NodeName, String> = settings
+            .members
+            .iter()
+            .map(|member| (NodeName(member.node.clone()), member.location.clone()))
+            .collect();
         let members = settings.members.iter();
         let peers: Vec<NodeName> = members.map(|m| NodeName(m.node.clone())).collect();
-        let members = settings.members.iter();
-        let zones = members.map(|m| (NodeName(m.node.clone()), m.location.clone()));
-        let zones = zones.collect();
         let site = &settings.settings;
         let window = site.workers.report().scaled(2.0) + WORKER_RETRY;
-        let direct = site.workers.report().scaled(DIRECT_VIEW_REPORTS);
-        let believed_for = BelievedFor {
-            direct: direct.max(SHORTEST_BELIEF),
-            stored: STORED_VIEW_BELIEVED_FOR,
-        };
-        let published = Published {
-            report: LinkReport {
-                node: own.clone(),
-                term: 0,
-                leader: None,
-                leads: false,
-                hearing: Hearing::default(),
-                permissions: Permissions::ALL,
-                links: Vec::new(),
-                peers: Vec::new(),
-                rejected_views: 0,
-                dropped_evidence: 0,
-            },
-            state_reads: LinkState::Unknown,
-            state_writes: LinkState::Unknown,
-        };
-        Links {
-            tracker: Mutex::new(LinkTracker::new(links.clone(), &peers)),
-            views: Mutex::new(ViewBook::new(own.clone(), &peers, believed_for)),
-            refused: Mutex::new(RefusedWorkers::new(site.quota.most_machines(), window)),
-            published: ArcSwap::from_pointee(published),
-            sink: Arc::default(),
+        let refused_heartbeats = RefusedHeartbeats::new(site.quota.most_machines(), window);
+        let peer_views = PeerViews::new(own_name.clone(), &peers, view_lifetimes(site));
+        LinkHealth {
+            tracker: Mutex::new(LinkTracker::new(link_settings.clone(), &peers)),
+            peer_views: Mutex::new(peer_views),
+            refused_heartbeats: Mutex::new(refused_heartbeats),
+            published: ArcSwap::from_pointee(PublishedHealth::unknown(own_name.clone())),
+            observations: Arc::default(),
             process: wall.0,
-            sequence: AtomicU64::new(0),
-            told_rejected: AtomicBool::new(false),
-            settings: links,
-            own,
+            next_sequence: AtomicU64::new(0),
+            rejection_logged: AtomicBool::new(false),
+            settings: link_settings,
+            own_name,
             peers,
-            zones,
+            peer_zones,
         }
     }
 
-    /// A worker's heartbeat was refused, since this controller doesn't lead.
-    pub fn refused_worker(&self, worker: &str, now: Moment) {
-        lock(&self.refused).note(worker, now);
+    /// Records that a worker's heartbeat was refused, since this controller doesn't lead.
+    pub fn record_refused_heartbeat(&self, worker: &str, now: Moment) {
+        lock(&self.refused_heartbeats).record(worker, now);
     }
 
-    /// Some peer answers without exchanging views, so the best-placed controller can't be told.
-    pub fn some_peer_without_views(&self) -> bool {
-        lock(&self.views).some_not_offered()
+    /// Whether some peer answers without exchanging views, so that the best-placed controller can't be known.
+    pub fn any_peer_without_views(&self) -> bool {
+        lock(&self.peer_views).any_unsupported()
     }
 
-    /// The states as they were last published.
-    pub fn published(&self) -> Arc<Published> {
+    fn published(&self) -> Arc<PublishedHealth> {
         self.published.load_full()
     }
 
-    /// Tells in the log that a view had no effect: the first time only, all are counted.
-    fn tell_rejected(&self, sender: &str, error: ViewError) {
-        if error != ViewError::Late && !self.told_rejected.swap(true, Ordering::Relaxed) {
-            log::warn!("the view of {sender} has no effect: {error}");
+    fn state(&self, link: &Link) -> LinkState {
+        lock(&self.tracker).state(link)
+    }
+
+    fn reaches(&self, peer: &NodeName) -> bool {
+        self.state(&Link::Peer(peer.clone())) == LinkState::Up
+    }
+
+    fn refused_workers(&self, now: Moment) -> u32 {
+        lock(&self.refused_heartbeats).count(now)
+    }
+
+    fn log_rejected_view(&self, sender: &str, error: ViewError) {
+        if error != ViewError::Late && !self.rejection_logged.swap(true, Ordering::Relaxed) {
+            log::warn!("link view rejected sender={sender:?} reason={error:?}");
         }
     }
 
-    /// This controller's view, made for one peer.
+    /// A new view of this controller's links for one peer.
     fn view_for(&self, peer: &NodeName) -> LinkView {
         let published = self.published();
         LinkView {
-            from: self.own.clone(),
+            from: self.own_name.clone(),
             to: peer.clone(),
             process: self.process,
-            sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
+            sequence: self.next_sequence.fetch_add(1, Ordering::Relaxed),
             term: published.report.term,
             leads: published.report.leads,
             state_reads: published.state_reads,
             state_writes: published.state_writes,
-            hearing: published.report.hearing,
+            reachability: published.report.reachability,
         }
     }
 }
 
+impl PublishedHealth {
+    /// Before anything is known.
+    fn unknown(node: NodeName) -> PublishedHealth {
+        let report = LinkReport {
+            node,
+            term: 0,
+            leader: None,
+            leads: false,
+            reachability: Reachability::default(),
+            permissions: Permissions::ALL,
+            links: Vec::new(),
+            peers: Vec::new(),
+            rejected_views: 0,
+            dropped_observations: 0,
+        };
+        PublishedHealth {
+            report,
+            state_reads: LinkState::Unknown,
+            state_writes: LinkState::Unknown,
+        }
+    }
+}
+
+fn view_lifetimes(site: &Site) -> ViewLifetimes {
+    let direct = site.workers.report().scaled(DIRECT_VIEW_INTERVALS);
+    ViewLifetimes {
+        direct: direct.max(MIN_DIRECT_VIEW_LIFETIME),
+        stored: STORED_VIEW_LIFETIME,
+    }
+}
+
+/// Locks a mutex also after a thread panicked while it held it: each change under these locks is whole in itself.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/src/link_health/options.rs
+++ b/src/link_health/options.rs
@@ -1,15 +1,15 @@
-//! The flags of this slice.
+//! The flags of link health.
 
 use crate::settings::SettingsError;
 use crate::time::Micros;
 use aspenreel_link_health::settings::LinkSettings;
 use clap::Args;
 
-/// Watching links, and what depends on it.
+/// The flags of link health, as clap reads them; the texts on the fields are their help.
 #[derive(Clone, Debug, Default, Args)]
 pub struct LinkOptions {
-    /// Watch the links to the state service, peers and workers; decide nothing that can't be recorded;
-    /// hand the lead over to a better-placed controller
+    /// Watch the links to the key-value store, peers and workers; decide nothing that can't be recorded;
+    /// hand leadership over to a better-placed controller
     #[arg(long, env = "ASPENREEL_HALF_CUT_LINKS")]
     pub half_cut_links: bool,
     /// A link that fails for this long is down, in milliseconds [default: 1500]
@@ -25,7 +25,7 @@
     #[arg(long, env = "ASPENREEL_LINK_UP_AFTER_MAX_MS",
           value_parser = clap::value_parser!(u64).range(100..=3_600_000))]
     pub link_up_after_max_ms: Option<u64>,
-    /// A controller must be better placed for this long before it is handed the lead, in milliseconds
+    /// A controller must be better placed for this long before it is handed leadership, in milliseconds
     /// [default: 1000]
     #[arg(long, env = "ASPENREEL_HANDOVER_AFTER_MS",
           value_parser = clap::value_parser!(u64).range(0..=600_000))]
@@ -42,7 +42,11 @@
 }
 
 impl LinkOptions {
-    /// What was asked for, checked; None without the flag.
+    /// The settings that the flags ask for; `None` without `--half-cut-links`.
+    ///
+    /// # Errors
+    ///
+    /// A flag that has no effect without `--half-cut-links`, or two that contradict each other.
     pub fn settings(&self) -> Result<Option<LinkSettings>, SettingsError> {
         if !self.half_cut_links {
             return self.refuse_tuning().map(|()| None);
@@ -61,7 +65,7 @@
         Ok(Some(settings))
     }
 
-    /// Tuning what isn't switched on is a mistake that would otherwise go unnoticed.
+    /// Refuses flags without effect: they would otherwise be a mistake that nobody notices.
     fn refuse_tuning(&self) -> Result<(), SettingsError> {
         let tuning = [
             ("--link-down-after-ms", self.link_down_after_ms),
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -3,7 +3,7 @@
 use super::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
-use aspenreel_link_health::workers::Hearing;
+use aspenreel_link_health::reachability::Reachability;
 use std::collections::BTreeMap;
 
 impl SchedulerState {
@@ -15,8 +15,8 @@
     /// over besides.
     pub fn unheard(&self, acting_since: Moment, now: Moment) -> bool {
         now - acting_since >= self.silence().scaled(2.0)
-            && self.hearing_is_settled(now)
-            && self.hearing(now).is_blind()
+            && self.reachability_is_settled(now)
+            && self.reachability(now).most_are_unreachable()
     }
 
     /// After this long without a report a machine is silent.
@@ -25,22 +25,22 @@
     }
 
     /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
-    pub fn hearing_is_settled(&self, now: Moment) -> bool {
+    pub fn reachability_is_settled(&self, now: Moment) -> bool {
         now - self.started.max(self.overload.last_overloaded()) >= self.silence().scaled(2.0)
     }
 
     /// How many of the machines that should report do.
-    fn hearing(&self, now: Moment) -> Hearing {
-        self.hearing_where(now, |_| true)
+    fn reachability(&self, now: Moment) -> Reachability {
+        self.reachability_where(now, |_| true)
     }
 
     /// The same, but only of those whose heartbeats come as regularly as from a worker that is answered.
-    pub fn hearing_both_ways(&self, now: Moment) -> Hearing {
+    pub fn reachability_both_ways(&self, now: Moment) -> Reachability {
         let patience = self.silence();
-        self.hearing_where(now, |m| m.heartbeat_gap <= patience)
+        self.reachability_where(now, |m| m.heartbeat_gap <= patience)
     }
 
-    fn hearing_where(&self, now: Moment, counts: impl Fn(&Machine) -> bool) -> Hearing {
+    fn reachability_where(&self, now: Moment, counts: impl Fn(&Machine) -> bool) -> Reachability {
         let patience = self.silence();
         let silent_at = |m: &&Machine| m.last_report.is_none_or(|t| now - t > patience);
         let known: Vec<&Machine> = self
@@ -51,9 +51,9 @@
             .collect();
         let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
         let silent = silent.count();
-        Hearing {
-            heard: (known.len() - silent) as u32,
-            known: known.len() as u32,
+        Reachability {
+            reachable: (known.len() - silent) as u32,
+            expected: known.len() as u32,
         }
     }
 
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -5,10 +5,11 @@
 
 use crate::http::cbor::{decode, encode};
 use crate::http::client::CallError;
-use crate::link_health::EvidenceSink;
+use crate::link_health::ObservationQueue;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::link::Link;
+use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use bucket::TokenBucket;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -143,7 +144,7 @@
     last_answer: AtomicU64,
     last_silence: AtomicU64,
     /// Where it is noted what calls showed of the links.
-    evidence: Option<Arc<EvidenceSink>>,
+    observations: Option<Arc<ObservationQueue>>,
 }
 
 pub fn to_value<T: Serialize>(value: &T) -> Value {
@@ -169,32 +170,40 @@
             requests: Mutex::new(bucket),
             last_answer: AtomicU64::new(0),
             last_silence: AtomicU64::new(0),
-            evidence: None,
+            observations: None,
         }
     }
 
     /// The same client, which notes what its calls show of the links.
-    pub fn with_evidence(self, evidence: Option<Arc<EvidenceSink>>) -> Self {
-        Store { evidence, ..self }
+    pub fn with_observations(self, observations: Option<Arc<ObservationQueue>>) -> Self {
+        Store {
+            observations,
+            ..self
+        }
     }
 
     /// Notes what a call showed of its link. A call that never left shows nothing.
-    fn note_evidence(&self, path: &str, result: &Result<(u16, Vec<u8>), CallError>, at: Moment) {
-        let Some(evidence) = &self.evidence else {
+    fn record_observation(
+        &self,
+        path: &str,
+        result: &Result<(u16, Vec<u8>), CallError>,
+        at: Moment,
+    ) {
+        let Some(observations) = &self.observations else {
             return;
         };
         let outcome = match result {
-            Ok((503, _)) => Outcome::Failed(Failure::Refused),
-            Ok(_) => Outcome::Answered,
+            Ok((503, _)) => CallOutcome::Failed(CallFailure::Refused),
+            Ok(_) => CallOutcome::Answered,
             Err(CallError::Unsent(_)) => return,
-            Err(CallError::Unreached(_)) => Outcome::Failed(Failure::Unreachable),
-            Err(CallError::Unknown(_)) => Outcome::Failed(Failure::NoAnswer),
+            Err(CallError::Unreached(_)) => CallOutcome::Failed(CallFailure::Unreachable),
+            Err(CallError::Unknown(_)) => CallOutcome::Failed(CallFailure::NoAnswer),
         };
         let link = match path {
             TRANSACTIONS_PATH => Link::StateWrites,
             _ => Link::StateReads,
         };
-        evidence.note(link, outcome, at);
+        observations.record(link, outcome, at);
     }
 
     /// When it last answered this node with anything but a refusal.
@@ -237,7 +246,7 @@
         }
         let result = self.client.call(method, path, body, timeout);
         let answered_at = self.os.now();
-        self.note_evidence(path, &result, answered_at);
+        self.record_observation(path, &result, answered_at);
         let at = answered_at.0;
         match &result {
             Ok((503, _)) | Err(_) => self.last_silence.store(at, Ordering::Relaxed),
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -117,10 +117,10 @@
 
     /// Remembers whose heartbeat was refused, where links are watched.
     fn note_refused(&self, body: &[u8], now: Moment) {
-        if let Some(links) = &self.links
+        if let Some(link_health) = &self.link_health
             && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
-            links.refused_worker(&sender.host, now);
+            link_health.record_refused_heartbeat(&sender.host, now);
         }
     }
 
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -4,8 +4,8 @@
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
 use aspenreel::settings::Settings;
 use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::reachability::Reachability;
 use aspenreel_link_health::view::LinkView;
-use aspenreel_link_health::workers::Hearing;
 use serde_json::Value;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -188,9 +188,9 @@
         leads: true,
         state_reads: LinkState::Up,
         state_writes: LinkState::Up,
-        hearing: Hearing {
-            heard: u32::MAX,
-            known: 1,
+        reachability: Reachability {
+            reachable: u32::MAX,
+            expected: 1,
         },
     };
     let views = [
