--- a/src/controller.rs
+++ b/src/controller.rs
@@ -6,13 +6,13 @@
 pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
-use crate::http::server::{Limits, serve};
+use crate::http::server::{ServerLimits, serve};
 use crate::jobs::LocalStatus;
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
 use crate::leadership::{LeaderLease, LeaderRecord};
 use crate::link_health::LinkHealth;
-use crate::os::{HttpClient, Os, Signal, System};
+use crate::os::{EventCount, HttpClient, Os, System};
 use crate::provisioning::MachineType;
 use crate::scheduler::{SchedulerConfig, SchedulerState};
 use crate::settings::{Settings, SettingsError};
@@ -28,7 +28,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const TICK: Micros = Micros::from_millis(250);
+const TIMER_INTERVAL: Micros = Micros::from_millis(250);
 /// A timer that fires this late tells that the process has used up its share of the processor: no
 /// other measure of a share that the system enforces from outside is at hand everywhere.
 const LATE: Micros = Micros::from_millis(25);
@@ -91,9 +91,9 @@
     pub cloud: Arc<dyn HttpClient>,
     pub state: Mutex<ControllerState>,
     /// Signalled when records are due and when they were written.
-    pub changed: Arc<dyn Signal>,
+    pub changed: Arc<dyn EventCount>,
     /// Signalled when orders may go straight to workers.
-    pub direct_due: Arc<dyn Signal>,
+    pub direct_due: Arc<dyn EventCount>,
     pub workers: WorkerClients,
     pub peers: BTreeMap<String, PeerClient>,
     pub submit_tokens: Mutex<TokenBucket>,
@@ -143,13 +143,13 @@
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
                 .with_observations(observations),
-            cloud: os.http(settings.endpoints.cloud),
+            cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
                 terminal_states: TerminalStates::new(site.quota.remembered()),
                 ..ControllerState::default()
             }),
-            changed: os.signal(),
-            direct_due: os.signal(),
+            changed: os.event_count(),
+            direct_due: os.event_count(),
             workers: WorkerClients::default(),
             peers,
             submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
@@ -204,9 +204,9 @@
 
     /// Releases the main lock until something changed, or for so long.
     pub fn await_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
-        let ticket = self.changed.ticket();
+        let observed = self.changed.prepare_wait();
         drop(state);
-        self.changed.wait(ticket, most);
+        self.changed.wait(observed, most);
     }
 
     /// What each thread of a process does, for as long as it lives.
@@ -221,7 +221,7 @@
             ("rounds", duty(Controller::rounds_loop)),
             ("jobs", duty(Controller::jobs_loop)),
             ("fleet", duty(Controller::fleet_loop)),
-            ("tick", duty(Controller::tick_loop)),
+            ("tick", duty(Controller::timer_loop)),
             ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
         ];
@@ -260,32 +260,32 @@
         let most = quota.peer_connections();
         let answer = Arc::new(move |r| node.answer_peer(r));
         spawn("peers", Box::new(move || serve_peers(peers, most, answer)))?;
-        let limits = Limits {
-            connections: quota.connections(),
-            threads: quota.pool_threads(),
-            buffered: quota.buffered(),
+        let limits = ServerLimits {
+            max_connections: quota.connections(),
+            max_pool_threads: quota.pool_threads(),
+            max_buffered_bytes: quota.buffered(),
         };
         let open = self.open.clone();
         serve(public, self, system, limits, open)
     }
 
-    fn tick_loop(&self) {
+    fn timer_loop(&self) {
         // Silence counts only while this node answers: during an outage it turns workers away.
         let mut acting_since: Option<Moment> = None;
         let mut told = Moment(0);
         // Ticks and late ones of the last while, for a word to the operator.
-        let (mut ticks, mut late, mut counted) = (0u32, 0u32, self.now());
+        let (mut timers, mut late, mut counted) = (0u32, 0u32, self.now());
         loop {
-            let due = self.now() + TICK;
-            self.os.sleep(TICK.duration());
+            let due = self.now() + TIMER_INTERVAL;
+            self.os.sleep(TIMER_INTERVAL.duration());
             let overloaded = self.now() - due > LATE;
-            ticks += 1;
+            timers += 1;
             late += u32::from(overloaded);
             if self.now() - counted > PACE_EVERY {
-                if late * 2 > ticks {
-                    log::warn!("short of processor: {late} of {ticks} timers fired late");
+                if late * 2 > timers {
+                    log::warn!("short of processor: {late} of {timers} timers fired late");
                 }
-                (ticks, late, counted) = (0, 0, self.now());
+                (timers, late, counted) = (0, 0, self.now());
             }
             let mut state = self.state();
             let now = self.now();
@@ -296,11 +296,11 @@
             }
             if let Some((_, scheduler)) = state.acting(now) {
                 scheduler.overload.note(overloaded, now);
-                scheduler.tick(now);
+                scheduler.on_timer(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
                     log::debug!("{}", scheduler.summary(now));
-                    log::debug!("{}", scheduler.order_summary());
+                    log::debug!("{}", scheduler.command_summary());
                 }
                 self.wake(scheduler);
                 let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -113,7 +113,7 @@
     /// A client that leaves a peer alone for so long.
     pub fn leaving_alone(os: Arc<dyn Os>, addr: SocketAddr, left_alone: Micros) -> Self {
         PeerClient {
-            link: os.peer(addr),
+            link: os.peer_link(addr),
             os,
             timed_out: Mutex::new(None),
             left_alone,
@@ -122,19 +122,15 @@
     }
 
     /// The same client, which notes what its questions show of the link.
-    pub fn with_observations(
-        self,
-        link: Link,
-        observations: Option<Arc<ObservationQueue>>,
-    ) -> Self {
+    pub fn with_observations(self, link: Link, queue: Option<Arc<ObservationQueue>>) -> Self {
         PeerClient {
-            observations: observations.map(|queue| (link, queue)),
+            observations: queue.map(|queue| (link, queue)),
             ..self
         }
     }
 
-    fn record_observation<T>(&self, result: &std::io::Result<T>) {
-        let Some((link, observations)) = &self.observations else {
+    fn observe<T>(&self, result: &std::io::Result<T>) {
+        let Some((link, queue)) = &self.observations else {
             return;
         };
         let outcome = match result {
@@ -142,7 +138,7 @@
             Err(e) if is_timeout(e) => CallOutcome::Failed(CallFailure::NoAnswer),
             Err(_) => CallOutcome::Failed(CallFailure::Unreachable),
         };
-        observations.record(link.clone(), outcome, self.os.now());
+        queue.record(link.clone(), outcome, self.os.now());
     }
 
     /// Sends a view and asks for the peer's.
@@ -150,17 +146,17 @@
         let result = self.link.ask(&PeerRequest::Links { view }, timeout);
         match result {
             Ok(PeerReply::Links { view }) => {
-                self.record_observation(&Ok(()));
+                self.observe(&Ok(()));
                 Exchange::View(view)
             }
             Ok(_) => {
-                self.record_observation(&Ok(()));
+                self.observe(&Ok(()));
                 Exchange::NotOffered
             }
             // An earlier version closes the connection on a request that it doesn't know.
             Err(e) if !is_timeout(&e) && self.answers(timeout) => Exchange::NotOffered,
             Err(e) => {
-                self.record_observation::<()>(&Err(e));
+                self.observe::<()>(&Err(e));
                 Exchange::Failed
             }
         }
@@ -174,7 +170,7 @@
             return Err(ErrorKind::TimedOut.into());
         }
         let result = self.link.ask(request, timeout);
-        self.record_observation(&result);
+        self.observe(&result);
         // Only what it answers from memory tells: the others wait for the state service, and a leader
         // that is slow for want of it still knows its jobs.
         if matches!(request, PeerRequest::Status { .. })
@@ -189,7 +185,7 @@
     /// True if the peer answers, whatever became of earlier questions.
     pub fn answers(&self, timeout: Duration) -> bool {
         let result = self.link.ask(&PeerRequest::Ping, timeout);
-        self.record_observation(&result);
+        self.observe(&result);
         result.is_ok()
     }
 }
@@ -277,7 +273,7 @@
         open.fetch_add(1, Ordering::Relaxed);
         let (answer, count) = (answer.clone(), open.clone());
         let spawned = std::thread::Builder::new()
-            .stack_size(crate::http::server::STACK)
+            .stack_size(crate::http::server::THREAD_STACK_BYTES)
             .spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(120)));
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -1,7 +1,7 @@
 //! What the leader tells of jobs and of its machines.
 
 use super::SchedulerState;
-use crate::invariants::violations;
+use crate::invariants::violation_count;
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
 use crate::workers::DesiredState;
@@ -44,19 +44,19 @@
     }
 
     /// One line on orders that went straight to workers, and those in doubt.
-    pub fn order_summary(&self) -> String {
+    pub fn command_summary(&self) -> String {
         let counters = &self.fencing.counters;
         format!(
             "orders: direct_calls={} starts_in_doubt={} ended_by_token={} ended_by_session={} \
              machines_in_doubt={} tokens_raised={} heartbeats_withheld={} invariants_violated={}",
             counters.calls,
-            counters.doubts,
+            counters.unconfirmed_starts,
             counters.ended_by_token,
             counters.ended_by_session,
-            self.fencing.doubted(),
+            self.fencing.unconfirmed_machines(),
             counters.raises,
             counters.withheld,
-            violations()
+            violation_count()
         )
     }
 
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -4,7 +4,7 @@
 pub mod pages;
 
 use crate::http::cbor::{decode, encode};
-use crate::http::client::CallError;
+use crate::http::client::{CallError, ClientResponse};
 use crate::link_health::ObservationQueue;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
@@ -143,7 +143,7 @@
     /// When it last answered, and when it last did not, in microseconds of this node's clock.
     last_answer: AtomicU64,
     last_silence: AtomicU64,
-    /// Where it is noted what calls showed of the links.
+    /// Where it is recorded what calls showed of the links.
     observations: Option<Arc<ObservationQueue>>,
 }
 
@@ -165,7 +165,7 @@
     pub fn new(addr: SocketAddr, rate: f64, os: Arc<dyn Os>) -> Self {
         let bucket = TokenBucket::new(rate, rate, os.now());
         Store {
-            client: os.http(addr),
+            client: os.http_client(addr),
             os,
             requests: Mutex::new(bucket),
             last_answer: AtomicU64::new(0),
@@ -174,36 +174,29 @@
         }
     }
 
-    /// The same client, which notes what its calls show of the links.
-    pub fn with_observations(self, observations: Option<Arc<ObservationQueue>>) -> Self {
-        Store {
-            observations,
-            ..self
-        }
+    /// The same client, which records what its calls show of the links.
+    pub fn with_observations(mut self, queue: Option<Arc<ObservationQueue>>) -> Self {
+        self.observations = queue;
+        self
     }
 
-    /// Notes what a call showed of its link. A call that never left shows nothing.
-    fn record_observation(
-        &self,
-        path: &str,
-        result: &Result<(u16, Vec<u8>), CallError>,
-        at: Moment,
-    ) {
-        let Some(observations) = &self.observations else {
+    /// Records what a call showed of its link. A call that was never sent shows nothing.
+    fn observe(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
+        let Some(queue) = &self.observations else {
             return;
         };
         let outcome = match result {
-            Ok((503, _)) => CallOutcome::Failed(CallFailure::Refused),
+            Ok(ClientResponse { status: 503, .. }) => CallOutcome::Failed(CallFailure::Refused),
             Ok(_) => CallOutcome::Answered,
-            Err(CallError::Unsent(_)) => return,
-            Err(CallError::Unreached(_)) => CallOutcome::Failed(CallFailure::Unreachable),
-            Err(CallError::Unknown(_)) => CallOutcome::Failed(CallFailure::NoAnswer),
+            Err(CallError::NotSent { .. }) => return,
+            Err(CallError::Unreachable { .. }) => CallOutcome::Failed(CallFailure::Unreachable),
+            Err(CallError::OutcomeUnknown { .. }) => CallOutcome::Failed(CallFailure::NoAnswer),
         };
         let link = match path {
             TRANSACTIONS_PATH => Link::StateWrites,
             _ => Link::StateReads,
         };
-        observations.record(link, outcome, at);
+        queue.record(link, outcome, at);
     }
 
     /// When it last answered this node with anything but a refusal.
@@ -246,24 +239,28 @@
         }
         let result = self.client.call(method, path, body, timeout);
         let answered_at = self.os.now();
-        self.record_observation(path, &result, answered_at);
+        self.observe(path, &result, answered_at);
         let at = answered_at.0;
         match &result {
-            Ok((503, _)) | Err(_) => self.last_silence.store(at, Ordering::Relaxed),
+            Ok(ClientResponse { status: 503, .. }) | Err(_) => {
+                self.last_silence.store(at, Ordering::Relaxed)
+            }
             Ok(_) => self.last_answer.store(at, Ordering::Relaxed),
         }
-        let (status, answer) = result.map_err(|e| match e {
-            CallError::Unsent(e) | CallError::Unreached(e) => StoreError::Refused(e),
-            CallError::Unknown(e) => StoreError::Unknown(e),
+        let answer = result.map_err(|e| match e {
+            CallError::OutcomeUnknown { .. } => StoreError::Unknown(e.to_string()),
+            CallError::NotSent { .. } | CallError::Unreachable { .. } => {
+                StoreError::Refused(e.to_string())
+            }
         })?;
-        match status {
+        match answer.status {
             429 => {
                 let pause = Micros::from_millis(100 + fastrand::u64(0..100));
                 self.bucket().punish(pause, now);
                 Err(StoreError::Refused("429".into()))
             }
             503 => Err(StoreError::Refused("503".into())),
-            _ => Ok((status, answer)),
+            status => Ok((status, answer.body)),
         }
     }
 
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -5,7 +5,7 @@
 use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
-use crate::http::client::CallError;
+use crate::http::client::{CallError, ClientResponse};
 use crate::http::server::Response;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
@@ -51,7 +51,7 @@
         if clients.len() >= most {
             clients.retain(|_, (_, used)| now - *used < UNUSED);
         }
-        let client = os.http(addr);
+        let client = os.http_client(addr);
         if clients.len() < most {
             clients.insert(addr, (client.clone(), now));
         }
@@ -97,10 +97,16 @@
         };
         let (term, valid_until) = (lead.term, lead.valid_until);
         match scheduler.heartbeat(&report, now) {
-            HeartbeatReply::Commands { token, orders } => {
+            HeartbeatReply::Commands {
+                fencing_token,
+                commands,
+            } => {
                 self.wake(scheduler);
                 drop(state);
-                let body = encode(&HeartbeatReplyBody { token, orders });
+                let body = encode(&HeartbeatReplyBody {
+                    fencing_token,
+                    commands,
+                });
                 Response {
                     valid_until: Some(valid_until),
                     ..Response::new(200, body)
@@ -120,7 +126,7 @@
         if let Some(link_health) = &self.link_health
             && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
-            link_health.record_refused_heartbeat(&sender.host, now);
+            link_health.record_refused_heartbeat(&sender.machine, now);
         }
     }
 
@@ -128,13 +134,13 @@
     /// touch would send workers in circles.
     fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
         let vouched = self.now() - state.leader_seen < VOUCHED;
-        let foreman = state
+        let leader = state
             .known_leader
             .as_ref()
             .filter(|_| vouched)
             .map(|l| l.node.clone())
             .filter(|n| *n != self.settings.node);
-        Response::new(421, encode(&NotLeaderReply { foreman }))
+        Response::new(421, encode(&NotLeaderReply { leader }))
     }
 
     /// Wakes the threads that have something to do after a decision.
@@ -167,9 +173,9 @@
                         call
                     }
                     None => {
-                        let ticket = self.direct_due.ticket();
+                        let observed = self.direct_due.prepare_wait();
                         drop(state);
-                        self.direct_due.wait(ticket, Duration::from_secs(60));
+                        self.direct_due.wait(observed, Duration::from_secs(60));
                         continue;
                     }
                 }
@@ -194,29 +200,32 @@
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
         let body = encode(&DirectCommands {
-            token: call.token,
-            session: call.session,
-            orders: &call.orders,
+            fencing_token: call.fencing_token,
+            agent_epoch: call.agent_epoch,
+            commands: &call.commands,
         });
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
-            Ok((200 | 409, body)) => match decode(&body) {
+            Ok(ClientResponse {
+                status: 200 | 409,
+                body,
+            }) => match decode(&body) {
                 Ok(report) => DirectResult::Answered(report),
                 Err(e) => {
                     log::info!("malformed answer of {}: {e}", call.machine);
                     DirectResult::Unknown
                 }
             },
-            Ok((status, _)) => {
+            Ok(ClientResponse { status, .. }) => {
                 log::info!("{} answers {status} to orders", call.machine);
                 DirectResult::Unknown
             }
             Err(e) => {
                 log::debug!("{}: {e}", call.machine);
                 match e {
-                    CallError::Unsent(_) => DirectResult::Unsent,
-                    CallError::Unreached(_) => DirectResult::Unreached,
-                    CallError::Unknown(_) => DirectResult::Unknown,
+                    CallError::NotSent { .. } => DirectResult::Unsent,
+                    CallError::Unreachable { .. } => DirectResult::Unreached,
+                    CallError::OutcomeUnknown { .. } => DirectResult::Unknown,
                 }
             }
         }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code)]
 mod trace;
 
-use aspenreel::invariants::violations;
+use aspenreel::invariants::violation_count;
 use aspenreel::time::Micros;
 use aspenreel::workers::direct::DirectResult;
 use trace::{World, submission, team};
@@ -39,9 +39,9 @@
     w.scheduler.config.cancel = Micros::from_secs(5);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
-    w.tick(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
     w.scheduler.ask_cancel("run-1", w.now);
-    w.tick(7.0);
+    w.on_timer(7.0);
 }
 
 #[test]
@@ -52,8 +52,8 @@
         a_start_that_is_not_revoked,
     ];
     for (number, case) in cases.iter().enumerate() {
-        let before = violations();
+        let before = violation_count();
         case();
-        assert_eq!(violations(), before + 1, "case {number}");
+        assert_eq!(violation_count(), before + 1, "case {number}");
     }
 }
