--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -79,8 +79,8 @@
             .store
             .transact(&[lease.guard()], &changes, Urgency::LeaderLease)
         {
-            Ok(_) => log::info!("handover recorded term={}", lease.term),
-            Err(e) => log::info!("handover not recorded term={} reason=\"{e}\"", lease.term),
+            Ok(_) => log::info!(term = lease.term; "handover recorded"),
+            Err(error) => log::info!(term = lease.term, error:%; "handover not recorded"),
         }
     }
 
--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -5,13 +5,12 @@
 use crate::time::{Micros, Moment};
 use aspenreel_link_health::handover::{HandoverRecord, Situation};
 use aspenreel_link_health::link::{Link, NodeName};
-use aspenreel_link_health::monitor::{LinkState, Transition};
+use aspenreel_link_health::monitor::LinkState;
 use aspenreel_link_health::peer_views::PeerView;
 use aspenreel_link_health::reachability::Reachability;
 use aspenreel_link_health::report::{LinkReport, PeerRow};
 use aspenreel_link_health::tracker::LinkChange;
 use std::collections::BTreeMap;
-use std::fmt::Write;
 use std::sync::Arc;
 
 /// The time between two drains of the observations.
@@ -67,10 +66,10 @@
             return;
         };
         log::info!(
-            "handover begins term={} preferred={} reason={:?}",
-            record.term,
-            record.preferred,
-            record.reason
+            term = record.term,
+            preferred:% = record.preferred,
+            reason:? = record.reason;
+            "handover begins"
         );
         state.handover = Some(record);
         state.step_down = true;
@@ -207,32 +206,23 @@
 
 /// Logs a change of state at the level of its importance to an operator.
 fn log_change(change: &LinkChange) {
-    let Transition { from, to, .. } = change.transition;
-    let level = match (from, to) {
+    const EVENT: &str = "link changed";
+    let LinkChange { link, transition } = change;
+    let (state, previous) = (transition.to, transition.from);
+    let reason = transition.failure.map(|failure| failure.to_string());
+    let reason = reason.as_deref().unwrap_or("unknown");
+    let recovery_s = transition.recovery.map_or(0.0, |time| time.as_secs_f64());
+    match (previous, state) {
+        (_, LinkState::Down) => {
+            log::warn!(link:%, state:%, previous:%, reason, recovery_s; "{EVENT}");
+        }
         // Single failures are frequent and mostly without consequence.
-        (_, LinkState::Suspect) | (LinkState::Suspect | LinkState::Unknown, LinkState::Up) => {
-            log::Level::Debug
+        (_, LinkState::Suspect) => {
+            log::debug!(link:%, state:%, previous:%, reason; "{EVENT}");
         }
-        (_, LinkState::Down) => log::Level::Warn,
-        _ => log::Level::Info,
-    };
-    log::log!(level, "{}", change_line(change));
-}
-
-fn change_line(change: &LinkChange) -> String {
-    let transition = &change.transition;
-    let mut line = format!(
-        "link changed link={:?} state={} was={}",
-        change.link.to_string(),
-        transition.to,
-        transition.from
-    );
-    // Writing to a string doesn't fail.
-    if let Some(failure) = transition.failure {
-        let _ = write!(line, " reason={failure:?}");
-    }
-    if let Some(recovery) = transition.recovery {
-        let _ = write!(line, " recovery_s={}", recovery.as_secs_f64());
+        (LinkState::Suspect | LinkState::Unknown, LinkState::Up) => {
+            log::debug!(link:%, state:%, previous:%; "{EVENT}");
+        }
+        _ => log::info!(link:%, state:%, previous:%; "{EVENT}"),
     }
-    line
 }
--- a/src/link_health/mod.rs
+++ b/src/link_health/mod.rs
@@ -137,7 +137,7 @@
 
     fn log_rejected_view(&self, sender: &str, error: ViewError) {
         if error != ViewError::Late && !self.rejection_logged.swap(true, Ordering::Relaxed) {
-            log::warn!("link view rejected sender={sender:?} reason={error:?}");
+            log::warn!(peer = sender, reason:% = error; "link view rejected");
         }
     }
 
