--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -1,11 +1,9 @@
 //! What the controllers say to each other: borsh in length-prefixed frames over TCP.
 
 use crate::jobs::JobView;
-use crate::link_health::ObservationQueue;
+use crate::link_health::{CallFailure, CallOutcome, Link, ObservationQueue};
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::link::Link;
-use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/src/link_health/mod.rs
+++ b/src/link_health/mod.rs
@@ -15,6 +15,8 @@
 mod options;
 mod view_exchange_loop;
 
+pub use aspenreel_link_health::link::Link;
+pub use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 pub use handover::HANDOVER_KEY;
 pub use observation_queue::ObservationQueue;
 pub use options::LinkOptions;
@@ -22,7 +24,7 @@
 use crate::settings::{Settings, Site};
 use crate::time::{Micros, Moment, WallTime};
 use arc_swap::ArcSwap;
-use aspenreel_link_health::link::{Link, NodeName};
+use aspenreel_link_health::link::NodeName;
 use aspenreel_link_health::monitor::LinkState;
 use aspenreel_link_health::peer_views::{PeerViews, ViewLifetimes};
 use aspenreel_link_health::permissions::Permissions;
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -5,11 +5,9 @@
 
 use crate::http::cbor::{decode, encode};
 use crate::http::client::{CallError, ClientResponse};
-use crate::link_health::ObservationQueue;
+use crate::link_health::{CallFailure, CallOutcome, Link, ObservationQueue};
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::link::Link;
-use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use bucket::TokenBucket;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
