--- a/src/os.rs
+++ b/src/os.rs
@@ -1,6 +1,6 @@
 //! What a controller's threads need from the operating system: clocks, sleeping, wake-ups and calls.
 //!
-//! [`System`] is the operating system itself. The simulation of `crates/testbed` implements [`Os`] with
+//! [`System`] is the operating system itself. The simulation of `crates/simulation` implements [`Os`] with
 //! simulated time and simulated calls, and puts several controllers and their peers into one process;
 //! everything above this interface is the code that runs in production.
 
