--- a/crates/testbed/src/keys.rs
+++ b/crates/testbed/src/keys.rs
@@ -2,7 +2,7 @@
 //! in, so that stand-ins on real time and the model on simulated time share it.
 
 use aspenreel::http::cbor::{decode, encode, json_len};
-use aspenreel::state_store::bucket::TokenBucket;
+use aspenreel::store::token_bucket::TokenBucket;
 use aspenreel::time::Moment;
 use ciborium::{Value, cbor};
 use serde::Deserialize;
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -7,8 +7,8 @@
 use crate::world::World;
 use aspenreel::http::client::CallError;
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
 use aspenreel::os::{HttpClient, Os, Signal};
+use aspenreel::peer::{PeerReply, PeerRequest, PeerTransport};
 use aspenreel::time::{Moment, WallTime};
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
@@ -70,7 +70,7 @@
         })
     }
 
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
+    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
         let IpAddr::V4(ip) = addr.ip() else {
             panic!("peers have IPv4 addresses");
         };
@@ -393,8 +393,8 @@
     to: usize,
 }
 
-impl PeerLink for SimPeer {
-    fn ask(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
+impl PeerTransport for SimPeer {
+    fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
         let world = &self.world;
         let now = world.now();
         let zones = (world.zone_of_node(self.from), world.zone_of_node(self.to));
--- a/crates/testbed/src/older.rs
+++ b/crates/testbed/src/older.rs
@@ -7,8 +7,8 @@
 use crate::world::World;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::leadership::LeaderRecord;
-use aspenreel::state_store::pages::PAGE_ENTRIES;
-use aspenreel::state_store::{Change, Guard, from_value, to_value};
+use aspenreel::store::paged_map::PAGE_ENTRIES;
+use aspenreel::store::{Change, Precondition, from_value, to_value};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 #[derive(Serialize)]
 struct Transaction {
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     apply: Vec<Change>,
 }
 
@@ -67,18 +67,21 @@
         let leader = LeaderRecord {
             node: format!("n-{n}"),
             term: term + 1,
-            lease: permit,
+            lease_id: permit,
         };
         let mut apply = vec![
             Change::write("term", to_value(&OlderTerm { term: term + 1 })),
             Change::Write {
                 write: "leader".into(),
                 data: to_value(&leader),
-                lease: Some(permit),
+                lease_id: Some(permit),
             },
         ];
         apply.extend(claims_rewritten(keys));
-        let guards = vec![Guard::new("leader", 0), Guard::new("term", revision)];
+        let guards = vec![
+            Precondition::new("leader", 0),
+            Precondition::new("term", revision),
+        ];
         let body = encode(&to_value(&Transaction { guards, apply }));
         let (status, _) = keys.call("POST", "/multi", &body, now);
         assert_eq!(status, 200);
--- a/crates/testbed/src/processes.rs
+++ b/crates/testbed/src/processes.rs
@@ -3,7 +3,7 @@
 use crate::servers::State;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::Client;
-use aspenreel::state_store::from_value;
+use aspenreel::store::from_value;
 use ciborium::cbor;
 use serde::Deserialize;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -15,7 +15,7 @@
 use aspenreel::http::cbor::encode;
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::settings::Settings;
-use aspenreel::state_store::{from_value, to_value};
+use aspenreel::store::{from_value, to_value};
 use aspenreel::workers::fencing::CommandCounters;
 use aspenreel::workers::wire::Heartbeat;
 use ciborium::cbor;
@@ -297,7 +297,7 @@
         };
         let os = Arc::new(SimOs::new(self, n, process, drift, skew));
         let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
-        for (i, (_, duty)) in node.duties().into_iter().enumerate() {
+        for (i, (_, duty)) in node.threads().into_iter().enumerate() {
             self.sched.spawn(process, seed ^ i as u64, duty);
         }
         let mut state = self.state();
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -8,16 +8,16 @@
 use crate::cli::ServeOptions;
 use crate::http::server::{Limits, serve};
 use crate::jobs::LocalStatus;
-use crate::leadership::level::Level;
-use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
+use crate::leadership::feature_level::FeatureLevel;
 use crate::leadership::{LeaderLease, LeaderRecord};
 use crate::links::Links;
 use crate::os::{HttpClient, Os, Signal, System};
+use crate::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
 use crate::provisioning::MachineType;
 use crate::scheduler::{SchedulerConfig, SchedulerState};
 use crate::settings::{Settings, SettingsError};
-use crate::state_store::Store;
-use crate::state_store::bucket::TokenBucket;
+use crate::store::Store;
+use crate::store::token_bucket::TokenBucket;
 use crate::time::{Micros, Moment};
 use crate::workers::edge::WorkerClients;
 use aspenreel_links::evidence::{Link, NodeName};
@@ -38,22 +38,22 @@
 
 /// How long a node that stood down for want of workers lets others go first. If nobody does, it
 /// goes on, and doesn't stand down for the same reason again until then.
-const ABSTAIN: Micros = Micros::from_secs(40);
+const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
 /// What the main lock guards. Nobody waits for the network while holding it.
 #[derive(Debug, Default)]
 pub struct ControllerState {
-    pub lead: Option<LeaderLease>,
+    pub leader_lease: Option<LeaderLease>,
     /// There only while leading, once the state was read.
     pub scheduler: Option<SchedulerState>,
     pub known_leader: Option<LeaderRecord>,
     /// When the state service last vouched for it.
-    pub leader_seen: Moment,
+    pub leader_confirmed_at: Moment,
     pub terminal_states: TerminalStates,
     /// The lead is to be given up.
-    pub step_down: bool,
+    pub step_down_requested: bool,
     /// Stood down for want of workers: others go first until then.
-    pub abstain_until: Moment,
+    pub candidacy_paused_until: Moment,
     /// Heartbeats that were refused lately, as a sign of who workers can reach.
     pub refused_heartbeats: VecDeque<Moment>,
     /// Where the watch on jobs goes on.
@@ -68,10 +68,12 @@
 
 impl ControllerState {
     /// The cluster, if this node is entitled to act at `now`.
-    pub fn acting(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
-        match (&self.lead, &mut self.scheduler) {
-            (Some(lead), Some(scheduler)) if now < lead.valid_until && !self.step_down => {
-                Some((lead, scheduler))
+    pub fn acting_leader(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
+        match (&self.leader_lease, &mut self.scheduler) {
+            (Some(leader_lease), Some(scheduler))
+                if now < leader_lease.valid_until && !self.step_down_requested =>
+            {
+                Some((leader_lease, scheduler))
             }
             _ => None,
         }
@@ -79,32 +81,32 @@
 }
 
 /// What one thread does.
-pub type Duty = Box<dyn FnOnce() + Send>;
+pub type ThreadBody = Box<dyn FnOnce() + Send>;
 
 pub struct Controller {
     pub settings: Settings,
     pub options: ServeOptions,
     /// How long the leader's lease lives.
-    pub lease_life: Micros,
+    pub leader_lease_duration: Micros,
     pub os: Arc<dyn Os>,
     pub store: Store,
     pub cloud: Arc<dyn HttpClient>,
     pub state: Mutex<ControllerState>,
     /// Signalled when records are due and when they were written.
-    pub changed: Arc<dyn Signal>,
+    pub state_changed: Arc<dyn Signal>,
     /// Signalled when orders may go straight to workers.
-    pub direct_due: Arc<dyn Signal>,
+    pub commands_due: Arc<dyn Signal>,
     pub workers: WorkerClients,
     pub peers: BTreeMap<String, PeerClient>,
-    pub submit_tokens: Mutex<TokenBucket>,
-    pub cloud_tokens: Mutex<TokenBucket>,
+    pub submission_bucket: Mutex<TokenBucket>,
+    pub cloud_bucket: Mutex<TokenBucket>,
     pub catalog: Mutex<Option<Arc<Vec<MachineType>>>>,
     /// Connections of users and workers that are open.
-    pub open: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
     /// Neither the state service nor any peer answers.
     pub isolated: AtomicBool,
     /// The record format that all controllers are known to know, as last read.
-    pub level: Mutex<Level>,
+    pub feature_level: Mutex<FeatureLevel>,
     /// What is believed of the links, where they are watched.
     pub links: Option<Arc<Links>>,
 }
@@ -116,7 +118,7 @@
         os: Arc<dyn Os>,
     ) -> Result<Controller, SettingsError> {
         let asked = options.leader_lease_ms.map(Micros::from_millis);
-        let lease_life = settings.leader_lease(asked)?;
+        let leader_lease_duration = settings.leader_lease(asked)?;
         let links = options.links.settings()?;
         let links = links.map(|links| Arc::new(Links::new(&settings, links, os.wall())));
         let sink = links.as_ref().map(|links| links.sink.clone());
@@ -145,18 +147,18 @@
                 terminal_states: TerminalStates::new(site.quota.remembered()),
                 ..ControllerState::default()
             }),
-            changed: os.signal(),
-            direct_due: os.signal(),
+            state_changed: os.signal(),
+            commands_due: os.signal(),
             workers: WorkerClients::default(),
             peers,
-            submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
-            cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
+            submission_bucket: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
+            cloud_bucket: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
             catalog: Mutex::new(None),
-            open: Arc::default(),
+            open_connections: Arc::default(),
             isolated: AtomicBool::new(false),
-            level: Mutex::default(),
+            feature_level: Mutex::default(),
             links,
-            lease_life,
+            leader_lease_duration,
             os,
             settings,
             options,
@@ -200,36 +202,36 @@
     }
 
     /// Releases the main lock until something changed, or for so long.
-    pub fn await_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
-        let ticket = self.changed.ticket();
+    pub fn wait_for_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
+        let ticket = self.state_changed.ticket();
         drop(state);
-        self.changed.wait(ticket, most);
+        self.state_changed.wait(ticket, most);
     }
 
     /// What each thread of a process does, for as long as it lives.
-    pub fn duties(self: &Arc<Self>) -> Vec<(&'static str, Duty)> {
+    pub fn threads(self: &Arc<Self>) -> Vec<(&'static str, ThreadBody)> {
         let duty = |run: fn(&Controller)| {
             let node = self.clone();
-            Box::new(move || run(&node)) as Duty
+            Box::new(move || run(&node)) as ThreadBody
         };
-        let mut duties = vec![
+        let mut threads = vec![
             ("catalog", duty(Controller::catalog_loop)),
-            ("lead", duty(Controller::lead_loop)),
-            ("rounds", duty(Controller::rounds_loop)),
-            ("jobs", duty(Controller::jobs_loop)),
-            ("fleet", duty(Controller::fleet_loop)),
+            ("lead", duty(Controller::election_loop)),
+            ("rounds", duty(Controller::record_writer_loop)),
+            ("jobs", duty(Controller::job_watch_loop)),
+            ("fleet", duty(Controller::cloud_sync_loop)),
             ("tick", duty(Controller::timer_loop)),
             ("company", duty(Controller::peer_probe_loop)),
-            ("level", duty(Controller::level_loop)),
+            ("level", duty(Controller::feature_level_loop)),
         ];
         if self.links.is_some() {
-            duties.push(("links", duty(Controller::links_loop)));
-            duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
+            threads.push(("links", duty(Controller::links_loop)));
+            threads.push(("link-exchange", duty(Controller::link_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
-            duties.push(("direct", duty(Controller::direct_loop)));
+            threads.push(("direct", duty(Controller::command_sender_loop)));
         }
-        duties
+        threads
     }
 
     /// Starts every thread and answers users and workers until the process is killed.
@@ -242,14 +244,14 @@
             self.settings.public_addr,
             self.settings.peer_listen
         );
-        let spawn = |name: &str, duty: Duty| {
+        let spawn = |name: &str, duty: ThreadBody| {
             std::thread::Builder::new()
                 .name(name.to_string())
                 .stack_size(512 * 1024)
                 .spawn(duty)
                 .map(drop)
         };
-        for (name, duty) in self.duties() {
+        for (name, duty) in self.threads() {
             spawn(name, duty)?;
         }
         let quota = self.settings.settings.quota.clone();
@@ -262,7 +264,7 @@
             threads: quota.pool_threads(),
             buffered: quota.buffered(),
         };
-        let open = self.open.clone();
+        let open = self.open_connections.clone();
         serve(public, self, system, limits, open)
     }
 
@@ -286,12 +288,12 @@
             }
             let mut state = self.state();
             let now = self.now();
-            if state.acting(now).is_none() {
+            if state.acting_leader(now).is_none() {
                 acting_since = None;
             } else {
                 acting_since.get_or_insert(now);
             }
-            if let Some((_, scheduler)) = state.acting(now) {
+            if let Some((_, scheduler)) = state.acting_leader(now) {
                 scheduler.overload.note(overloaded, now);
                 scheduler.on_timer(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
@@ -301,10 +303,10 @@
                 }
                 self.wake(scheduler);
                 let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
-                if unheard && self.stands_down_unasked() && state.abstain_until <= now {
+                if unheard && self.stands_down_unasked() && state.candidacy_paused_until <= now {
                     log::info!("most workers are silent: standing down");
-                    state.step_down = true;
-                    state.abstain_until = now + ABSTAIN;
+                    state.step_down_requested = true;
+                    state.candidacy_paused_until = now + CANDIDACY_PAUSE;
                 }
             }
         }
@@ -324,7 +326,7 @@
                 if let Some(view) = state.terminal_states.get(&id) {
                     return PeerReply::Job(view);
                 }
-                match state.acting(now) {
+                match state.acting_leader(now) {
                     Some((_, scheduler)) => match scheduler.view(&id) {
                         LocalStatus::View(view) => PeerReply::Job(view),
                         LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -5,8 +5,10 @@
 use crate::controller::{Controller, ControllerState};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
-use crate::state_store::bucket::TokenBucket;
-use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
+use crate::store::token_bucket::TokenBucket;
+use crate::store::{
+    Change, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value, to_value,
+};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -52,7 +54,7 @@
 }
 
 impl Controller {
-    pub fn rounds_loop(&self) {
+    pub fn record_writer_loop(&self) {
         let site = self.settings.settings.state.strict();
         let rate = site.write_rps * self.options.write_budget as f64 / 100.0;
         let round = Micros::from_millis(self.options.round_ms);
@@ -68,16 +70,16 @@
             let now = self.now();
             let (writes, guard, term) = {
                 let mut state = self.state();
-                let Some((lead, scheduler)) = state.acting(now) else {
-                    self.await_change(state, Duration::from_millis(500));
+                let Some((leader_lease, scheduler)) = state.acting_leader(now) else {
+                    self.wait_for_change(state, Duration::from_millis(500));
                     continue;
                 };
                 if !scheduler.permissions().record {
-                    self.await_change(state, Duration::from_millis(500));
+                    self.wait_for_change(state, Duration::from_millis(500));
                     continue;
                 }
-                let guard = lead.guard();
-                let (term, lease) = (lead.term, lead.lease);
+                let guard = leader_lease.precondition();
+                let (term, lease) = (leader_lease.term, leader_lease.lease_id);
                 if fullness.term != term {
                     fullness = Fullness {
                         term,
@@ -85,10 +87,10 @@
                     };
                 }
                 if scheduler.token_raise_due(now) && tokens.available(now) >= 1.0 {
-                    let lead = lead.clone();
+                    let leader_lease = leader_lease.clone();
                     drop(state);
                     tokens.force(1.0, now);
-                    self.raise_fencing_token(&lead);
+                    self.raise_fencing_token(&leader_lease);
                     continue;
                 }
                 let is_full = scheduler.is_full(fullness.told);
@@ -133,7 +135,7 @@
                     let wait = wait
                         .duration()
                         .clamp(Duration::from_millis(20), Duration::from_millis(2000));
-                    self.await_change(state, wait);
+                    self.wait_for_change(state, wait);
                     continue;
                 }
                 // From here on nobody is told anything older than what may be on record soon.
@@ -146,11 +148,16 @@
                 guards.extend(pack.iter().flat_map(|w| w.guards.iter().cloned()));
                 let changes: Vec<_> = pack.iter().flat_map(|w| w.changes.clone()).collect();
                 tokens.force(changes.len() as f64, self.now());
-                match self.store.transact(&guards, &changes, Urgency::Granted) {
-                    Ok(Commit::Done { revision }) => self.note_written(term, &pack, revision),
-                    Ok(Commit::Conflict { failed }) => {
+                match self
+                    .store
+                    .transact(&guards, &changes, RequestPriority::Admitted)
+                {
+                    Ok(TransactionOutcome::Committed { revision }) => {
+                        self.note_written(term, &pack, revision)
+                    }
+                    Ok(TransactionOutcome::Conflict { failed }) => {
                         if failed.contains(&guard.key) {
-                            self.lose_lead(term);
+                            self.lose_leadership(term);
                         } else {
                             self.read_back(term, &failed);
                             self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
@@ -159,7 +166,7 @@
                     Err(e) => {
                         log::debug!("records not written: {e}");
                         not_before = self.now() + Micros::from_millis(200);
-                        if matches!(e, StoreError::Refused(_)) {
+                        if matches!(e, StoreError::NotExecuted(_)) {
                             self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
                         } else {
                             // Whether it was applied shows at the next try: the guards' revisions fail.
@@ -174,40 +181,46 @@
             for pack in packs {
                 self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
             }
-            self.changed.notify_all();
+            self.state_changed.notify_all();
         }
     }
 
     /// A guard on the lead failed: it is somebody else's by now.
-    pub(crate) fn lose_lead(&self, term: u64) {
+    pub(crate) fn lose_leadership(&self, term: u64) {
         self.under(term, |state| {
             log::info!("the lead is another's: standing down");
-            state.step_down = true;
+            state.step_down_requested = true;
         });
     }
 
     /// Writes that no more jobs are to be accepted, or that they are again.
-    fn tell_full(&self, guard: &Guard, lease: u64, fullness: &mut Fullness, target: bool) {
+    fn tell_full(&self, guard: &Precondition, lease: u64, fullness: &mut Fullness, target: bool) {
         let change = match target {
             true => Change::Write {
                 write: FULL_KEY.into(),
                 data: to_value(&true),
-                lease: Some(lease),
+                lease_id: Some(lease),
             },
             false => Change::delete(FULL_KEY),
         };
-        let guards = [guard.clone(), Guard::new(FULL_KEY, fullness.revision)];
-        match self.store.transact(&guards, &[change], Urgency::Granted) {
-            Ok(Commit::Done { revision }) => {
+        let guards = [
+            guard.clone(),
+            Precondition::new(FULL_KEY, fullness.revision),
+        ];
+        match self
+            .store
+            .transact(&guards, &[change], RequestPriority::Admitted)
+        {
+            Ok(TransactionOutcome::Committed { revision }) => {
                 fullness.known(target, if target { revision } else { 0 })
             }
-            Ok(Commit::Conflict { failed }) if failed == [FULL_KEY] => {
+            Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
                 // One without an answer was carried out.
-                if let Ok(row) = self.store.get(FULL_KEY, Urgency::Normal) {
+                if let Ok(row) = self.store.get(FULL_KEY, RequestPriority::Normal) {
                     fullness.known(row.is_some(), row.map_or(0, |r| r.revision));
                 }
             }
-            Ok(Commit::Conflict { .. }) | Err(StoreError::Refused(_)) => {}
+            Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted(_)) => {}
             Err(e) => {
                 log::debug!("not told whether jobs are accepted: {e}");
                 fullness.unconfirmed = Some(target);
@@ -235,7 +248,7 @@
 
     fn note_written(&self, term: u64, pack: &[Write], revision: u64) {
         self.under(term, |state| self.note_written_in(state, pack, revision));
-        self.changed.notify_all();
+        self.state_changed.notify_all();
     }
 
     fn note_written_in(&self, state: &mut ControllerState, pack: &[Write], revision: u64) {
@@ -271,7 +284,7 @@
                 self.read_back_job(term, key);
                 continue;
             };
-            match self.store.get(key, Urgency::Normal) {
+            match self.store.get(key, RequestPriority::Normal) {
                 Ok(Some(row)) => {
                     let record: DoneRecord = from_value(&row.data).unwrap_or_default();
                     self.with_scheduler(term, |c| c.load_done(id, chunk, &record, row.revision));
@@ -283,13 +296,13 @@
                 Err(e) => log::debug!("{key} not read back: {e}"),
             }
         }
-        self.changed.notify_all();
+        self.state_changed.notify_all();
     }
 
     /// A page that a write of ours without an answer changed: it is written again over that one,
     /// which can't be applied any more once its revision is known.
     fn read_back_page(&self, term: u64, key: &str) {
-        let revision = match self.store.get(key, Urgency::Normal) {
+        let revision = match self.store.get(key, RequestPriority::Normal) {
             Ok(row) => row.map_or(0, |r| r.revision),
             Err(e) => {
                 log::debug!("{key} not read back: {e}");
@@ -317,10 +330,13 @@
         let Some(id) = key.strip_prefix("jobs/") else {
             return;
         };
-        let Ok(None) = self.store.get(key, Urgency::Normal) else {
+        let Ok(None) = self.store.get(key, RequestPriority::Normal) else {
             return;
         };
-        let Ok(Some(row)) = self.store.get(&super::final_key(id), Urgency::Normal) else {
+        let Ok(Some(row)) = self
+            .store
+            .get(&super::final_key(id), RequestPriority::Normal)
+        else {
             return;
         };
         let Some(record) = from_value::<FinalRecord>(&row.data) else {
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -9,7 +9,7 @@
 pub mod spec;
 pub mod users;
 
-use crate::state_store::pages::Pages;
+use crate::store::paged_map::PagedMap;
 use crate::time::{Micros, Moment};
 use doneset::TaskSet;
 use serde::{Deserialize, Serialize};
@@ -345,7 +345,7 @@
 pub struct JobTable {
     next: u32,
     /// Of each job, below which number its tasks may have started.
-    pub start_watermarks: Pages<u32>,
+    pub start_watermarks: PagedMap<u32>,
     /// The sum of the jobs' weights.
     weight: usize,
     pub table: BTreeMap<JobId, Job>,
@@ -357,7 +357,7 @@
     pub fn new(value_bytes: usize) -> JobTable {
         JobTable {
             next: 0,
-            start_watermarks: Pages::new(value_bytes),
+            start_watermarks: PagedMap::new(value_bytes),
             weight: 0,
             table: BTreeMap::new(),
             by_ref: HashMap::new(),
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -6,8 +6,8 @@
 use crate::http::cbor::json_len;
 use crate::invariants::{self, Invariant};
 use crate::scheduler::SchedulerState;
-use crate::state_store::pages::PageImage;
-use crate::state_store::{Change, Guard, to_value};
+use crate::store::paged_map::PageImage;
+use crate::store::{Change, Precondition, to_value};
 use crate::workers::DeliveryStatus;
 
 /// The key prefix of claims: which tasks of which jobs may have started.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Write {
     pub kind: WriteKind,
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     pub changes: Vec<Change>,
 }
 
@@ -59,7 +59,7 @@
 ) -> Write {
     let key = format!("{prefix}{}", image.number);
     Write {
-        guards: vec![Guard::new(key.clone(), image.revision)],
+        guards: vec![Precondition::new(key.clone(), image.revision)],
         changes: vec![Change::write(key, to_value(&image.entries))],
         kind: kind(image),
     }
@@ -75,7 +75,7 @@
 
     /// Pages of claims that starts wait for.
     pub fn pending_watermark_writes(&self) -> Vec<Write> {
-        let due = self.jobs.start_watermarks.due(false).into_iter();
+        let due = self.jobs.start_watermarks.pages_due(false).into_iter();
         due.map(|image| page_write(WATERMARKS_PREFIX, image, WriteKind::Claims))
             .collect()
     }
@@ -110,7 +110,7 @@
                     kind: WriteKind::Final(*id, outcome),
                     // The revision keeps done and cancelled apart even if an unanswered
                     // transaction of ours is applied late.
-                    guards: vec![Guard::new(key.clone(), j.revisions[0])],
+                    guards: vec![Precondition::new(key.clone(), j.revisions[0])],
                     changes: vec![Change::write(key, to_value(&record))],
                 }
             })
@@ -153,7 +153,10 @@
                         chunk,
                         text,
                     },
-                    guards: vec![Guard::new(key.clone(), job.revisions[chunk as usize])],
+                    guards: vec![Precondition::new(
+                        key.clone(),
+                        job.revisions[chunk as usize],
+                    )],
                     changes: vec![Change::write(key, to_value(&record))],
                 });
             }
@@ -281,7 +284,7 @@
             WriteKind::Claims(image) => {
                 self.jobs
                     .start_watermarks
-                    .written(image.number, image.version, revision);
+                    .mark_written(image.number, image.version, revision);
                 for (id, below) in &image.entries {
                     let Some(id) = self.jobs.find(id) else {
                         continue;
@@ -298,7 +301,7 @@
             WriteKind::Registry(image) => {
                 self.provisioning
                     .registry
-                    .written(image.number, image.version, revision);
+                    .mark_written(image.number, image.version, revision);
                 for (name, _) in &image.entries {
                     if let Some(m) = self.machines.get_mut(name)
                         && !m.recorded
@@ -355,15 +358,15 @@
         return None;
     }
     let keys = chunks.iter().map(|c| done_key(spec_id, *c));
-    let mut guards: Vec<Guard> = chunks
+    let mut guards: Vec<Precondition> = chunks
         .iter()
-        .map(|c| Guard::new(done_key(spec_id, *c), job.revisions[*c as usize]))
+        .map(|c| Precondition::new(done_key(spec_id, *c), job.revisions[*c as usize]))
         .collect();
     if job.revisions[0] == 0 {
         // Else a cancellation of ours that got no answer could stand beside this.
-        guards.push(Guard::new(done_key(spec_id, 0), 0));
+        guards.push(Precondition::new(done_key(spec_id, 0), 0));
     }
-    guards.push(Guard::new(job_key(spec_id), job.job_revision));
+    guards.push(Precondition::new(job_key(spec_id), job.job_revision));
     let mut changes: Vec<Change> = keys.map(Change::delete).collect();
     let record = FinalRecord {
         state: outcome,
@@ -391,7 +394,7 @@
     let (guards, changes) = chunks
         .map(|c| {
             let key = done_key(&job.spec.id, c);
-            let guard = Guard::new(key.clone(), job.revisions[c as usize]);
+            let guard = Precondition::new(key.clone(), job.revisions[c as usize]);
             (guard, Change::delete(key))
         })
         .unzip();
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -8,9 +8,11 @@
 use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{decode, encode, json_len};
 use crate::http::server::Response;
-use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::os::left;
-use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
+use crate::peer::{PeerClient, PeerReply, PeerRequest};
+use crate::store::{
+    Change, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value, to_value,
+};
 use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::Ordering;
@@ -120,8 +122,8 @@
     pub fn peer_probe_loop(&self) {
         loop {
             self.os.sleep(COMPANY_EVERY);
-            let heard = |node: &Controller| node.now() - node.store.last_answer() < ALONE;
-            let answers = |p: &PeerClient| p.answers(PING_TIME);
+            let heard = |node: &Controller| node.now() - node.store.last_answered_at() < ALONE;
+            let answers = |p: &PeerClient| p.is_reachable(PING_TIME);
             let has_peers =
                 heard(self) || self.peers.is_empty() || self.peers.values().any(answers);
             self.isolated.store(!has_peers, Ordering::Relaxed);
@@ -162,7 +164,7 @@
 
     /// A standing job is written once all controllers know what it is.
     fn may_write(&self, submission: &Submission) -> bool {
-        submission.shape == Shape::Array || self.level().has_standing_jobs()
+        submission.shape == Shape::Array || self.feature_level().has_standing_jobs()
     }
 
     /// A ref that is accepted already never gets a refusal, whatever body comes again.
@@ -196,7 +198,7 @@
                 _ => None,
             }
         };
-        let silent = !self.store.answers(self.now());
+        let silent = !self.store.is_answering(self.now());
         if silent && let Some(response) = by_peers() {
             return response;
         }
@@ -254,7 +256,7 @@
     fn record(&self, mut submission: Submission) -> Accepted {
         let now = self.now();
         let granted = self
-            .submit_tokens
+            .submission_bucket
             .lock()
             .unwrap_or_else(|e| e.into_inner())
             .take(1.0, now);
@@ -270,26 +272,34 @@
             return Accepted::Refused;
         }
         let mut guards = vec![
-            Guard::new(job_key(&id), 0),
-            Guard::new(final_key(&id), 0),
-            Guard::new(FULL_KEY, 0),
+            Precondition::new(job_key(&id), 0),
+            Precondition::new(final_key(&id), 0),
+            Precondition::new(FULL_KEY, 0),
         ];
         if submission.shape == Shape::Standing {
             // What was known when this process looked may have been taken back since.
-            guards.push(self.level().guard());
+            guards.push(self.feature_level().precondition());
         }
         let changes = [Change::write(job_key(&id), data)];
-        let leading = |state: &ControllerState| state.lead.as_ref().map(|lead| lead.term);
+        let leading = |state: &ControllerState| {
+            state
+                .leader_lease
+                .as_ref()
+                .map(|leader_lease| leader_lease.term)
+        };
         let term = leading(&self.state());
-        match self.store.transact(&guards, &changes, Urgency::Granted) {
-            Ok(Commit::Done { revision }) => {
+        match self
+            .store
+            .transact(&guards, &changes, RequestPriority::Admitted)
+        {
+            Ok(TransactionOutcome::Committed { revision }) => {
                 let mut state = self.state();
                 let now = self.now();
                 // Under another term by now, as after standing still, the job may be over and
                 // retired by somebody else: what was read at the takeover tells.
                 if state.terminal_states.get(&id).is_none()
                     && leading(&state) == term
-                    && let Some((_, scheduler)) = state.acting(now)
+                    && let Some((_, scheduler)) = state.acting_leader(now)
                 {
                     scheduler.add_job(&submission, revision, now, wall);
                     scheduler.place_soon(now);
@@ -297,8 +307,8 @@
                 }
                 Accepted::New
             }
-            Ok(Commit::Conflict { failed }) if failed == [FULL_KEY] => Accepted::Full,
-            Ok(Commit::Conflict { .. }) => match self.lookup(&id) {
+            Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => Accepted::Full,
+            Ok(TransactionOutcome::Conflict { .. }) => match self.lookup(&id) {
                 Lookup::Job(view) => Accepted::Known(view),
                 _ => Accepted::Refused,
             },
@@ -363,19 +373,19 @@
             return PeerReply::Job(view);
         }
         let now = self.now();
-        let Some((_, scheduler)) = state.acting(now) else {
+        let Some((_, scheduler)) = state.acting_leader(now) else {
             return PeerReply::NotLeading;
         };
         if !scheduler.ask_cancel(id, now) {
             return PeerReply::Unknown;
         }
-        self.changed.notify_all();
+        self.state_changed.notify_all();
         loop {
             if let Some(view) = state.terminal_states.get(id) {
                 return PeerReply::Job(view);
             }
             let now = self.now();
-            match state.acting(now).map(|(_, c)| c.view(id)) {
+            match state.acting_leader(now).map(|(_, c)| c.view(id)) {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
@@ -383,7 +393,7 @@
             let Some(left) = left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
-            self.await_change(state, left);
+            self.wait_for_change(state, left);
             state = self.state();
         }
     }
@@ -395,7 +405,7 @@
 
     fn known_of(&self, state: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
-        match (state.terminal_states.get(id), state.acting(now)) {
+        match (state.terminal_states.get(id), state.acting_leader(now)) {
             (Some(view), _) => LocalStatus::View(view),
             (None, Some((_, scheduler))) => scheduler.view(id),
             (None, None) => LocalStatus::Nothing,
@@ -410,7 +420,7 @@
             let known = self.known_of(&mut state, id);
             match left(&*self.os, deadline) {
                 Some(left) if known == LocalStatus::FinalWriteInFlight => {
-                    self.await_change(state, left)
+                    self.wait_for_change(state, left)
                 }
                 _ => return known,
             }
@@ -448,7 +458,7 @@
         if let Some(PeerReply::Job(view)) = self.ask_leader(&request, PEER_TIME.duration()) {
             return Lookup::Job(view);
         }
-        if self.store.answers(self.now()) {
+        if self.store.is_answering(self.now()) {
             match self.read_job(id, deadline) {
                 Ok(Some(view)) => return Lookup::Job(view),
                 Ok(None) => return Lookup::Absent,
@@ -468,10 +478,10 @@
     fn read_job(&self, id: &str, deadline: Moment) -> Result<Option<JobView>, StoreError> {
         let get = |key: &str| {
             let Some(left) = left(&*self.os, deadline) else {
-                return Err(StoreError::Refused("no time left".into()));
+                return Err(StoreError::NotExecuted("no time left".into()));
             };
             self.store
-                .get_within(key, Urgency::Normal, READ_TIME.min(left))
+                .get_within(key, RequestPriority::Normal, READ_TIME.min(left))
         };
         if let Some(row) = get(&job_key(id))? {
             let tasks = from_value::<Submission>(&row.data).map_or(0, |s| s.pieces as u32);
@@ -493,7 +503,7 @@
             return Ok(None);
         };
         let record: FinalRecord = from_value(&row.data)
-            .ok_or_else(|| StoreError::Unknown("malformed final record".into()))?;
+            .ok_or_else(|| StoreError::OutcomeUnknown("malformed final record".into()))?;
         Ok(Some(JobView::of_final(record.state, record.tasks)))
     }
 }
--- a/src/leadership/edge.rs
+++ b/src/leadership/election_loop.rs
@@ -1,10 +1,13 @@
 //! The loop that takes and keeps the lead.
 
-use super::{ElectionOutcome, HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, lease_until, take};
+use super::{
+    ElectionOutcome, LEADER_KEY, LeaderLease, LeaderRecord, PREFERRED_ZONE_KEY, campaign,
+    lease_until,
+};
 use crate::controller::Controller;
 use crate::jobs::spec::Submission;
 use crate::os::pause;
-use crate::state_store::{Change, StoreError, Urgency, from_value, to_value};
+use crate::store::{Change, RequestPriority, StoreError, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -15,17 +18,22 @@
         pause(&*self.os, low_ms, high_ms);
     }
 
-    pub fn lead_loop(&self) {
+    pub fn election_loop(&self) {
         loop {
-            match self.store.get(LEADER_KEY, Urgency::LeaderLease) {
+            match self.store.get(LEADER_KEY, RequestPriority::Leadership) {
                 Ok(Some(row)) => self.follow(row.data, row.revision),
                 Ok(None) => {
                     self.state().known_leader = None;
                     if !self.may_stand() {
                         continue;
                     }
-                    match take(&self.store, &*self.os, &self.settings.node, self.lease_life) {
-                        Ok(ElectionOutcome::Taken(lead)) => self.lead(lead),
+                    match campaign(
+                        &self.store,
+                        &*self.os,
+                        &self.settings.node,
+                        self.leader_lease_duration,
+                    ) {
+                        Ok(ElectionOutcome::Won(leader_lease)) => self.lead_term(leader_lease),
                         Ok(ElectionOutcome::Lost) => {}
                         Err(e) => {
                             log::debug!("lead not taken: {e}");
@@ -48,15 +56,18 @@
             let state = self.state();
             let recent = |t: &&Moment| now - **t < Micros::from_secs(4);
             let refused_heartbeats = state.refused_heartbeats.iter().filter(recent).count() as u64;
-            (refused_heartbeats, state.abstain_until > now)
+            (refused_heartbeats, state.candidacy_paused_until > now)
         };
         if abstaining {
             // Long enough for the others, if there are any, to take it.
             self.pause(1500, 2500);
-            return matches!(self.store.get(LEADER_KEY, Urgency::LeaderLease), Ok(None));
+            return matches!(
+                self.store.get(LEADER_KEY, RequestPriority::Leadership),
+                Ok(None)
+            );
         }
         let in_silent_zone = refused_heartbeats == 0
-            && matches!(self.store.get(HINT_KEY, Urgency::LeaderLease), Ok(Some(row))
+            && matches!(self.store.get(PREFERRED_ZONE_KEY, RequestPriority::Leadership), Ok(Some(row))
                 if from_value::<String>(&row.data).as_ref() == Some(&self.settings.location));
         let wait = match self.candidate_wait(in_silent_zone) {
             Some(wait) => wait.0 / 1000,
@@ -75,7 +86,7 @@
         {
             // An earlier process of this node: it is dead, so its lease may end now.
             log::info!("ending the lease of an earlier process");
-            if self.store.end_lease(r.lease).is_err() {
+            if self.store.end_lease(r.lease_id).is_err() {
                 self.pause(100, 300);
             }
             return;
@@ -90,18 +101,18 @@
             }
             state.newest_term = state.newest_term.max(record.as_ref().map_or(0, |r| r.term));
             state.known_leader = record;
-            state.leader_seen = self.now();
+            state.leader_confirmed_at = self.now();
         }
         let mut since = revision;
         loop {
             // Short watches: each answer vouches for the leader's name.
-            match self.store.changes(LEADER_KEY, since, Micros::from_secs(3)) {
+            match self.store.watch(LEADER_KEY, since, Micros::from_secs(3)) {
                 Ok(changes) if changes.log.is_empty() => {
                     since = changes.revision.max(since);
-                    self.state().leader_seen = self.now();
+                    self.state().leader_confirmed_at = self.now();
                 }
                 Ok(_) => return,
-                Err(StoreError::TooOld) => return,
+                Err(StoreError::WatchExpired) => return,
                 Err(e) => {
                     log::debug!("watch on the leader: {e}");
                     self.pause(200, 500);
@@ -111,37 +122,37 @@
         }
     }
 
-    fn lead(&self, lead: LeaderLease) {
+    fn lead_term(&self, leader_lease: LeaderLease) {
         log::info!(
             "leading: term={} token={} revision={} lease={}",
-            lead.term,
-            lead.term,
-            lead.revision,
-            lead.lease
+            leader_lease.term,
+            leader_lease.term,
+            leader_lease.revision,
+            leader_lease.lease_id
         );
         let started = self.now();
-        let lease = lead.lease;
+        let lease = leader_lease.lease_id;
         {
             let mut state = self.state();
             state.known_leader = Some(LeaderRecord {
                 node: self.settings.node.clone(),
-                term: lead.term,
-                lease,
+                term: leader_lease.term,
+                lease_id: lease,
             });
-            state.lead = Some(lead.clone());
+            state.leader_lease = Some(leader_lease.clone());
             state.scheduler = None;
-            state.step_down = false;
-            state.newest_term = lead.term;
+            state.step_down_requested = false;
+            state.newest_term = leader_lease.term;
             state.handover = None;
             state.handover_planner = None;
         }
         let handover_planner = self.plan_handovers();
         let mut renewed = started;
-        let mut scheduler = self.load(&lead, started, &mut renewed);
+        let mut scheduler = self.load(&leader_lease, started, &mut renewed);
         if let Some(scheduler) = scheduler.take() {
             log::info!(
                 "records read: term={} jobs={} jobs_revision={} machines_unseen={}",
-                lead.term,
+                leader_lease.term,
                 scheduler.jobs.table.len(),
                 self.state().jobs_revision,
                 scheduler.prior_term.unreconciled.len()
@@ -151,13 +162,13 @@
                 state.scheduler = Some(scheduler);
                 state.handover_planner = handover_planner;
             }
-            self.changed.notify_all();
+            self.state_changed.notify_all();
             self.keep(lease, &mut renewed);
         }
         let silent_zone = {
             let state = self.state();
             let mut zone = None;
-            if state.step_down && state.abstain_until > self.now() {
+            if state.step_down_requested && state.candidacy_paused_until > self.now() {
                 zone = state
                     .scheduler
                     .as_ref()
@@ -167,22 +178,24 @@
         };
         let handover = self.state().handover.take();
         if let Some(record) = &handover {
-            self.hand_over(&lead, record, silent_zone.as_deref());
+            self.hand_over(&leader_lease, record, silent_zone.as_deref());
         } else if let Some(zone) = silent_zone {
-            let change = Change::write(HINT_KEY, to_value(&zone));
-            let _ = self
-                .store
-                .transact(&[lead.guard()], &[change], Urgency::LeaderLease);
+            let change = Change::write(PREFERRED_ZONE_KEY, to_value(&zone));
+            let _ = self.store.transact(
+                &[leader_lease.precondition()],
+                &[change],
+                RequestPriority::Leadership,
+            );
         }
         {
             let mut state = self.state();
-            state.lead = None;
+            state.leader_lease = None;
             state.scheduler = None;
             state.known_leader = None;
-            state.step_down = false;
+            state.step_down_requested = false;
         }
-        self.changed.notify_all();
-        log::info!("lead over: term={}", lead.term);
+        self.state_changed.notify_all();
+        log::info!("lead over: term={}", leader_lease.term);
         // Nobody can lead before the lease has ended, so ending it is worth a few tries.
         for _ in 0..5 {
             if self.store.end_lease(lease).is_ok() {
@@ -195,7 +208,7 @@
 
     /// Renews once if it is time; false when the lead is lost.
     pub(super) fn renew_if_due(&self, lease: u64, renewed: &mut Moment) -> bool {
-        let life = self.lease_life;
+        let life = self.leader_lease_duration;
         let sent = self.now();
         if sent - *renewed < life.scaled(0.25) {
             return true;
@@ -203,12 +216,12 @@
         match self.store.renew_lease(lease, Duration::from_millis(1000)) {
             Ok(()) => {
                 *renewed = sent;
-                if let Some(lead) = &mut self.state().lead {
-                    lead.valid_until = lease_until(sent, life);
+                if let Some(leader_lease) = &mut self.state().leader_lease {
+                    leader_lease.valid_until = lease_until(sent, life);
                 }
                 true
             }
-            Err(StoreError::NoLease) => false,
+            Err(StoreError::LeaseExpired) => false,
             Err(e) => {
                 // An outage, or a refusal of this node alone: nobody can tell which. The node
                 // stops acting when the lease could have run out, and goes on if it did not.
@@ -220,13 +233,13 @@
     }
 
     fn keep(&self, lease: u64, renewed: &mut Moment) {
-        let wait = self.lease_life.scaled(0.25).duration();
+        let wait = self.leader_lease_duration.scaled(0.25).duration();
         loop {
-            if !self.renew_if_due(lease, renewed) || self.state().step_down {
+            if !self.renew_if_due(lease, renewed) || self.state().step_down_requested {
                 return;
             }
             let state = self.state();
-            if self.now() - *renewed < Micros::from_millis(100) && !state.step_down {
+            if self.now() - *renewed < Micros::from_millis(100) && !state.step_down_requested {
                 drop(state);
                 self.os.sleep(wait.min(Duration::from_millis(500)));
             } else {
@@ -237,27 +250,29 @@
     }
 
     /// Watches for jobs that other nodes accept.
-    pub fn jobs_loop(&self) {
+    pub fn job_watch_loop(&self) {
         loop {
             let (term, since) = {
                 let state = self.state();
-                match (&state.lead, &state.scheduler) {
-                    (Some(lead), Some(_)) => (lead.term, state.jobs_revision),
+                match (&state.leader_lease, &state.scheduler) {
+                    (Some(leader_lease), Some(_)) => (leader_lease.term, state.jobs_revision),
                     _ => {
-                        self.await_change(state, Duration::from_millis(500));
+                        self.wait_for_change(state, Duration::from_millis(500));
                         continue;
                     }
                 }
             };
-            match self.store.changes("jobs/", since, Micros::from_secs(10)) {
+            match self.store.watch("jobs/", since, Micros::from_secs(10)) {
                 Ok(changes) => {
                     let (now, wall) = (self.now(), self.os.wall());
                     let mut state = self.state();
                     let state = &mut *state;
-                    let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
+                    let (Some(leader_lease), Some(scheduler)) =
+                        (&state.leader_lease, &mut state.scheduler)
+                    else {
                         continue;
                     };
-                    if lead.term != term {
+                    if leader_lease.term != term {
                         continue;
                     }
                     state.jobs_revision = changes.revision.max(since);
@@ -274,12 +289,12 @@
                             scheduler.add_job(&s, event.revision, now, wall);
                         }
                     }
-                    if now < lead.valid_until {
+                    if now < leader_lease.valid_until {
                         scheduler.place_soon(now);
                         self.wake(scheduler);
                     }
                 }
-                Err(StoreError::TooOld) => {
+                Err(StoreError::WatchExpired) => {
                     log::info!("the watch on jobs is too old: reading again");
                     self.reread_jobs(term);
                 }
@@ -295,9 +310,9 @@
         let mut since: Option<String> = None;
         let mut revision = None;
         loop {
-            let Ok(page) = self
-                .store
-                .range("jobs/", since.as_deref(), PAGE, Urgency::Normal)
+            let Ok(page) =
+                self.store
+                    .range("jobs/", since.as_deref(), PAGE, RequestPriority::Normal)
             else {
                 self.pause(200, 500);
                 return;
@@ -306,10 +321,11 @@
             let (now, wall) = (self.now(), self.os.wall());
             let mut state = self.state();
             let state = &mut *state;
-            let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
+            let (Some(leader_lease), Some(scheduler)) = (&state.leader_lease, &mut state.scheduler)
+            else {
                 return;
             };
-            if lead.term != term {
+            if leader_lease.term != term {
                 return;
             }
             for row in &page.rows {
--- a/src/leadership/takeover.rs
+++ b/src/leadership/failover.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
-use crate::state_store::{Page, Row, Urgency, from_value};
+use crate::store::{KeyValue, RangePage, RequestPriority, from_value};
 use crate::time::{Micros, Moment, WallTime};
 
 /// Records that one request asks for.
@@ -25,24 +25,25 @@
     /// Reads everything that a leader needs; None when the lead was lost meanwhile.
     pub(super) fn load(
         &self,
-        lead: &LeaderLease,
+        leader_lease: &LeaderLease,
         started: Moment,
         renewed: &mut Moment,
     ) -> Option<SchedulerState> {
         let seed = fastrand::u64(..);
-        let mut scheduler = SchedulerState::new(self.scheduler_config(), lead.term, started, seed);
+        let mut scheduler =
+            SchedulerState::new(self.scheduler_config(), leader_lease.term, started, seed);
         if let Some(catalog) = self.catalog() {
             scheduler.provisioning.catalog = catalog.to_vec();
         }
         scheduler.wall_at_start = self.os.wall();
-        scheduler.prior_term.older_version_led_at = lead.older_version_led_at;
+        scheduler.prior_term.older_version_led_at = leader_lease.older_version_led_at;
         let skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut jobs_revision = None;
         // Roster and claims first: they tell what of a job may have started.
         for prefix in [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
             let mut since: Option<String> = None;
             loop {
-                let page = self.read_page(prefix, since.as_deref(), lead, renewed)?;
+                let page = self.read_page(prefix, since.as_deref(), leader_lease, renewed)?;
                 if prefix == JOBS_PREFIX {
                     jobs_revision.get_or_insert(page.revision);
                 }
@@ -61,7 +62,7 @@
             }
         }
         scheduler.drop_stale_watermarks();
-        self.state().jobs_revision = jobs_revision.unwrap_or(lead.revision);
+        self.state().jobs_revision = jobs_revision.unwrap_or(leader_lease.revision);
         Some(scheduler)
     }
 
@@ -70,14 +71,17 @@
         &self,
         prefix: &str,
         since: Option<&str>,
-        lead: &LeaderLease,
+        leader_lease: &LeaderLease,
         renewed: &mut Moment,
-    ) -> Option<Page> {
+    ) -> Option<RangePage> {
         loop {
-            if !self.renew_if_due(lead.lease, renewed) {
+            if !self.renew_if_due(leader_lease.lease_id, renewed) {
                 return None;
             }
-            match self.store.range(prefix, since, PAGE, Urgency::LeaderLease) {
+            match self
+                .store
+                .range(prefix, since, PAGE, RequestPriority::Leadership)
+            {
                 Ok(page) => return Some(page),
                 Err(e) => {
                     log::debug!("reading {prefix}: {e}");
@@ -90,7 +94,7 @@
 
 impl SchedulerState {
     /// Takes in one record. One that can't be read counts as if it told the worst.
-    fn load_record(&mut self, prefix: &str, row: &Row, reading: &Reading) {
+    fn load_record(&mut self, prefix: &str, row: &KeyValue, reading: &Reading) {
         let rest = &row.key[prefix.len()..];
         let is_read = match prefix {
             REGISTRY_PREFIX => self.load_roster_page(rest, row, reading),
@@ -112,7 +116,7 @@
         }
     }
 
-    fn load_roster_page(&mut self, number: &str, row: &Row, reading: &Reading) -> Option<()> {
+    fn load_roster_page(&mut self, number: &str, row: &KeyValue, reading: &Reading) -> Option<()> {
         let number = number.parse().ok()?;
         let entries: Vec<(String, u64)> = from_value(&row.data)?;
         for (name, at) in &entries {
@@ -127,7 +131,7 @@
         Some(())
     }
 
-    fn load_claims_page(&mut self, number: &str, row: &Row) -> Option<()> {
+    fn load_claims_page(&mut self, number: &str, row: &KeyValue) -> Option<()> {
         let number = number.parse().ok()?;
         self.jobs
             .start_watermarks
@@ -135,13 +139,13 @@
         Some(())
     }
 
-    fn load_job(&mut self, row: &Row, reading: &Reading) -> Option<()> {
+    fn load_job(&mut self, row: &KeyValue, reading: &Reading) -> Option<()> {
         let submission: Submission = from_value(&row.data)?;
         self.add_job(&submission, row.revision, reading.now, reading.wall);
         Some(())
     }
 
-    fn load_done_record(&mut self, rest: &str, row: &Row) -> Option<()> {
+    fn load_done_record(&mut self, rest: &str, row: &KeyValue) -> Option<()> {
         // Keys of another form aren't ours.
         let Some((id, chunk)) = rest.split_once('/') else {
             return Some(());
--- a/src/leadership/level.rs
+++ b/src/leadership/feature_level.rs
@@ -5,25 +5,28 @@
 //! job, and stops its replicas as tasks that it knows nothing of. So each process states the format that
 //! it knows in the state service, under a lease of its own. Once all members have stated this version's
 //! format at the same time, while a controller of this version leads, one transaction writes that down
-//! and puts the counter of terms into a form that earlier versions can't read ([`super::term`]). From then
+//! and puts the counter of terms into a form that earlier versions can't read ([`super::term_counter`]). From then
 //! on they can serve, but not lead, even if a process comes back in an earlier version.
 
 use super::LEADER_KEY;
-use super::term::{TERM_KEY, TermRecord};
+use super::term_counter::{TERM_KEY, TermCounter};
 use crate::controller::Controller;
 use crate::os::pause;
-use crate::state_store::{Change, Commit, Guard, Row, StoreError, Urgency, from_value, to_value};
+use crate::store::{
+    Change, KeyValue, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value,
+    to_value,
+};
 use crate::time::{Micros, Moment};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What this version reads and writes. 1: arrays only. 2: standing jobs as well. 3: terms in the form
 /// that earlier versions can't read.
-pub const FORMAT: u64 = 3;
+pub const CURRENT_FORMAT: u64 = 3;
 /// The first format with standing jobs.
 const STANDING_FORMAT: u64 = 2;
-/// The format that all controllers know. Only [`super::rollback`] takes it away.
-pub const LEVEL_KEY: &str = "level";
+/// The format that all controllers know. Only [`super::version_rollback`] takes it away.
+pub const FEATURE_LEVEL_KEY: &str = "level";
 /// What each running process knows: vanishes with it.
 const MEMBERS_PREFIX: &str = "members/";
 const STATEMENT_LIFE: Micros = Micros::from_secs(20);
@@ -34,18 +37,18 @@
 
 /// The stored level, as this process last read it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Level {
+pub struct FeatureLevel {
     /// All controllers know this format.
     pub format: u64,
-    /// The revision of [`LEVEL_KEY`], 0 while it is absent.
+    /// The revision of [`FEATURE_LEVEL_KEY`], 0 while it is absent.
     pub revision: u64,
 }
 
-impl Level {
-    fn read(row: Option<&Row>) -> Level {
+impl FeatureLevel {
+    fn read(row: Option<&KeyValue>) -> FeatureLevel {
         let known = row.and_then(|row| Some((from_value(&row.data)?, row.revision)));
         let (format, revision) = known.unwrap_or((0, row.map_or(0, |row| row.revision)));
-        Level { format, revision }
+        FeatureLevel { format, revision }
     }
 
     /// Standing jobs may be accepted.
@@ -54,8 +57,8 @@
     }
 
     /// Holds as long as the level was not taken back. Every acceptance of a standing job carries it.
-    pub fn guard(self) -> Guard {
-        Guard::new(LEVEL_KEY, self.revision)
+    pub fn precondition(self) -> Precondition {
+        Precondition::new(FEATURE_LEVEL_KEY, self.revision)
     }
 }
 
@@ -69,13 +72,13 @@
 
 impl Controller {
     /// The format that all controllers are known to know.
-    pub fn level(&self) -> Level {
-        *self.level.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn feature_level(&self) -> FeatureLevel {
+        *self.feature_level.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn note_level(&self, level: Level) {
+    fn note_level(&self, level: FeatureLevel) {
         let before = std::mem::replace(
-            &mut *self.level.lock().unwrap_or_else(|e| e.into_inner()),
+            &mut *self.feature_level.lock().unwrap_or_else(|e| e.into_inner()),
             level,
         );
         if level.format != before.format {
@@ -84,13 +87,13 @@
     }
 
     /// States this process's format until all have stated it.
-    pub fn level_loop(&self) {
+    pub fn feature_level_loop(&self) {
         let mut statement = Statement::default();
-        while self.level().format < FORMAT {
+        while self.feature_level().format < CURRENT_FORMAT {
             if let Err(e) = self.raise_level(&mut statement) {
                 log::debug!("level of the controllers unknown: {e}");
             }
-            if self.level().format < FORMAT {
+            if self.feature_level().format < CURRENT_FORMAT {
                 pause(&*self.os, EVERY_MS / 2, EVERY_MS);
             }
         }
@@ -100,10 +103,10 @@
     }
 
     fn raise_level(&self, statement: &mut Statement) -> Result<(), StoreError> {
-        let row = self.store.get(LEVEL_KEY, Urgency::Normal)?;
-        let level = Level::read(row.as_ref());
+        let row = self.store.get(FEATURE_LEVEL_KEY, RequestPriority::Normal)?;
+        let level = FeatureLevel::read(row.as_ref());
         self.note_level(level);
-        if level.format >= FORMAT {
+        if level.format >= CURRENT_FORMAT {
             return Ok(());
         }
         self.keep_statement(statement)?;
@@ -114,7 +117,7 @@
         }
         match self.guards_of_all(&stated) {
             Ok(mut guards) => {
-                guards.push(level.guard());
+                guards.push(level.precondition());
                 self.fence_earlier_versions(guards)
             }
             Err(missing) => {
@@ -128,7 +131,7 @@
     fn keep_statement(&self, statement: &mut Statement) -> Result<(), StoreError> {
         if let Some(lease) = statement.lease {
             return match self.store.renew_lease(lease, RENEW_TIME) {
-                Err(StoreError::NoLease) => {
+                Err(StoreError::LeaseExpired) => {
                     statement.lease = None;
                     Ok(())
                 }
@@ -138,35 +141,39 @@
         let lease = self.store.grant_lease(STATEMENT_LIFE)?;
         let change = Change::Write {
             write: format!("{MEMBERS_PREFIX}{}", self.settings.node),
-            data: to_value(&FORMAT),
-            lease: Some(lease),
+            data: to_value(&CURRENT_FORMAT),
+            lease_id: Some(lease),
         };
-        self.store.transact(&[], &[change], Urgency::Normal)?;
+        self.store
+            .transact(&[], &[change], RequestPriority::Normal)?;
         statement.lease = Some(lease);
         Ok(())
     }
 
     /// By member, the format that it states and the revision of the statement.
-    fn read_statements(&self) -> Result<BTreeMap<String, Level>, StoreError> {
+    fn read_statements(&self) -> Result<BTreeMap<String, FeatureLevel>, StoreError> {
         let page = self
             .store
-            .range(MEMBERS_PREFIX, None, 100, Urgency::Normal)?;
-        let statement = |row: &Row| {
+            .range(MEMBERS_PREFIX, None, 100, RequestPriority::Normal)?;
+        let statement = |row: &KeyValue| {
             let node = row.key.strip_prefix(MEMBERS_PREFIX)?;
-            Some((node.to_string(), Level::read(Some(row))))
+            Some((node.to_string(), FeatureLevel::read(Some(row))))
         };
         Ok(page.rows.iter().filter_map(statement).collect())
     }
 
     /// Guards that hold while all members state this version's format; else those that don't.
-    fn guards_of_all(&self, stated: &BTreeMap<String, Level>) -> Result<Vec<Guard>, Vec<&str>> {
+    fn guards_of_all(
+        &self,
+        stated: &BTreeMap<String, FeatureLevel>,
+    ) -> Result<Vec<Precondition>, Vec<&str>> {
         let members = self.settings.members.iter().map(|m| m.node.as_str());
         let (mut guards, mut missing) = (Vec::new(), Vec::new());
         for node in members.chain([self.settings.node.as_str()]) {
             match stated.get(node) {
-                Some(statement) if statement.format >= FORMAT => {
+                Some(statement) if statement.format >= CURRENT_FORMAT => {
                     let key = format!("{MEMBERS_PREFIX}{node}");
-                    guards.push(Guard::new(key, statement.revision));
+                    guards.push(Precondition::new(key, statement.revision));
                 }
                 _ => missing.push(node),
             }
@@ -184,7 +191,7 @@
         if now - last > TELL_EVERY {
             statement.told = Some(now);
             let names = missing.join(", ");
-            log::info!("format {FORMAT} waits until {names} knows it");
+            log::info!("format {CURRENT_FORMAT} waits until {names} knows it");
         }
     }
 
@@ -195,30 +202,31 @@
     /// behind the fence, so the transaction guards the lead of this version: a term and a leader of the
     /// same revision were written together, and only this version's terms tell when earlier ones led. A
     /// term that was raised since names the revision of the leader that raised it.
-    fn fence_earlier_versions(&self, mut guards: Vec<Guard>) -> Result<(), StoreError> {
+    fn fence_earlier_versions(&self, mut guards: Vec<Precondition>) -> Result<(), StoreError> {
         let (Some(term_row), Some(leader_row)) = (
-            self.store.get(TERM_KEY, Urgency::Normal)?,
-            self.store.get(LEADER_KEY, Urgency::Normal)?,
+            self.store.get(TERM_KEY, RequestPriority::Normal)?,
+            self.store.get(LEADER_KEY, RequestPriority::Normal)?,
         ) else {
             return Ok(());
         };
-        let term = TermRecord::read(Some(&term_row))?;
+        let term = TermCounter::read(Some(&term_row))?;
         let led_by_this_version = term.older_version_led_at < term_row.revision
             && term.is_of_leader(term_row.revision, leader_row.revision);
         if !led_by_this_version && !term.fenced {
             return Ok(());
         }
-        guards.push(Guard::new(TERM_KEY, term_row.revision));
-        guards.push(Guard::new(LEADER_KEY, leader_row.revision));
+        guards.push(Precondition::new(TERM_KEY, term_row.revision));
+        guards.push(Precondition::new(LEADER_KEY, leader_row.revision));
         let changes = [
-            Change::write(LEVEL_KEY, to_value(&FORMAT)),
+            Change::write(FEATURE_LEVEL_KEY, to_value(&CURRENT_FORMAT)),
             Change::write(TERM_KEY, term.in_form(true).to_value()),
         ];
-        if let Commit::Done { revision } =
-            self.store.transact(&guards, &changes, Urgency::Normal)?
+        if let TransactionOutcome::Committed { revision } =
+            self.store
+                .transact(&guards, &changes, RequestPriority::Normal)?
         {
-            self.note_level(Level {
-                format: FORMAT,
+            self.note_level(FeatureLevel {
+                format: CURRENT_FORMAT,
                 revision,
             });
         }
--- a/src/leadership/term.rs
+++ b/src/leadership/term_counter.rs
@@ -2,10 +2,10 @@
 //!
 //! Taking the lead raises the counter, so a controller that can't read it can't lead. Earlier versions
 //! read the *open* form only. Once every controller knows the newest record format, the counter is
-//! rewritten in the *fenced* form (see [`super::level`]); from then on no earlier version can take the
+//! rewritten in the *fenced* form (see [`super::feature_level`]); from then on no earlier version can take the
 //! lead, whichever process of it comes back.
 
-use crate::state_store::{Row, StoreError, from_value, to_value};
+use crate::store::{KeyValue, StoreError, from_value, to_value};
 use serde::{Deserialize, Serialize};
 
 pub const TERM_KEY: &str = "term";
@@ -34,7 +34,7 @@
 
 /// The counter of terms as this version works with it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TermRecord {
+pub struct TermCounter {
     pub term: u64,
     /// It is stored in a form that earlier versions can't read.
     pub fenced: bool,
@@ -46,15 +46,15 @@
     pub raised_by: Option<u64>,
 }
 
-impl TermRecord {
+impl TermCounter {
     /// Reads the counter; without a row nobody has ever led.
-    pub fn read(row: Option<&Row>) -> Result<TermRecord, StoreError> {
+    pub fn read(row: Option<&KeyValue>) -> Result<TermCounter, StoreError> {
         let Some(row) = row else {
-            return Ok(TermRecord::default());
+            return Ok(TermCounter::default());
         };
-        let malformed = || StoreError::Unknown("malformed term".into());
+        let malformed = || StoreError::OutcomeUnknown("malformed term".into());
         let value: TermValue = from_value(&row.data).ok_or_else(malformed)?;
-        Ok(TermRecord {
+        Ok(TermCounter {
             term: value.fenced_term.or(value.term).ok_or_else(malformed)?,
             fenced: value.fenced_term.is_some(),
             // Whoever leaves the field out is an earlier version, which leads since then.
@@ -64,8 +64,8 @@
     }
 
     /// The counter once the next leader has taken the lead.
-    pub fn next(self) -> TermRecord {
-        TermRecord {
+    pub fn next(self) -> TermCounter {
+        TermCounter {
             term: self.term + 1,
             raised_by: None,
             ..self
@@ -73,8 +73,8 @@
     }
 
     /// The counter once the leader that took the lead at this revision has raised it for a fencing token.
-    pub fn raised(self, lead_revision: u64) -> TermRecord {
-        TermRecord {
+    pub fn raised(self, lead_revision: u64) -> TermCounter {
+        TermCounter {
             term: self.term + 1,
             raised_by: Some(lead_revision),
             ..self
@@ -88,8 +88,8 @@
     }
 
     /// The same counter in the form that only this version reads, or in the one that all read.
-    pub fn in_form(self, fenced: bool) -> TermRecord {
-        TermRecord { fenced, ..self }
+    pub fn in_form(self, fenced: bool) -> TermCounter {
+        TermCounter { fenced, ..self }
     }
 
     pub fn to_value(self) -> ciborium::Value {
--- a/src/leadership/rollback.rs
+++ b/src/leadership/version_rollback.rs
@@ -1,14 +1,16 @@
-//! Going back to an earlier version: what [`super::level`] wrote is taken back.
+//! Going back to an earlier version: what [`super::feature_level`] wrote is taken back.
 //!
 //! Meant for an operator, with all controllers stopped. Earlier versions don't know standing jobs, so none
 //! may be on record.
 
-use super::level::LEVEL_KEY;
-use super::term::{TERM_KEY, TermRecord};
+use super::feature_level::FEATURE_LEVEL_KEY;
+use super::term_counter::{TERM_KEY, TermCounter};
 use super::{LEADER_KEY, LeaderRecord};
 use crate::jobs::JOBS_PREFIX;
 use crate::jobs::spec::{Shape, Submission};
-use crate::state_store::{Change, Commit, Guard, Store, StoreError, Urgency, from_value};
+use crate::store::{
+    Change, Precondition, RequestPriority, Store, StoreError, TransactionOutcome, from_value,
+};
 
 const PAGE: usize = 100;
 
@@ -28,35 +30,40 @@
 /// Lets controllers of earlier versions take the lead again. New standing jobs are refused from then on,
 /// until all controllers know them once more.
 pub fn allow_earlier_versions(store: &Store) -> Result<(), RollbackError> {
-    if let Some(leader) = store.get(LEADER_KEY, Urgency::LeaderLease)? {
+    if let Some(leader) = store.get(LEADER_KEY, RequestPriority::Leadership)? {
         let record: Option<LeaderRecord> = from_value(&leader.data);
         let node = record.map_or("a controller".into(), |r| r.node);
         return Err(RollbackError::StillLed(node));
     }
-    let level = store.get(LEVEL_KEY, Urgency::LeaderLease)?;
-    let term_row = store.get(TERM_KEY, Urgency::LeaderLease)?;
+    let level = store.get(FEATURE_LEVEL_KEY, RequestPriority::Leadership)?;
+    let term_row = store.get(TERM_KEY, RequestPriority::Leadership)?;
     refuse_standing_jobs(store)?;
-    let term = TermRecord::read(term_row.as_ref())?;
+    let term = TermCounter::read(term_row.as_ref())?;
     let guards = [
-        Guard::new(LEADER_KEY, 0),
-        Guard::new(TERM_KEY, term_row.map_or(0, |row| row.revision)),
-        Guard::new(LEVEL_KEY, level.map_or(0, |row| row.revision)),
+        Precondition::new(LEADER_KEY, 0),
+        Precondition::new(TERM_KEY, term_row.map_or(0, |row| row.revision)),
+        Precondition::new(FEATURE_LEVEL_KEY, level.map_or(0, |row| row.revision)),
     ];
     let changes = [
         Change::write(TERM_KEY, term.in_form(false).to_value()),
-        Change::delete(LEVEL_KEY),
+        Change::delete(FEATURE_LEVEL_KEY),
     ];
-    match store.transact(&guards, &changes, Urgency::LeaderLease)? {
+    match store.transact(&guards, &changes, RequestPriority::Leadership)? {
         // A controller that still runs may have accepted one between the look and the write.
-        Commit::Done { .. } => refuse_standing_jobs(store),
-        Commit::Conflict { .. } => Err(RollbackError::Changed),
+        TransactionOutcome::Committed { .. } => refuse_standing_jobs(store),
+        TransactionOutcome::Conflict { .. } => Err(RollbackError::Changed),
     }
 }
 
 fn refuse_standing_jobs(store: &Store) -> Result<(), RollbackError> {
     let mut since: Option<String> = None;
     loop {
-        let page = store.range(JOBS_PREFIX, since.as_deref(), PAGE, Urgency::LeaderLease)?;
+        let page = store.range(
+            JOBS_PREFIX,
+            since.as_deref(),
+            PAGE,
+            RequestPriority::Leadership,
+        )?;
         let jobs = page.rows.iter();
         let mut jobs = jobs.filter_map(|row| from_value::<Submission>(&row.data));
         if let Some(job) = jobs.find(|job| job.shape == Shape::Standing) {
--- a/src/links/command.rs
+++ b/src/links/command.rs
@@ -1,6 +1,6 @@
 //! `aspenreel links`: what each controller believes about its links, for a person or a script.
 
-use crate::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
+use crate::peer::{PeerReply, PeerRequest, PeerTransport, TcpTransport};
 use crate::settings::Settings;
 use aspenreel_links::evidence::NodeName;
 use aspenreel_links::report::{LinkReport, LinkRow, PeerRow, ReportError};
@@ -88,7 +88,7 @@
 }
 
 fn ask(addr: SocketAddr, timeout: Duration) -> Result<LinkReport, NoReport> {
-    let reply = TcpPeer::new(addr).ask(&PeerRequest::LinkReport, timeout);
+    let reply = TcpTransport::new(addr).call(&PeerRequest::LinkReport, timeout);
     match reply {
         Ok(PeerReply::LinkReport { report }) => LinkReport::decode(&report)
             .map_err(|e: ReportError| NoReport::Unreadable(e.to_string())),
--- a/src/links/exchange.rs
+++ b/src/links/exchange.rs
@@ -2,8 +2,8 @@
 
 use super::{Links, lock};
 use crate::controller::Controller;
-use crate::leadership::peer::{Exchange, PeerReply};
-use crate::state_store::{Change, Guard, Urgency, from_value, to_value};
+use crate::peer::{PeerReply, ViewExchange};
+use crate::store::{Change, Precondition, RequestPriority, from_value, to_value};
 use crate::time::{Micros, Moment};
 use aspenreel_links::evidence::{Link, NodeName, Outcome};
 use aspenreel_links::monitor::LinkState;
@@ -70,11 +70,13 @@
         let wanted = |link| lock(&links.tracker).wants_probe(&link, SILENCE, now);
         // What these calls prove is noted where all calls to the state service are made.
         if wanted(Link::StateReads) {
-            let _ = self.store.get(PROBE_KEY, Urgency::Lazy);
+            let _ = self.store.get(PROBE_KEY, RequestPriority::Background);
         }
         if wanted(Link::StateWrites) {
-            let guard = Guard::new(PROBE_KEY, 0);
-            let _ = self.store.transact(&[guard], &[], Urgency::Lazy);
+            let guard = Precondition::new(PROBE_KEY, 0);
+            let _ = self
+                .store
+                .transact(&[guard], &[], RequestPriority::Background);
         }
     }
 
@@ -92,18 +94,18 @@
         state.unanswered.remove(peer);
         let view = links.view_for(peer).encode();
         match client.exchange_views(view, ASK_TIME) {
-            Exchange::View(bytes) => {
+            ViewExchange::View(bytes) => {
                 state.not_offered.remove(peer);
                 let result = lock(&links.views).take(peer, &bytes, asked);
                 if let Err(error) = result {
                     links.tell_rejected(&peer.0, error);
                 }
             }
-            Exchange::NotOffered => {
+            ViewExchange::NotOffered => {
                 state.not_offered.insert(peer.clone(), asked);
                 lock(&links.views).not_offered(peer);
             }
-            Exchange::Failed => {
+            ViewExchange::Failed => {
                 state.unanswered.insert(peer.clone(), asked);
             }
         }
@@ -132,7 +134,7 @@
         };
         let key = format!("{VIEWS_PREFIX}{}", links.own);
         let change = Change::write(key, to_value(&stored));
-        let _ = self.store.transact(&[], &[change], Urgency::Normal);
+        let _ = self.store.transact(&[], &[change], RequestPriority::Normal);
     }
 
     /// A leader that hears few workers looks for views of peers that it doesn't reach.
@@ -145,7 +147,10 @@
         if !report.leads || !report.hearing.is_blind() || !links.peers.iter().any(unreached) {
             return;
         }
-        let Ok(page) = self.store.range(VIEWS_PREFIX, None, PAGE, Urgency::Normal) else {
+        let Ok(page) = self
+            .store
+            .range(VIEWS_PREFIX, None, PAGE, RequestPriority::Normal)
+        else {
             return;
         };
         let (now, wall) = (self.now(), self.os.wall());
--- a/src/links/handover.rs
+++ b/src/links/handover.rs
@@ -2,8 +2,8 @@
 
 use super::{Links, lock};
 use crate::controller::Controller;
-use crate::leadership::{HINT_KEY, LEADER_KEY, LeaderLease};
-use crate::state_store::{Change, Urgency, from_value, to_value};
+use crate::leadership::{LEADER_KEY, LeaderLease, PREFERRED_ZONE_KEY};
+use crate::store::{Change, RequestPriority, from_value, to_value};
 use crate::time::Micros;
 use aspenreel_links::election::Candidate;
 use aspenreel_links::evidence::{Link, NodeName};
@@ -19,14 +19,17 @@
 impl Controller {
     /// The last handover on record; None as well if it can't be read.
     fn last_handover(&self) -> Option<HandoverRecord> {
-        let row = self.store.get(HANDOVER_KEY, Urgency::LeaderLease).ok()??;
+        let row = self
+            .store
+            .get(HANDOVER_KEY, RequestPriority::Leadership)
+            .ok()??;
         from_value(&row.data)
     }
 
     /// A planner for a term that begins.
     pub fn plan_handovers(&self) -> Option<HandoverPlanner> {
         self.links.as_ref()?;
-        let last = match self.store.get(HANDOVER_KEY, Urgency::LeaderLease) {
+        let last = match self.store.get(HANDOVER_KEY, RequestPriority::Leadership) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
             // One may have been a moment ago, for all that is known.
             Err(_) => Some(HandoverRecord {
@@ -64,7 +67,7 @@
     /// somebody else leads.
     pub fn hand_over(
         &self,
-        lead: &LeaderLease,
+        leader_lease: &LeaderLease,
         record: &HandoverRecord,
         silent_zone: Option<&str>,
     ) {
@@ -74,12 +77,13 @@
             Change::delete(LEADER_KEY),
         ];
         // Controllers that don't watch links go by this.
-        changes.extend(silent_zone.map(|zone| Change::write(HINT_KEY, to_value(&zone))));
-        match self
-            .store
-            .transact(&[lead.guard()], &changes, Urgency::LeaderLease)
-        {
-            Ok(_) => log::info!("term {} is handed over", lead.term),
+        changes.extend(silent_zone.map(|zone| Change::write(PREFERRED_ZONE_KEY, to_value(&zone))));
+        match self.store.transact(
+            &[leader_lease.precondition()],
+            &changes,
+            RequestPriority::Leadership,
+        ) {
+            Ok(_) => log::info!("term {} is handed over", leader_lease.term),
             Err(e) => log::info!("the handover is not on record: {e}"),
         }
     }
--- a/src/links/watch.rs
+++ b/src/links/watch.rs
@@ -14,7 +14,7 @@
 
 const TICK: Micros = Micros::from_millis(250);
 /// How long a leader that gave the lead up lets others go first.
-pub const ABSTAIN: Micros = Micros::from_secs(40);
+pub const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
 impl Controller {
     /// Drains evidence, keeps the states, and acts on them.
@@ -33,7 +33,7 @@
         let refused = lock(&links.refused).count(now);
         let mut state = self.state();
         let hearing = state
-            .acting(now)
+            .acting_leader(now)
             .map(|(_, scheduler)| scheduler.hearing_both_ways(now));
         let hearing = hearing.unwrap_or(Hearing {
             heard: refused,
@@ -47,14 +47,14 @@
         };
         self.consider_handover(links, &mut state, hearing, now);
         let report = links.report(&mut state, now);
-        let stepping_down = state.step_down;
+        let stepping_down = state.step_down_requested;
         drop(state);
         links.publish(report);
         for change in changes {
             tell(&change);
         }
         if reopened || stepping_down {
-            self.changed.notify_all();
+            self.state_changed.notify_all();
         }
     }
 
@@ -66,10 +66,10 @@
         hearing: Hearing,
         now: Moment,
     ) {
-        let Some((lead, scheduler)) = state.acting(now) else {
+        let Some((leader_lease, scheduler)) = state.acting_leader(now) else {
             return;
         };
-        let (term, wall) = (lead.term, self.os.wall());
+        let (term, wall) = (leader_lease.term, self.os.wall());
         let settled = scheduler.hearing_is_settled(now);
         let silent_beyond = links.silent_beyond(&scheduler.silent_by_zone(now));
         let state_writes = lock(&links.tracker).state(&Link::StateWrites);
@@ -92,8 +92,8 @@
         };
         log::info!("{}: handing over to {}", handover.reason, handover.to);
         state.handover = Some(planner.record(&handover, term, wall, &links.settings));
-        state.step_down = true;
-        state.abstain_until = now + ABSTAIN;
+        state.step_down_requested = true;
+        state.candidacy_paused_until = now + CANDIDACY_PAUSE;
     }
 }
 
@@ -124,7 +124,7 @@
     }
 
     fn report(&self, state: &mut ControllerState, now: Moment) -> LinkReport {
-        let leads = state.acting(now).is_some();
+        let leads = state.acting_leader(now).is_some();
         let leader = state.known_leader.as_ref();
         let tracker = lock(&self.tracker);
         let views = lock(&self.views);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,10 @@
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
 use aspenreel::controller::Controller;
-use aspenreel::leadership::rollback::allow_earlier_versions;
+use aspenreel::leadership::version_rollback::allow_earlier_versions;
 use aspenreel::links::command::{ask_for_links, exit_code, links_json, links_table};
 use aspenreel::os::System;
 use aspenreel::settings::Settings;
-use aspenreel::state_store::Store;
+use aspenreel::store::Store;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/os.rs
+++ b/src/os.rs
@@ -5,7 +5,7 @@
 //! calls of its own, and everything else is the code that runs in production.
 
 use crate::http::client::{CallError, Client};
-use crate::leadership::peer::{PeerLink, TcpPeer};
+use crate::peer::{PeerTransport, TcpTransport};
 use crate::time::{Clock, Micros, Moment, WallTime};
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -19,7 +19,7 @@
     /// A client of one address that speaks HTTP.
     fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
     /// A link to one other controller.
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink>;
+    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerTransport>;
 }
 
 pub trait HttpClient: Send + Sync {
@@ -69,8 +69,8 @@
         Arc::new(Client::new(addr))
     }
 
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
-        Arc::new(TcpPeer::new(addr))
+    fn peer(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
+        Arc::new(TcpTransport::new(addr))
     }
 }
 
--- a/src/leadership/peer.rs
+++ b/src/peer/mod.rs
@@ -56,7 +56,7 @@
 
 /// What came of asking a peer for its view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Exchange {
+pub enum ViewExchange {
     /// Its view, as it was sent.
     View(Vec<u8>),
     /// It answers other questions, but not this one.
@@ -85,37 +85,37 @@
 }
 
 /// A way to ask one peer.
-pub trait PeerLink: Send + Sync {
-    fn ask(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply>;
+pub trait PeerTransport: Send + Sync {
+    fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply>;
 }
 
 /// A client of one peer.
 pub struct PeerClient {
-    link: Arc<dyn PeerLink>,
+    link: Arc<dyn PeerTransport>,
     os: Arc<dyn Os>,
     /// When it last let a status question run out of time.
     timed_out: Mutex<Option<Moment>>,
-    left_alone: Micros,
+    backoff: Micros,
     /// Where it is noted what questions showed of the link.
     evidence: Option<(Link, Arc<EvidenceSink>)>,
 }
 
 /// After a question that ran out of time a peer isn't asked for this long. It may be gone; or it has
 /// more to do than processor, and answers to whoever has given up would take what is left of it.
-const LEFT_ALONE: Micros = Micros::from_secs(1);
+const BACKOFF: Micros = Micros::from_secs(1);
 
 impl PeerClient {
     pub fn new(os: Arc<dyn Os>, addr: SocketAddr) -> Self {
-        PeerClient::leaving_alone(os, addr, LEFT_ALONE)
+        PeerClient::with_backoff(os, addr, BACKOFF)
     }
 
     /// A client that leaves a peer alone for so long.
-    pub fn leaving_alone(os: Arc<dyn Os>, addr: SocketAddr, left_alone: Micros) -> Self {
+    pub fn with_backoff(os: Arc<dyn Os>, addr: SocketAddr, backoff: Micros) -> Self {
         PeerClient {
             link: os.peer(addr),
             os,
             timed_out: Mutex::new(None),
-            left_alone,
+            backoff,
             evidence: None,
         }
     }
@@ -141,22 +141,22 @@
     }
 
     /// Sends a view and asks for the peer's.
-    pub fn exchange_views(&self, view: Vec<u8>, timeout: Duration) -> Exchange {
-        let result = self.link.ask(&PeerRequest::Links { view }, timeout);
+    pub fn exchange_views(&self, view: Vec<u8>, timeout: Duration) -> ViewExchange {
+        let result = self.link.call(&PeerRequest::Links { view }, timeout);
         match result {
             Ok(PeerReply::Links { view }) => {
                 self.note_evidence(&Ok(()));
-                Exchange::View(view)
+                ViewExchange::View(view)
             }
             Ok(_) => {
                 self.note_evidence(&Ok(()));
-                Exchange::NotOffered
+                ViewExchange::NotOffered
             }
             // An earlier version closes the connection on a request that it doesn't know.
-            Err(e) if !is_timeout(&e) && self.answers(timeout) => Exchange::NotOffered,
+            Err(e) if !is_timeout(&e) && self.is_reachable(timeout) => ViewExchange::NotOffered,
             Err(e) => {
                 self.note_evidence::<()>(&Err(e));
-                Exchange::Failed
+                ViewExchange::Failed
             }
         }
     }
@@ -165,10 +165,10 @@
     pub fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
         let timed_out = || self.timed_out.lock().unwrap_or_else(|e| e.into_inner());
         let asked = self.os.now();
-        if timed_out().is_some_and(|at| asked - at < self.left_alone) {
+        if timed_out().is_some_and(|at| asked - at < self.backoff) {
             return Err(ErrorKind::TimedOut.into());
         }
-        let result = self.link.ask(request, timeout);
+        let result = self.link.call(request, timeout);
         self.note_evidence(&result);
         // Only what it answers from memory tells: the others wait for the state service, and a leader
         // that is slow for want of it still knows its jobs.
@@ -182,8 +182,8 @@
     }
 
     /// True if the peer answers, whatever became of earlier questions.
-    pub fn answers(&self, timeout: Duration) -> bool {
-        let result = self.link.ask(&PeerRequest::Ping, timeout);
+    pub fn is_reachable(&self, timeout: Duration) -> bool {
+        let result = self.link.call(&PeerRequest::Ping, timeout);
         self.note_evidence(&result);
         result.is_ok()
     }
@@ -195,19 +195,19 @@
 
 /// One peer over TCP, with a few kept connections.
 #[derive(Debug)]
-pub struct TcpPeer {
+pub struct TcpTransport {
     addr: SocketAddr,
     kept: Mutex<Vec<TcpStream>>,
 }
 
-impl PeerLink for TcpPeer {
+impl PeerTransport for TcpTransport {
     /// Asks once. A kept connection may belong to a process that has ended since: then the
     /// request, which can bear to be repeated, goes out on a new one.
-    fn ask(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
+    fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
         let kept = self.kept().pop();
         let since = Instant::now();
         if let Some(stream) = kept {
-            match self.ask_on(stream, request, timeout) {
+            match self.call_on(stream, request, timeout) {
                 Err(e) if !is_timeout(&e) => {
                     self.kept().clear();
                 }
@@ -220,13 +220,13 @@
         }
         let stream = TcpStream::connect_timeout(&self.addr, left)?;
         let _ = stream.set_nodelay(true);
-        self.ask_on(stream, request, left)
+        self.call_on(stream, request, left)
     }
 }
 
-impl TcpPeer {
+impl TcpTransport {
     pub fn new(addr: SocketAddr) -> Self {
-        TcpPeer {
+        TcpTransport {
             addr,
             kept: Mutex::new(Vec::new()),
         }
@@ -236,7 +236,7 @@
         self.kept.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn ask_on(
+    fn call_on(
         &self,
         mut stream: TcpStream,
         request: &PeerRequest,
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode, json_len};
 use crate::os::pause;
-use crate::state_store::{Change, Urgency, from_value, to_value};
+use crate::store::{Change, RequestPriority, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     fn cloud_call(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let now = self.now();
         {
-            let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
+            let mut tokens = self.cloud_bucket.lock().unwrap_or_else(|e| e.into_inner());
             if !tokens.take(1.0, now) {
                 return None;
             }
@@ -36,7 +36,7 @@
         match self.cloud.call(method, path, body, CALL_TIME) {
             Ok((429, _)) => {
                 let pause = Micros::from_millis(500 + fastrand::u64(0..500));
-                let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
+                let mut tokens = self.cloud_bucket.lock().unwrap_or_else(|e| e.into_inner());
                 tokens.punish(pause, now);
                 None
             }
@@ -53,7 +53,7 @@
         let rate = self.settings.settings.cloud.rps;
         let wait = Micros::from_secs_f64(1.0 / rate);
         let empty = || {
-            let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
+            let mut tokens = self.cloud_bucket.lock().unwrap_or_else(|e| e.into_inner());
             tokens.available(self.now()) < 1.0
         };
         while empty() && self.now() < until {
@@ -94,7 +94,7 @@
     /// and even while the cloud is down, else from the cloud; then from the cloud now and then.
     pub fn catalog_loop(&self) {
         while self.catalog().is_none() {
-            if let Ok(Some(row)) = self.store.get(CATALOG_KEY, Urgency::Normal)
+            if let Ok(Some(row)) = self.store.get(CATALOG_KEY, RequestPriority::Normal)
                 && let Some(catalog) = from_value::<Catalog>(&row.data)
                 && !catalog.builds.is_empty()
             {
@@ -113,7 +113,7 @@
         }
     }
 
-    pub fn fleet_loop(&self) {
+    pub fn cloud_sync_loop(&self) {
         let mut last_catalog: Option<Moment> = None;
         let mut saved_term = 0;
         let mut list_pages = 1;
@@ -122,7 +122,7 @@
             let now = self.now();
             let (list_due, term) = {
                 let mut state = self.state();
-                let Some((lead, scheduler)) = state.acting(now) else {
+                let Some((leader_lease, scheduler)) = state.acting_leader(now) else {
                     continue;
                 };
                 let every = if scheduler.prior_term.released {
@@ -135,7 +135,7 @@
                     .provisioning
                     .last_list
                     .is_none_or(|t| now - t >= every);
-                (due, lead.term)
+                (due, leader_lease.term)
             };
             let catalog_due = last_catalog.is_none_or(|t| now - t > CATALOG_EVERY);
             if (catalog_due || saved_term != term)
@@ -157,7 +157,7 @@
 
     /// Keeps a copy, so that a restarted node can take submissions while the cloud is down.
     fn save_catalog(&self, catalog: &Catalog) -> bool {
-        let Some(guard) = self.state().lead.as_ref().map(|l| l.guard()) else {
+        let Some(guard) = self.state().leader_lease.as_ref().map(|l| l.precondition()) else {
             return false;
         };
         let data = to_value(catalog);
@@ -167,7 +167,7 @@
         }
         let change = Change::write(CATALOG_KEY, data);
         self.store
-            .transact(&[guard], &[change], Urgency::Lazy)
+            .transact(&[guard], &[change], RequestPriority::Background)
             .is_ok()
     }
 
@@ -206,7 +206,7 @@
             }
         }
         let now = self.now();
-        if let Some((_, scheduler)) = self.state().acting(now) {
+        if let Some((_, scheduler)) = self.state().acting_leader(now) {
             scheduler.listed(&list, asked, now);
             self.wake(scheduler);
         }
@@ -217,7 +217,7 @@
         let now = self.now();
         let rental_requests = {
             let mut state = self.state();
-            let Some((_, scheduler)) = state.acting(now) else {
+            let Some((_, scheduler)) = state.acting_leader(now) else {
                 return;
             };
             scheduler.plan_rentals(now);
@@ -225,7 +225,7 @@
         };
         for request in rental_requests {
             let now = self.now();
-            if self.state().acting(now).is_none() {
+            if self.state().acting_leader(now).is_none() {
                 return;
             }
             log::info!(
@@ -260,7 +260,7 @@
             };
             let failed = matches!(result, RentalResult::Unknown);
             let now = self.now();
-            if let Some((_, scheduler)) = self.state().acting(now) {
+            if let Some((_, scheduler)) = self.state().acting_leader(now) {
                 scheduler.rental_answered(&request.name, result, now);
             }
             if failed {
@@ -274,7 +274,7 @@
         let now = self.now();
         let names = {
             let mut state = self.state();
-            let Some((_, scheduler)) = state.acting(now) else {
+            let Some((_, scheduler)) = state.acting_leader(now) else {
                 return;
             };
             scheduler.plan_returns(now)
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -10,7 +10,7 @@
 use crate::jobs::rounds::{Write, WriteKind, page_write};
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
-use crate::state_store::pages::Pages;
+use crate::store::paged_map::PagedMap;
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
 
@@ -81,7 +81,7 @@
     /// Machines that may hold tasks. A machine is written down before its first one, as soon as
     /// it is heard from. Sooner would spare its first task a wait, but a takeover then waits for
     /// every machine that is still booting, and some machine nearly always is.
-    pub registry: Pages<u64>,
+    pub registry: PagedMap<u64>,
 }
 
 /// The key prefix of the roster: machines that may hold tasks, and until when they surely existed,
@@ -99,7 +99,7 @@
     /// Nothing known yet; pages of the registry hold at most so many bytes.
     pub fn new(value_bytes: usize) -> Provisioning {
         Provisioning {
-            registry: Pages::new(value_bytes),
+            registry: PagedMap::new(value_bytes),
             ..Provisioning::default()
         }
     }
@@ -185,7 +185,7 @@
     /// Pages of the roster that differ from what is stored; without `tidy` only those with new
     /// machines.
     pub fn pending_registry_writes(&self, tidy: bool) -> Vec<Write> {
-        let due = self.provisioning.registry.due(tidy).into_iter();
+        let due = self.provisioning.registry.pages_due(tidy).into_iter();
         due.map(|image| page_write(REGISTRY_PREFIX, image, WriteKind::Registry))
             .collect()
     }
--- a/src/state_store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The state service: transactions, holds and watches, behind this node's share of the tokens.
 
-pub mod bucket;
-pub mod pages;
+pub mod paged_map;
+pub mod token_bucket;
 
 use crate::http::cbor::{decode, encode};
 use crate::http::client::CallError;
@@ -9,32 +9,32 @@
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
 use aspenreel_links::evidence::{Failure, Link, Outcome};
-use bucket::TokenBucket;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use token_bucket::TokenBucket;
 
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// Surely not executed: refused, out of tokens, or never sent.
     #[error("state service refused: {0}")]
-    Refused(String),
+    NotExecuted(String),
     /// May have been executed, or may yet be: read back before deciding anything from it.
     #[error("state service gave no answer: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
     #[error("the lease has ended")]
-    NoLease,
+    LeaseExpired,
     /// A watch that is too old.
     #[error("the watch is too old")]
-    TooOld,
+    WatchExpired,
 }
 
 /// One key's value.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     pub key: String,
     pub data: Value,
     #[serde(rename = "stamp")]
@@ -42,23 +42,23 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Page {
-    pub rows: Vec<Row>,
+pub struct RangePage {
+    pub rows: Vec<KeyValue>,
     pub more: bool,
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Guard {
+pub struct Precondition {
     pub key: String,
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-impl Guard {
+impl Precondition {
     pub fn new(key: impl Into<String>, revision: u64) -> Self {
-        Guard {
+        Precondition {
             key: key.into(),
             revision,
         }
@@ -72,7 +72,7 @@
         write: String,
         data: Value,
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease_id: Option<u64>,
     },
     Delete {
         delete: String,
@@ -84,7 +84,7 @@
         Change::Write {
             write: key.into(),
             data,
-            lease: None,
+            lease_id: None,
         }
     }
     pub fn delete(key: impl Into<String>) -> Self {
@@ -93,8 +93,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Commit {
-    Done {
+pub enum TransactionOutcome {
+    Committed {
         revision: u64,
     },
     /// Keys whose guards failed; nothing was changed.
@@ -105,7 +105,7 @@
 
 /// One line of a watch.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     #[serde(default)]
     pub write: Option<String>,
     #[serde(default)]
@@ -117,22 +117,22 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Changes {
+pub struct WatchBatch {
     #[serde(rename = "epoch")]
     pub revision: u64,
-    pub log: Vec<Event>,
+    pub log: Vec<WatchEvent>,
 }
 
 /// Who asks decides how far the bucket may be emptied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
+pub enum RequestPriority {
     /// Renewing the lease and taking the lead never wait behind anything.
-    LeaderLease,
+    Leadership,
     /// A write that another bucket has let through: reads for users can't keep it out.
-    Granted,
+    Admitted,
     Normal,
     /// Leaves half of the tokens to the others.
-    Lazy,
+    Background,
 }
 
 pub struct Store {
@@ -140,8 +140,8 @@
     os: Arc<dyn Os>,
     requests: Mutex<TokenBucket>,
     /// When it last answered, and when it last did not, in microseconds of this node's clock.
-    last_answer: AtomicU64,
-    last_silence: AtomicU64,
+    last_answered_at: AtomicU64,
+    last_failed_at: AtomicU64,
     /// Where it is noted what calls showed of the links.
     evidence: Option<Arc<EvidenceSink>>,
 }
@@ -167,8 +167,8 @@
             client: os.http(addr),
             os,
             requests: Mutex::new(bucket),
-            last_answer: AtomicU64::new(0),
-            last_silence: AtomicU64::new(0),
+            last_answered_at: AtomicU64::new(0),
+            last_failed_at: AtomicU64::new(0),
             evidence: None,
         }
     }
@@ -198,14 +198,14 @@
     }
 
     /// When it last answered this node with anything but a refusal.
-    pub fn last_answer(&self) -> Moment {
-        Moment(self.last_answer.load(Ordering::Relaxed))
+    pub fn last_answered_at(&self) -> Moment {
+        Moment(self.last_answered_at.load(Ordering::Relaxed))
     }
 
     /// False while its last word was none: others may reach it sooner than another try does.
-    pub fn answers(&self, now: Moment) -> bool {
-        let silence = Moment(self.last_silence.load(Ordering::Relaxed));
-        self.last_answer() >= silence || now - silence > SILENCE_COUNTS
+    pub fn is_answering(&self, now: Moment) -> bool {
+        let silence = Moment(self.last_failed_at.load(Ordering::Relaxed));
+        self.last_answered_at() >= silence || now - silence > SILENCE_COUNTS
     }
 
     fn bucket(&self) -> std::sync::MutexGuard<'_, TokenBucket> {
@@ -217,22 +217,24 @@
         method: &str,
         path: &str,
         body: &[u8],
-        urgency: Urgency,
+        urgency: RequestPriority,
         timeout: Duration,
     ) -> Result<(u16, Vec<u8>), StoreError> {
         let now = self.os.now();
         {
             let mut bucket = self.bucket();
             let granted = match urgency {
-                Urgency::LeaderLease | Urgency::Granted => {
+                RequestPriority::Leadership | RequestPriority::Admitted => {
                     bucket.force(1.0, now);
                     true
                 }
-                Urgency::Normal => bucket.take(1.0, now),
-                Urgency::Lazy => bucket.available(now) >= 5.0 && bucket.take(1.0, now),
+                RequestPriority::Normal => bucket.take(1.0, now),
+                RequestPriority::Background => {
+                    bucket.available(now) >= 5.0 && bucket.take(1.0, now)
+                }
             };
             if !granted {
-                return Err(StoreError::Refused("out of tokens".into()));
+                return Err(StoreError::NotExecuted("out of tokens".into()));
             }
         }
         let result = self.client.call(method, path, body, timeout);
@@ -240,42 +242,44 @@
         self.note_evidence(path, &result, answered_at);
         let at = answered_at.0;
         match &result {
-            Ok((503, _)) | Err(_) => self.last_silence.store(at, Ordering::Relaxed),
-            Ok(_) => self.last_answer.store(at, Ordering::Relaxed),
+            Ok((503, _)) | Err(_) => self.last_failed_at.store(at, Ordering::Relaxed),
+            Ok(_) => self.last_answered_at.store(at, Ordering::Relaxed),
         }
         let (status, answer) = result.map_err(|e| match e {
-            CallError::Unsent(e) | CallError::Unreached(e) => StoreError::Refused(e),
-            CallError::Unknown(e) => StoreError::Unknown(e),
+            CallError::Unsent(e) | CallError::Unreached(e) => StoreError::NotExecuted(e),
+            CallError::Unknown(e) => StoreError::OutcomeUnknown(e),
         })?;
         match status {
             429 => {
                 let pause = Micros::from_millis(100 + fastrand::u64(0..100));
                 self.bucket().punish(pause, now);
-                Err(StoreError::Refused("429".into()))
+                Err(StoreError::NotExecuted("429".into()))
             }
-            503 => Err(StoreError::Refused("503".into())),
+            503 => Err(StoreError::NotExecuted("503".into())),
             _ => Ok((status, answer)),
         }
     }
 
     fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-        decode(body).map_err(|e| StoreError::Unknown(e.to_string()))
+        decode(body).map_err(|e| StoreError::OutcomeUnknown(e.to_string()))
     }
 
     fn unexpected<T>(status: u16) -> Result<T, StoreError> {
-        Err(StoreError::Unknown(format!("unexpected status {status}")))
+        Err(StoreError::OutcomeUnknown(format!(
+            "unexpected status {status}"
+        )))
     }
 
-    pub fn get(&self, key: &str, urgency: Urgency) -> Result<Option<Row>, StoreError> {
+    pub fn get(&self, key: &str, urgency: RequestPriority) -> Result<Option<KeyValue>, StoreError> {
         self.get_within(key, urgency, CALL_TIME)
     }
 
     pub fn get_within(
         &self,
         key: &str,
-        urgency: Urgency,
+        urgency: RequestPriority,
         time: Duration,
-    ) -> Result<Option<Row>, StoreError> {
+    ) -> Result<Option<KeyValue>, StoreError> {
         let (status, body) = self.call("GET", &format!("/store/{key}"), &[], urgency, time)?;
         match status {
             200 => Ok(Some(Self::parse(&body)?)),
@@ -289,8 +293,8 @@
         prefix: &str,
         since: Option<&str>,
         most: usize,
-        urgency: Urgency,
-    ) -> Result<Page, StoreError> {
+        urgency: RequestPriority,
+    ) -> Result<RangePage, StoreError> {
         let since = since.map(|s| format!("&since={s}")).unwrap_or_default();
         let path = format!("/store?starts={prefix}{since}&most={most}");
         let (status, body) = self.call("GET", &path, &[], urgency, 2 * CALL_TIME)?;
@@ -302,13 +306,13 @@
 
     pub fn transact(
         &self,
-        guards: &[Guard],
+        guards: &[Precondition],
         apply: &[Change],
-        urgency: Urgency,
-    ) -> Result<Commit, StoreError> {
+        urgency: RequestPriority,
+    ) -> Result<TransactionOutcome, StoreError> {
         #[derive(Serialize)]
         struct Body<'a> {
-            guards: &'a [Guard],
+            guards: &'a [Precondition],
             apply: &'a [Change],
         }
         #[derive(Deserialize)]
@@ -326,20 +330,20 @@
         let body = encode(&Body { guards, apply });
         let (status, body) = self.call("POST", TRANSACTIONS_PATH, &body, urgency, CALL_TIME)?;
         match status {
-            200 => Ok(Commit::Done {
+            200 => Ok(TransactionOutcome::Committed {
                 revision: Self::parse::<Answer>(&body)?.revision,
             }),
-            409 => Ok(Commit::Conflict {
+            409 => Ok(TransactionOutcome::Conflict {
                 failed: Self::parse::<Answer>(&body)?.failed,
             }),
             400 => {
                 let error = decode::<Problem>(&body).ok().and_then(|p| p.error);
                 if error.as_deref() == Some("no such lease") {
-                    Err(StoreError::NoLease)
+                    Err(StoreError::LeaseExpired)
                 } else {
                     let text = error.unwrap_or_else(|| "malformed".into());
                     log::error!("state service calls our transaction malformed: {text}");
-                    Err(StoreError::Refused(text))
+                    Err(StoreError::NotExecuted(text))
                 }
             }
             s => Self::unexpected(s),
@@ -360,7 +364,13 @@
         let body = encode(&Body {
             life_ms: life.0 / 1000,
         });
-        let (status, body) = self.call("POST", "/holds", &body, Urgency::LeaderLease, CALL_TIME)?;
+        let (status, body) = self.call(
+            "POST",
+            "/holds",
+            &body,
+            RequestPriority::Leadership,
+            CALL_TIME,
+        )?;
         match status {
             200 => Ok(Self::parse::<Answer>(&body)?.lease),
             s => Self::unexpected(s),
@@ -370,11 +380,11 @@
     pub fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/renew");
         match self
-            .call("POST", &path, &[], Urgency::LeaderLease, timeout)?
+            .call("POST", &path, &[], RequestPriority::Leadership, timeout)?
             .0
         {
             200 => Ok(()),
-            404 => Err(StoreError::NoLease),
+            404 => Err(StoreError::LeaseExpired),
             s => Self::unexpected(s),
         }
     }
@@ -382,7 +392,7 @@
     pub fn end_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}");
         match self
-            .call("DELETE", &path, &[], Urgency::LeaderLease, CALL_TIME)?
+            .call("DELETE", &path, &[], RequestPriority::Leadership, CALL_TIME)?
             .0
         {
             200..=299 | 404 => Ok(()),
@@ -390,14 +400,14 @@
         }
     }
 
-    pub fn changes(&self, prefix: &str, since: u64, wait: Micros) -> Result<Changes, StoreError> {
+    pub fn watch(&self, prefix: &str, since: u64, wait: Micros) -> Result<WatchBatch, StoreError> {
         let hold_ms = wait.0 / 1000;
         let path = format!("/changes?starts={prefix}&since={since}&holdMs={hold_ms}");
         let timeout = wait.duration() + Duration::from_secs(2);
-        let (status, body) = self.call("GET", &path, &[], Urgency::Normal, timeout)?;
+        let (status, body) = self.call("GET", &path, &[], RequestPriority::Normal, timeout)?;
         match status {
             200 => Self::parse(&body),
-            410 => Err(StoreError::TooOld),
+            410 => Err(StoreError::WatchExpired),
             s => Self::unexpected(s),
         }
     }
--- a/src/state_store/pages.rs
+++ b/src/store/paged_map.rs
@@ -37,16 +37,16 @@
 }
 
 #[derive(Debug)]
-pub struct Pages<V> {
+pub struct PagedMap<V> {
     index: HashMap<String, u32>,
     pages: BTreeMap<u32, Page<V>>,
     /// Bytes that a page may have.
     most: usize,
 }
 
-impl<V> Default for Pages<V> {
+impl<V> Default for PagedMap<V> {
     fn default() -> Self {
-        Pages::new(usize::MAX)
+        PagedMap::new(usize::MAX)
     }
 }
 
@@ -61,10 +61,10 @@
     }
 }
 
-impl<V> Pages<V> {
+impl<V> PagedMap<V> {
     /// Pages of so many bytes at most.
-    pub fn new(most: usize) -> Pages<V> {
-        Pages {
+    pub fn new(most: usize) -> PagedMap<V> {
+        PagedMap {
             index: HashMap::new(),
             pages: BTreeMap::new(),
             most,
@@ -72,7 +72,7 @@
     }
 }
 
-impl<V: Clone + PartialOrd> Pages<V> {
+impl<V: Clone + PartialOrd> PagedMap<V> {
     /// Takes in a page as it was read.
     pub fn load(&mut self, number: u32, revision: u64, entries: Vec<(String, V)>) {
         for (key, value) in &entries {
@@ -154,7 +154,7 @@
     }
 
     /// Pages that somebody waits for, or, with `tidy`, all that differ from what is stored.
-    pub fn due(&self, tidy: bool) -> Vec<PageImage<V>> {
+    pub fn pages_due(&self, tidy: bool) -> Vec<PageImage<V>> {
         self.pages
             .iter()
             .filter(|(_, p)| p.stored < if tidy { p.version } else { p.awaited })
@@ -173,7 +173,7 @@
     }
 
     /// This image was committed at this revision.
-    pub fn written(&mut self, number: u32, version: u64, revision: u64) {
+    pub fn mark_written(&mut self, number: u32, version: u64, revision: u64) {
         if let Some(page) = self.pages.get_mut(&number) {
             page.revision = revision;
             page.stored = page.stored.max(version);
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -70,7 +70,7 @@
         {
             let mut state = self.state();
             let now = self.now();
-            if state.acting(now).is_none() {
+            if state.acting_leader(now).is_none() {
                 state.refused_heartbeats.push_back(now);
                 while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
                     state.refused_heartbeats.pop_front();
@@ -92,10 +92,10 @@
         // The clock is read under the lock: a process may stand still at any point, and what was
         // allowed before it may be another's by now.
         let now = self.now();
-        let Some((lead, scheduler)) = state.acting(now) else {
+        let Some((leader_lease, scheduler)) = state.acting_leader(now) else {
             return self.misdirected(&state);
         };
-        let (term, valid_until) = (lead.term, lead.valid_until);
+        let (term, valid_until) = (leader_lease.term, leader_lease.valid_until);
         match scheduler.heartbeat(&report, now) {
             HeartbeatReply::Commands {
                 fencing_token,
@@ -115,7 +115,7 @@
             HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(1),
             HeartbeatReply::Deposed => {
                 log::info!("a worker knows a higher term than {term}");
-                state.step_down = true;
+                state.step_down_requested = true;
                 Response::busy(1)
             }
         }
@@ -133,7 +133,7 @@
     /// Names the leader only while the state service vouched for it lately: a node that lost
     /// touch would send workers in circles.
     fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
-        let vouched = self.now() - state.leader_seen < VOUCHED;
+        let vouched = self.now() - state.leader_confirmed_at < VOUCHED;
         let leader = state
             .known_leader
             .as_ref()
@@ -146,36 +146,36 @@
     /// Wakes the threads that have something to do after a decision.
     pub fn wake(&self, scheduler: &mut crate::scheduler::SchedulerState) {
         if std::mem::take(&mut scheduler.writes_due) {
-            self.changed.notify_all();
+            self.state_changed.notify_all();
         }
         if !scheduler.commands.due.is_empty() {
-            self.direct_due.notify_one();
+            self.commands_due.notify_one();
         }
     }
 
     /// One of the threads that send orders straight to workers.
-    pub fn direct_loop(&self) {
+    pub fn command_sender_loop(&self) {
         loop {
             let call = {
                 let mut state = self.state();
                 let now = self.now();
                 let call = state
-                    .acting(now)
+                    .acting_leader(now)
                     .and_then(|(_, scheduler)| scheduler.next_direct(now));
                 match call {
                     Some(call) => {
                         if state
-                            .acting(now)
+                            .acting_leader(now)
                             .is_some_and(|(_, c)| !c.commands.due.is_empty())
                         {
-                            self.direct_due.notify_one();
+                            self.commands_due.notify_one();
                         }
                         call
                     }
                     None => {
-                        let ticket = self.direct_due.ticket();
+                        let ticket = self.commands_due.ticket();
                         drop(state);
-                        self.direct_due.wait(ticket, Duration::from_secs(60));
+                        self.commands_due.wait(ticket, Duration::from_secs(60));
                         continue;
                     }
                 }
@@ -196,7 +196,7 @@
         let Ok(addr) = call.addr.parse::<SocketAddr>() else {
             return DirectResult::Unsent;
         };
-        let open = self.open.load(Ordering::Relaxed);
+        let open = self.open_connections.load(Ordering::Relaxed);
         let most = self.settings.settings.quota.kept_clients(open);
         let client = self.workers.get(&*self.os, addr, most);
         let body = encode(&DirectCommands {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,8 +1,8 @@
 //! Small parts by themselves: clocks, kept connections, done sets, links to peers.
 
 use aspenreel::jobs::doneset::TaskSet;
-use aspenreel::leadership::peer::{PeerClient, PeerRequest};
 use aspenreel::os::{HttpClient, Os, Signal, System};
+use aspenreel::peer::{PeerClient, PeerRequest};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
 use aspenreel::workers::edge::WorkerClients;
 use std::net::{SocketAddr, TcpListener};
@@ -38,7 +38,7 @@
     };
     let time = Duration::from_millis(30);
     let os = Arc::new(System::default());
-    let client = PeerClient::leaving_alone(os.clone(), addr, Micros::from_secs(3600));
+    let client = PeerClient::with_backoff(os.clone(), addr, Micros::from_secs(3600));
     let id = || "run-1".to_string();
     let ask = |c: &PeerClient| c.call(&PeerRequest::Status { id: id() }, time);
     assert!(client.call(&PeerRequest::Read { id: id() }, time).is_err());
@@ -47,9 +47,9 @@
     assert_eq!(asked(), 1);
     assert!(ask(&client).is_err());
     assert_eq!(asked(), 0);
-    assert!(!client.answers(time));
+    assert!(!client.is_reachable(time));
     assert_eq!(asked(), 1, "whether it is there is asked all the same");
-    let patient = PeerClient::leaving_alone(os, addr, Micros::ZERO);
+    let patient = PeerClient::with_backoff(os, addr, Micros::ZERO);
     assert!(ask(&patient).is_err() && ask(&patient).is_err());
     assert_eq!(asked(), 2);
 }
@@ -73,7 +73,7 @@
     fn http(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         self.0.http(addr)
     }
-    fn peer(&self, addr: SocketAddr) -> Arc<dyn aspenreel::leadership::peer::PeerLink> {
+    fn peer(&self, addr: SocketAddr) -> Arc<dyn aspenreel::peer::PeerTransport> {
         self.0.peer(addr)
     }
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -14,9 +14,9 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::Client;
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::leadership::{ElectionOutcome, take};
+use aspenreel::leadership::{ElectionOutcome, campaign};
 use aspenreel::os::System;
-use aspenreel::state_store::{Change, Commit, Store, Urgency, to_value};
+use aspenreel::store::{Change, RequestPriority, Store, TransactionOutcome, to_value};
 use aspenreel::time::Micros;
 use aspenreel_testbed::servers::{Cloud, Door, State};
 use ciborium::{Value, cbor};
@@ -332,7 +332,7 @@
     nodes.until(0, "POST", "/work", &job("run-1", 1, 1.0), |s, _| s == 201);
     let store = Store::new(state_addr, 1000.0, Arc::new(System::default()));
     let mark = [Change::write("full", to_value(&true))];
-    assert!(store.transact(&[], &mark, Urgency::Normal).is_ok());
+    assert!(store.transact(&[], &mark, RequestPriority::Normal).is_ok());
     for node in 0..3 {
         let (status, _) = nodes.call(node, "POST", "/work", &job("run-2", 1, 1.0));
         assert_eq!(status, 503);
@@ -340,7 +340,7 @@
         assert_eq!(status, 200);
     }
     let gone = [Change::delete("full")];
-    assert!(store.transact(&[], &gone, Urgency::Normal).is_ok());
+    assert!(store.transact(&[], &gone, RequestPriority::Normal).is_ok());
     nodes.until(1, "POST", "/work", &job("run-2", 1, 1.0), |s, _| s == 201);
 }
 
@@ -349,12 +349,23 @@
 fn reads_do_not_keep_writes_out() {
     let (_state, addr) = State::start();
     let store = Store::new(addr, 1e-6, Arc::new(System::default()));
-    assert!(store.get("jobs/run-1", Urgency::Normal).unwrap().is_none());
-    assert!(store.get("jobs/run-1", Urgency::Normal).is_err());
+    assert!(
+        store
+            .get("jobs/run-1", RequestPriority::Normal)
+            .unwrap()
+            .is_none()
+    );
+    assert!(store.get("jobs/run-1", RequestPriority::Normal).is_err());
     let change = [Change::write("jobs/run-1", to_value(&1))];
-    assert!(store.transact(&[], &change, Urgency::Normal).is_err());
-    let written = store.transact(&[], &change, Urgency::Granted).unwrap();
-    assert!(matches!(written, Commit::Done { .. }));
+    assert!(
+        store
+            .transact(&[], &change, RequestPriority::Normal)
+            .is_err()
+    );
+    let written = store
+        .transact(&[], &change, RequestPriority::Admitted)
+        .unwrap();
+    assert!(matches!(written, TransactionOutcome::Committed { .. }));
 }
 
 /// Whatever an older leader wrote and the network delivers late fails on the leader's revision.
@@ -364,32 +375,40 @@
     let system = Arc::new(System::default());
     let store = Store::new(addr, 1000.0, system.clone());
     let life = Micros::from_secs(60);
-    let ElectionOutcome::Taken(old) = take(&store, &*system, "n-0", life).unwrap() else {
+    let ElectionOutcome::Won(old) = campaign(&store, &*system, "n-0", life).unwrap() else {
         panic!("nobody else stood");
     };
     assert!(matches!(
-        take(&store, &*system, "n-1", life).unwrap(),
+        campaign(&store, &*system, "n-1", life).unwrap(),
         ElectionOutcome::Lost
     ));
-    store.end_lease(old.lease).unwrap();
-    let ElectionOutcome::Taken(new) = take(&store, &*system, "n-1", life).unwrap() else {
+    store.end_lease(old.lease_id).unwrap();
+    let ElectionOutcome::Won(new) = campaign(&store, &*system, "n-1", life).unwrap() else {
         panic!("the lead was free");
     };
     assert_eq!(new.term, old.term + 1);
     let write = |text: &str| Change::write("done/run-1/0", to_value(&text));
     let late = store
-        .transact(&[old.guard()], &[write("old")], Urgency::Normal)
+        .transact(
+            &[old.precondition()],
+            &[write("old")],
+            RequestPriority::Normal,
+        )
         .unwrap();
     assert_eq!(
         late,
-        Commit::Conflict {
+        TransactionOutcome::Conflict {
             failed: vec!["leader".into()]
         }
     );
     let now = store
-        .transact(&[new.guard()], &[write("new")], Urgency::Normal)
+        .transact(
+            &[new.precondition()],
+            &[write("new")],
+            RequestPriority::Normal,
+        )
         .unwrap();
-    assert!(matches!(now, Commit::Done { .. }));
+    assert!(matches!(now, TransactionOutcome::Committed { .. }));
     assert_eq!(state.data("done/run-1/0"), Some(Value::Text("new".into())));
 }
 
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -1,7 +1,7 @@
 //! `aspenreel links`: what it prints and how it exits, whatever it finds at the other ends.
 
 use crate::nodes::{Nodes, leader, newest, serving, spawn, spawn_watching};
-use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
+use aspenreel::peer::{PeerReply, PeerRequest, PeerTransport, TcpTransport};
 use aspenreel::settings::Settings;
 use aspenreel_links::monitor::LinkState;
 use aspenreel_links::view::LinkView;
@@ -178,7 +178,7 @@
     // Node, term and lease.
     let lead = state.data("leader");
     let settings = Settings::load(&nodes.configs[0]).unwrap();
-    let peer = TcpPeer::new(settings.peer_listen);
+    let peer = TcpTransport::new(settings.peer_listen);
     let hears_all = |from: &str, to: &str| LinkView {
         from: from.into(),
         to: to.into(),
@@ -202,12 +202,12 @@
     ];
     let count = views.len();
     for view in views {
-        let reply = peer.ask(&PeerRequest::Links { view }, Duration::from_secs(5));
+        let reply = peer.call(&PeerRequest::Links { view }, Duration::from_secs(5));
         assert_eq!(reply.unwrap(), PeerReply::Busy);
     }
     // One that is in order is answered with n-0's own, and has no more effect on what it believes.
     let view = hears_all("n-1", "n-0").encode();
-    let reply = peer.ask(&PeerRequest::Links { view }, Duration::from_secs(5));
+    let reply = peer.call(&PeerRequest::Links { view }, Duration::from_secs(5));
     assert!(matches!(reply, Ok(PeerReply::Links { .. })), "{reply:?}");
     let deadline = Instant::now() + Duration::from_secs(60);
     let rejected = || settled(&nodes.configs[0])[0]["report"]["rejected_views"].as_u64();
--- a/tests/service/side_by_side.rs
+++ b/tests/service/side_by_side.rs
@@ -4,7 +4,7 @@
 
 use crate::nodes::{Answer, Nodes, job, leader, newest, spawn, spawn_as, spawn_watching};
 use aspenreel::http::cbor::encode;
-use aspenreel::state_store::to_value;
+use aspenreel::store::to_value;
 use aspenreel_testbed::servers::{Cloud, Door, State};
 use ciborium::cbor;
 use serde::Deserialize;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -7,13 +7,13 @@
 use aspenreel::jobs::spec::{Shape, Submission};
 use aspenreel::jobs::{DoneRecord, FinalRecord, JobView, Outcome, ViewState};
 use aspenreel::leadership::LeaderRecord;
-use aspenreel::leadership::level::{FORMAT, Level};
-use aspenreel::leadership::peer::{PeerReply, PeerRequest};
-use aspenreel::leadership::term::TermRecord;
+use aspenreel::leadership::feature_level::{CURRENT_FORMAT, FeatureLevel};
+use aspenreel::leadership::term_counter::TermCounter;
+use aspenreel::peer::{PeerReply, PeerRequest};
 use aspenreel::provisioning::wire::Catalog;
 use aspenreel::settings::{Settings, StateSettings};
-use aspenreel::state_store::pages::Pages;
-use aspenreel::state_store::{Change, Guard, Row, from_value, to_value};
+use aspenreel::store::paged_map::PagedMap;
+use aspenreel::store::{Change, KeyValue, Precondition, from_value, to_value};
 use ciborium::cbor;
 
 fn hex(bytes: &[u8]) -> String {
@@ -57,7 +57,7 @@
     let leader = LeaderRecord {
         node: "reelhand-2".into(),
         term: 7,
-        lease: 31,
+        lease_id: 31,
     };
     vec![
         ("jobs", encode(&to_value(&submission()))),
@@ -138,7 +138,7 @@
     let over: FinalRecord = decode(&bytes("final")).unwrap();
     assert_eq!((over.state, over.tasks), (Outcome::Done, 16));
     let leader: LeaderRecord = decode(&bytes("leader")).unwrap();
-    assert_eq!((leader.term, leader.lease), (7, 31));
+    assert_eq!((leader.term, leader.lease_id), (7, 31));
     let claims: Vec<(String, u32)> = decode(&bytes("claims")).unwrap();
     assert_eq!(claims, [("run-000412".to_string(), 9)]);
     let roster: Vec<(String, u64)> = decode(&bytes("fleet")).unwrap();
@@ -165,8 +165,8 @@
     term: u64,
 }
 
-fn term_row(data: ciborium::Value, revision: u64) -> Row {
-    Row {
+fn term_row(data: ciborium::Value, revision: u64) -> KeyValue {
+    KeyValue {
         key: "term".into(),
         data,
         revision,
@@ -177,19 +177,19 @@
 /// whose other fields they ignore. In the fenced form they can't, and so can't lead.
 #[test]
 fn terms_of_both_versions() {
-    let read = |data| TermRecord::read(Some(&term_row(data, 70))).unwrap();
+    let read = |data| TermCounter::read(Some(&term_row(data, 70))).unwrap();
     // Kept: {"term": 6} as the version in production writes it.
     let older = to_value(&Production { term: 6 });
     assert_eq!(hex(&encode(&older)), "a1647465726d06");
     let found = read(older);
-    let expected = TermRecord {
+    let expected = TermCounter {
         term: 6,
         fenced: false,
         older_version_led_at: 70,
         raised_by: None,
     };
     assert_eq!(found, expected, "who leaves the field out led then");
-    assert_eq!(TermRecord::read(None).unwrap(), TermRecord::default());
+    assert_eq!(TermCounter::read(None).unwrap(), TermCounter::default());
 
     let next = found.next();
     assert_eq!(read(next.to_value()), next);
@@ -200,15 +200,15 @@
     assert_eq!(read(fenced.to_value()), fenced);
     assert_eq!(from_value::<Production>(&fenced.to_value()), None);
     assert_eq!(read(fenced.next().to_value()).term, 8);
-    assert!(TermRecord::read(Some(&term_row(to_value(&"odd"), 70))).is_err());
+    assert!(TermCounter::read(Some(&term_row(to_value(&"odd"), 70))).is_err());
 }
 
 /// A counter that its leader raised for a fencing token: earlier versions read the number and lead under the
 /// next one; this version tells who raised it, so that earlier versions can still be fenced off.
 #[test]
 fn a_raised_counter_of_terms() {
-    let read = |data| TermRecord::read(Some(&term_row(data, 90))).unwrap();
-    let taken = TermRecord {
+    let read = |data| TermCounter::read(Some(&term_row(data, 90))).unwrap();
+    let taken = TermCounter {
         term: 7,
         fenced: false,
         older_version_led_at: 12,
@@ -254,14 +254,14 @@
     assert_eq!(hex(&encode(&to_value(&kept))), job);
 
     // 2: that version sets it without a fence, and accepts standing jobs from then on.
-    let level = |stored: &[u8]| Level {
+    let level = |stored: &[u8]| FeatureLevel {
         format: decode(stored).unwrap(),
         revision: 90,
     };
     assert!(level(&[0x02]).has_standing_jobs());
     assert!(!level(&[0x01]).has_standing_jobs());
     // It takes any number that isn't smaller than its own for "all know".
-    assert_eq!(encode(&to_value(&FORMAT)), [0x03]);
+    assert_eq!(encode(&to_value(&CURRENT_FORMAT)), [0x03]);
 }
 
 /// The stricter of the limits of now and later are obeyed, whichever that is, one by one.
@@ -289,7 +289,7 @@
 #[test]
 fn values_stay_small_as_they_grow() {
     let most = 2032;
-    let mut pages: Pages<u64> = Pages::new(most);
+    let mut pages: PagedMap<u64> = PagedMap::new(most);
     for i in 0..300u64 {
         let name = format!("a-machine-with-a-long-name-{i:06}");
         pages.put(&name, 1_764_651_600_000_000 + i);
@@ -298,7 +298,7 @@
         let name = format!("a-machine-with-a-long-name-{i:06}");
         pages.put(&name, 9_999_999_999_999_999 - i);
     }
-    let images = pages.due(false);
+    let images = pages.pages_due(false);
     let entries: usize = images.iter().map(|p| p.entries.len()).sum();
     assert_eq!(entries, 300);
     for image in &images {
@@ -345,21 +345,21 @@
     let name = |i: u32| format!("run-{i:040}");
     let entries: Vec<(String, u32)> = (0..64).map(|i| (name(i), 5)).collect();
     for (large, others, expected) in [(3, vec![], 4), (9, vec![], 90), (2, vec![1, 3, 10], 3)] {
-        let mut pages: Pages<u32> = Pages::new(2032);
+        let mut pages: PagedMap<u32> = PagedMap::new(2032);
         pages.load(large, 70, entries.clone());
         for other in others {
             pages.load(other, 71, vec![(name(100 + other), 1)]);
         }
         pages.put(&name(1), 9);
-        let due = pages.due(true);
+        let due = pages.pages_due(true);
         let moved = due.iter().map(|image| image.number).collect::<Vec<_>>();
         assert_eq!(moved, [expected], "the large page stays as it is");
         assert!(due[0].entries.contains(&(name(1), 9)));
         // Once it is there it stays there.
-        pages.written(expected, due[0].version, 80);
+        pages.mark_written(expected, due[0].version, 80);
         assert!(pages.is_stored(&name(1)));
         pages.put(&name(1), 11);
-        assert_eq!(pages.due(false)[0].number, expected);
+        assert_eq!(pages.pages_due(false)[0].number, expected);
 
         // The earlier version reads page by page in order of keys, and the last entry stands.
         let mut stored = [
@@ -372,7 +372,7 @@
         assert_eq!(read_by_production[&name(1)], 9);
         // This one, in whichever order, takes the larger entry.
         for order in [[0, 1], [1, 0]] {
-            let mut next: Pages<u32> = Pages::new(2032);
+            let mut next: PagedMap<u32> = PagedMap::new(2032);
             for at in order {
                 let (key, page) = &stored[at];
                 next.load(key.parse().unwrap(), 80, page.clone());
@@ -386,12 +386,12 @@
 #[test]
 fn transactions_stay_small() {
     let most = 8192 - 16;
-    let mut pages: Pages<u32> = Pages::new(most);
+    let mut pages: PagedMap<u32> = PagedMap::new(most);
     for i in 0..2000 {
         pages.put(&format!("run-{i:040}"), 100_000);
     }
     let writes: Vec<Write> = pages
-        .due(false)
+        .pages_due(false)
         .into_iter()
         .map(|image| page_write("claims/", image, WriteKind::Claims))
         .collect();
@@ -401,7 +401,7 @@
     assert!(packs.len() > 1, "they don't fit into one");
     for pack in &packs {
         let changes: Vec<&Change> = pack.iter().flat_map(|w| &w.changes).collect();
-        let guards: Vec<&Guard> = pack.iter().flat_map(|w| &w.guards).collect();
+        let guards: Vec<&Precondition> = pack.iter().flat_map(|w| &w.guards).collect();
         let size = json_len(&to_value(&(guards, changes)));
         assert!(pack.len() <= 24 && size <= 64 * 1024, "{size}");
     }
