--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{decode, encode, json_len};
 use crate::http::server::Response;
-use crate::os::left;
+use crate::os::time_left;
 use crate::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::store::{
     Change, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value, to_value,
@@ -246,7 +246,7 @@
         (0..peers.len())
             .map(|i| peers[(first + i) % peers.len()])
             .filter_map(|peer| {
-                let left = left(&*self.os, deadline)?;
+                let left = time_left(&*self.os, deadline)?;
                 peer.call(request, PEER_TIME.duration().min(left)).ok()
             })
             .find(|reply| !matches!(reply, PeerReply::Busy))
@@ -390,7 +390,7 @@
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
             }
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
             self.wait_for_change(state, left);
@@ -418,7 +418,7 @@
         loop {
             let mut state = self.state();
             let known = self.known_of(&mut state, id);
-            match left(&*self.os, deadline) {
+            match time_left(&*self.os, deadline) {
                 Some(left) if known == LocalStatus::FinalWriteInFlight => {
                     self.wait_for_change(state, left)
                 }
@@ -477,7 +477,7 @@
     /// transaction that writes its final one, so whoever misses the first finds the second.
     fn read_job(&self, id: &str, deadline: Moment) -> Result<Option<JobView>, StoreError> {
         let get = |key: &str| {
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return Err(StoreError::NotExecuted("no time left".into()));
             };
             self.store
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -6,7 +6,7 @@
 };
 use crate::controller::Controller;
 use crate::jobs::spec::Submission;
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::store::{Change, RequestPriority, StoreError, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 impl Controller {
     pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
-        pause(&*self.os, low_ms, high_ms);
+        random_pause(&*self.os, low_ms, high_ms);
     }
 
     pub fn election_loop(&self) {
--- a/src/leadership/feature_level.rs
+++ b/src/leadership/feature_level.rs
@@ -11,7 +11,7 @@
 use super::LEADER_KEY;
 use super::term_counter::{TERM_KEY, TermCounter};
 use crate::controller::Controller;
-use crate::os::pause;
+use crate::os::random_pause;
 use crate::store::{
     Change, KeyValue, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value,
     to_value,
@@ -94,7 +94,7 @@
                 log::debug!("level of the controllers unknown: {e}");
             }
             if self.feature_level().format < CURRENT_FORMAT {
-                pause(&*self.os, EVERY_MS / 2, EVERY_MS);
+                random_pause(&*self.os, EVERY_MS / 2, EVERY_MS);
             }
         }
         if let Some(lease) = statement.lease {
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -5,7 +5,7 @@
 use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
-use crate::http::client::CallError;
+use crate::http::client::{CallError, ClientResponse};
 use crate::http::server::Response;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
@@ -51,7 +51,7 @@
         if clients.len() >= most {
             clients.retain(|_, (_, used)| now - *used < UNUSED);
         }
-        let client = os.http(addr);
+        let client = os.http_client(addr);
         if clients.len() < most {
             clients.insert(addr, (client.clone(), now));
         }
@@ -173,9 +173,9 @@
                         call
                     }
                     None => {
-                        let ticket = self.commands_due.ticket();
+                        let observed = self.commands_due.prepare_wait();
                         drop(state);
-                        self.commands_due.wait(ticket, Duration::from_secs(60));
+                        self.commands_due.wait(observed, Duration::from_secs(60));
                         continue;
                     }
                 }
@@ -206,23 +206,26 @@
         });
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
-            Ok((200 | 409, body)) => match decode(&body) {
+            Ok(ClientResponse {
+                status: 200 | 409,
+                body,
+            }) => match decode(&body) {
                 Ok(report) => DirectResult::Answered(report),
                 Err(e) => {
                     log::info!("malformed answer of {}: {e}", call.machine);
                     DirectResult::Unknown
                 }
             },
-            Ok((status, _)) => {
+            Ok(ClientResponse { status, .. }) => {
                 log::info!("{} answers {status} to orders", call.machine);
                 DirectResult::Unknown
             }
             Err(e) => {
                 log::debug!("{}: {e}", call.machine);
                 match e {
-                    CallError::Unsent(_) => DirectResult::Unsent,
-                    CallError::Unreached(_) => DirectResult::Unreached,
-                    CallError::Unknown(_) => DirectResult::Unknown,
+                    CallError::NotSent { .. } => DirectResult::Unsent,
+                    CallError::Unreachable { .. } => DirectResult::Unreached,
+                    CallError::OutcomeUnknown { .. } => DirectResult::Unknown,
                 }
             }
         }
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -170,7 +170,7 @@
         let is_known = own.is_some_and(|m| m.known_since < now);
         let is_running = task.status != TaskStatus::Exited;
         if is_known && is_running && task.attempt >> 32 == self.term {
-            invariants::violated(
+            invariants::report_violation(
                 Invariant::ReleasedWithoutProof,
                 format_args!(
                     "machine={machine} task={} attempt={}",
@@ -194,7 +194,7 @@
 fn check_start(job: &Job, task: &ReportedTask, machine: &str, cancel: Micros, now: Moment) {
     let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
     if is_late && task.status != TaskStatus::Exited {
-        invariants::violated(
+        invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
             format_args!(
                 "machine={machine} task={} attempt={}",
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -1,6 +1,6 @@
 //! A small world for traces: events go into a `SchedulerState`, and what it wants is written down.
 
-use aspenreel::http::cbor::{Decimal, decode, encode};
+use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::jobs::LocalStatus;
 use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
 use aspenreel::jobs::spec::Submission;
@@ -503,6 +503,6 @@
     }
 }
 
-pub fn decimal(x: f64) -> Decimal {
-    Decimal(x)
+pub fn decimal(x: f64) -> Number {
+    Number(x)
 }
