--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -166,7 +166,7 @@
                     Err(e) => {
                         log::debug!("records not written: {e}");
                         not_before = self.now() + Micros::from_millis(200);
-                        if matches!(e, StoreError::NotExecuted(_)) {
+                        if matches!(e, StoreError::NotExecuted { .. }) {
                             self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
                         } else {
                             // Whether it was applied shows at the next try: the guards' revisions fail.
@@ -220,7 +220,7 @@
                     fullness.known(row.is_some(), row.map_or(0, |r| r.revision));
                 }
             }
-            Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted(_)) => {}
+            Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted { .. }) => {}
             Err(e) => {
                 log::debug!("not told whether jobs are accepted: {e}");
                 fullness.unconfirmed = Some(target);
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -11,7 +11,8 @@
 use crate::os::time_left;
 use crate::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::store::{
-    Change, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value, to_value,
+    Change, Precondition, Rejection, RequestPriority, StoreError, TransactionOutcome, from_value,
+    to_value,
 };
 use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
@@ -478,7 +479,10 @@
     fn read_job(&self, id: &str, deadline: Moment) -> Result<Option<JobView>, StoreError> {
         let get = |key: &str| {
             let Some(left) = time_left(&*self.os, deadline) else {
-                return Err(StoreError::NotExecuted("no time left".into()));
+                return Err(StoreError::NotExecuted {
+                    request: format!("GET /store/{key}"),
+                    source: Rejection::DeadlinePassed,
+                });
             };
             self.store
                 .get_within(key, RequestPriority::Normal, READ_TIME.min(left))
@@ -502,8 +506,10 @@
         let Some(row) = get(&final_key(id))? else {
             return Ok(None);
         };
-        let record: FinalRecord = from_value(&row.data)
-            .ok_or_else(|| StoreError::OutcomeUnknown("malformed final record".into()))?;
+        let record: FinalRecord =
+            from_value(&row.data).ok_or_else(|| StoreError::MalformedValue {
+                key: row.key.clone(),
+            })?;
         Ok(Some(JobView::of_final(record.state, record.tasks)))
     }
 }
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -107,12 +107,12 @@
         loop {
             // Short watches: each answer vouches for the leader's name.
             match self.store.watch(LEADER_KEY, since, Micros::from_secs(3)) {
-                Ok(changes) if changes.log.is_empty() => {
+                Ok(changes) if changes.events.is_empty() => {
                     since = changes.revision.max(since);
                     self.state().leader_confirmed_at = self.now();
                 }
                 Ok(_) => return,
-                Err(StoreError::WatchExpired) => return,
+                Err(StoreError::WatchExpired { .. }) => return,
                 Err(e) => {
                     log::debug!("watch on the leader: {e}");
                     self.pause(200, 500);
@@ -276,7 +276,7 @@
                         continue;
                     }
                     state.jobs_revision = changes.revision.max(since);
-                    for event in &changes.log {
+                    for event in &changes.events {
                         let (Some(_), Some(data)) = (&event.write, &event.data) else {
                             continue;
                         };
@@ -294,7 +294,7 @@
                         self.wake(scheduler);
                     }
                 }
-                Err(StoreError::WatchExpired) => {
+                Err(StoreError::WatchExpired { .. }) => {
                     log::info!("the watch on jobs is too old: reading again");
                     self.reread_jobs(term);
                 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -102,7 +102,7 @@
             let _ = store.end_lease(lease);
             return Ok(ElectionOutcome::Lost);
         }
-        Err(StoreError::OutcomeUnknown(e)) => {
+        Err(e @ StoreError::OutcomeUnknown { .. }) => {
             // It may have been applied: what the key says decides.
             match store.get(LEADER_KEY, RequestPriority::Leadership) {
                 Ok(Some(row)) if from_value::<LeaderRecord>(&row.data) == Some(record) => {
@@ -111,7 +111,7 @@
                 _ => {
                     // Ending the lease makes a late transaction fail.
                     let _ = store.end_lease(lease);
-                    return Err(StoreError::OutcomeUnknown(e));
+                    return Err(e);
                 }
             }
         }
--- a/src/leadership/term_counter.rs
+++ b/src/leadership/term_counter.rs
@@ -52,7 +52,9 @@
         let Some(row) = row else {
             return Ok(TermCounter::default());
         };
-        let malformed = || StoreError::OutcomeUnknown("malformed term".into());
+        let malformed = || StoreError::MalformedValue {
+            key: TERM_KEY.into(),
+        };
         let value: TermValue = from_value(&row.data).ok_or_else(malformed)?;
         Ok(TermCounter {
             term: value.fenced_term.or(value.term).ok_or_else(malformed)?,
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -1,56 +1,64 @@
-//! Token buckets in front of the state service and the cloud.
+//! Token buckets: rate limits for requests to the store and to the cloud, and for writes.
 
 use crate::time::{Micros, Moment};
 
-/// Holds at most `burst` tokens and gains `rate` a second.
+/// A rate limit with bursts. It holds at most `burst` tokens and gains `rate` tokens per second; each request or
+/// change takes one. The number of tokens may be below zero, after [`force`](TokenBucket::force) and
+/// [`punish`](TokenBucket::punish).
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// Tokens gained per second.
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Moment,
+    /// When `tokens` was last brought up to date.
+    refilled_at: Moment,
 }
 
 impl TokenBucket {
+    /// A full bucket. `rate` is in tokens per second; a `burst` below one token is raised to one.
     pub fn new(rate: f64, burst: f64, now: Moment) -> Self {
         let burst = burst.max(1.0);
         TokenBucket {
             rate,
             burst,
             tokens: burst,
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    fn fill(&mut self, now: Moment) {
-        let gained = (now - self.filled).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + gained).min(self.burst);
-        self.filled = self.filled.max(now);
-    }
-
+    /// The tokens that are there at `now`; may be negative.
     pub fn available(&mut self, now: Moment) -> f64 {
-        self.fill(now);
+        self.refill(now);
         self.tokens
     }
 
-    pub fn take(&mut self, n: f64, now: Moment) -> bool {
-        self.fill(now);
-        let enough = self.tokens >= n;
+    /// Takes `count` tokens if there are as many. False if there are not; none is taken then.
+    pub fn take(&mut self, count: f64, now: Moment) -> bool {
+        self.refill(now);
+        let enough = self.tokens >= count;
         if enough {
-            self.tokens -= n;
+            self.tokens -= count;
         }
         enough
     }
 
-    /// For calls that never wait: they count, and others wait longer for it.
-    pub fn force(&mut self, n: f64, now: Moment) {
-        self.fill(now);
-        self.tokens -= n;
+    /// Takes `count` tokens whether or not they are there: for requests that are never delayed. Later ones wait
+    /// longer for it.
+    pub fn force(&mut self, count: f64, now: Moment) {
+        self.refill(now);
+        self.tokens -= count;
     }
 
-    /// The service said "too many": nothing more for a while.
+    /// Leaves no token for `pause`: the server has answered that there were too many requests.
     pub fn punish(&mut self, pause: Micros, now: Moment) {
-        self.fill(now);
+        self.refill(now);
         self.tokens = self.tokens.min(-pause.as_secs_f64() * self.rate);
     }
+
+    fn refill(&mut self, now: Moment) {
+        let gained = (now - self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+    }
 }
