--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,10 +1,10 @@
 //! The client of one other controller: backoff, and evidence of the link to it.
 
 use super::wire::{PeerReply, PeerRequest};
-use crate::links::EvidenceSink;
+use crate::link_health::EvidenceSink;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_links::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::evidence::{Failure, Link, Outcome};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -7,7 +7,7 @@
     Precondition, RangePage, TransactionRequest, TransactionResponse, WatchBatch,
 };
 use crate::http::cbor::{decode, encode};
-use crate::links::EvidenceSink;
+use crate::link_health::EvidenceSink;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
 use ciborium::Value;
