--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -297,8 +297,8 @@
         };
         let os = Arc::new(SimOs::new(self, n, process, drift, skew));
         let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
-        for (i, (_, duty)) in node.threads().into_iter().enumerate() {
-            self.sched.spawn(process, seed ^ i as u64, duty);
+        for (i, thread) in node.threads().into_iter().enumerate() {
+            self.sched.spawn(process, seed ^ i as u64, thread.body);
         }
         let mut state = self.state();
         state.nodes[n].process = Some(process);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,21 +1,30 @@
-//! One controller process: what its threads share, and which threads there are.
+//! One controller process: what its threads share ([`Controller`]) and what its lock guards
+//! ([`ControllerState`]).
+//!
+//! What the threads do stands in the slices, each loop and each handler in a file of its own, as methods of
+//! [`Controller`]. `process` starts the threads; `routes` and `peer_requests` tell which handler a request belongs
+//! to.
 
+#![warn(missing_docs)]
+
+mod peer_requests;
+mod process;
 mod routes;
 mod terminal_states;
+mod timer_loop;
 
+pub use process::ControllerThread;
 pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
-use crate::http::server::{ServerLimits, serve};
-use crate::jobs::LocalStatus;
 use crate::leadership::feature_level::FeatureLevel;
 use crate::leadership::{LeaderLease, LeaderRecord};
-use crate::link_health::Links;
-use crate::os::{EventCount, HttpClient, Os, System};
-use crate::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
+use crate::link_health::{EvidenceSink, Links};
+use crate::os::{EventCount, HttpClient, Os, random_pause};
+use crate::peer::PeerClient;
 use crate::provisioning::MachineType;
 use crate::scheduler::{SchedulerConfig, SchedulerState};
-use crate::settings::{Settings, SettingsError};
+use crate::settings::{Member, Settings, SettingsError};
 use crate::store::Store;
 use crate::store::token_bucket::TokenBucket;
 use crate::time::{Micros, Moment};
@@ -23,51 +32,52 @@
 use aspenreel_link_health::evidence::{Link, NodeName};
 use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord};
 use std::collections::{BTreeMap, VecDeque};
-use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const TIMER_INTERVAL: Micros = Micros::from_millis(250);
-/// A timer that fires this late tells that the process has used up its share of the processor: no
-/// other measure of a share that the system enforces from outside is at hand everywhere.
-const LATE: Micros = Micros::from_millis(25);
-/// How often a process that falls behind most of the time says so.
-const PACE_EVERY: Micros = Micros::from_secs(60);
-const SUMMARY_EVERY: Micros = Micros::from_secs(10);
-
-/// How long a node that stood down for want of workers lets others go first. If nobody does, it
-/// goes on, and doesn't stand down for the same reason again until then.
+/// For this long after a leader has stepped down since it heard too few workers, or for a better-placed peer, it
+/// lets other controllers be elected. If none is, it leads again, and doesn't step down for the same reason until
+/// the pause is over.
 const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
-/// What the main lock guards. Nobody waits for the network while holding it.
+/// The share of the cloud's request rate that controllers use.
+const CLOUD_RATE_SHARE: f64 = 0.9;
+
+/// The least burst of submissions, in writes.
+const MIN_SUBMISSION_BURST: f64 = 4.0;
+
+/// What the lock of a controller guards. No thread waits for the network while it holds the lock.
 #[derive(Debug, Default)]
 pub struct ControllerState {
+    /// The leadership, while this controller has it.
     pub leader_lease: Option<LeaderLease>,
-    /// There only while leading, once the state was read.
+    /// The leader's state: there only while this controller leads and has read the stored state.
     pub scheduler: Option<SchedulerState>,
+    /// The leader as the store last told it.
     pub known_leader: Option<LeaderRecord>,
-    /// When the state service last vouched for it.
+    /// When the store last confirmed `known_leader`.
     pub leader_confirmed_at: Moment,
+    /// Terminal states that this controller remembers.
     pub terminal_states: TerminalStates,
-    /// The lead is to be given up.
+    /// This leader no longer acts and gives up its lease soon.
     pub step_down_requested: bool,
-    /// Stood down for want of workers: others go first until then.
+    /// Other controllers campaign first until then.
     pub candidacy_paused_until: Moment,
-    /// Heartbeats that were refused lately, as a sign of who workers can reach.
+    /// When heartbeats were refused lately: a sign that workers reach this controller.
     pub refused_heartbeats: VecDeque<Moment>,
-    /// Where the watch on jobs goes on.
+    /// The store revision up to which the leader knows all jobs: where their watch goes on.
     pub jobs_revision: u64,
-    /// The newest term that this node has heard of.
+    /// The newest term that this controller knows of.
     pub newest_term: u64,
-    /// Considers handovers while this node leads and watches its links.
+    /// Decides on handovers while this controller leads and watches its links.
     pub handover_planner: Option<HandoverPlanner>,
-    /// The lead is to be given up for a better-placed peer.
+    /// The handover for which this leader steps down.
     pub handover: Option<HandoverRecord>,
 }
 
 impl ControllerState {
-    /// The cluster, if this node is entitled to act at `now`.
+    /// The leadership and the scheduler state, if this controller may act as the leader at `now`.
     pub fn acting_leader(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
         match (&self.leader_lease, &mut self.scheduler) {
             (Some(leader_lease), Some(scheduler))
@@ -78,81 +88,102 @@
             _ => None,
         }
     }
-}
 
-/// What one thread does.
-pub type ThreadBody = Box<dyn FnOnce() + Send>;
+    /// Requests that this leader steps down and lets other controllers campaign first.
+    pub fn step_down_for_others(&mut self, now: Moment) {
+        self.step_down_requested = true;
+        self.candidacy_paused_until = now + CANDIDACY_PAUSE;
+    }
+}
 
+/// One controller: its clients, what its threads share, and how they wake each other.
 pub struct Controller {
+    /// The settings file.
     pub settings: Settings,
+    /// Flags of the command line.
     pub options: ServeOptions,
-    /// How long the leader's lease lives.
+    /// The duration of the leader lease.
     pub leader_lease_duration: Micros,
+    /// The operating system: clocks, sleeping and calls.
     pub os: Arc<dyn Os>,
+    /// The key-value store.
     pub store: Store,
+    /// The cloud's API.
     pub cloud: Arc<dyn HttpClient>,
+    /// The lock; use [`Controller::state`].
     pub state: Mutex<ControllerState>,
-    /// Signalled when records are due and when they were written.
+    /// Notified when records have to be written, and when they were.
     pub state_changed: Arc<dyn EventCount>,
-    /// Signalled when orders may go straight to workers.
+    /// Notified when commands have to be sent to workers.
     pub commands_due: Arc<dyn EventCount>,
+    /// Clients of workers.
     pub workers: WorkerClients,
+    /// Clients of the other controllers by name.
     pub peers: BTreeMap<String, PeerClient>,
+    /// Limits the writes for submissions.
     pub submission_bucket: Mutex<TokenBucket>,
+    /// Limits the requests to the cloud.
     pub cloud_bucket: Mutex<TokenBucket>,
+    /// The cloud's machine types, once they are known.
     pub catalog: Mutex<Option<Arc<Vec<MachineType>>>>,
-    /// Connections of users and workers that are open.
+    /// Open connections of users and workers.
     pub open_connections: Arc<AtomicUsize>,
-    /// Neither the state service nor any peer answers.
+    /// Neither the store nor any peer answers this controller.
     pub isolated: AtomicBool,
-    /// The record format that all controllers are known to know, as last read.
+    /// The feature level as last read; use [`Controller::feature_level`].
     pub feature_level: Mutex<FeatureLevel>,
-    /// What is believed of the links, where they are watched.
+    /// What is known of the links, if they are watched.
     pub links: Option<Arc<Links>>,
 }
 
 impl Controller {
+    /// A controller of which no thread runs yet.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if settings and flags don't fit together.
     pub fn new(
         settings: Settings,
         options: ServeOptions,
         os: Arc<dyn Os>,
     ) -> Result<Controller, SettingsError> {
-        let asked = options.leader_lease_ms.map(Micros::from_millis);
-        let leader_lease_duration = settings.leader_lease(asked)?;
+        let requested_lease = options.leader_lease_ms.map(Micros::from_millis);
+        let leader_lease_duration = settings.leader_lease(requested_lease)?;
         let links = options.links.settings()?;
         let links = links.map(|links| Arc::new(Links::new(&settings, links, os.wall())));
-        let sink = links.as_ref().map(|links| links.sink.clone());
+        let evidence = links.as_ref().map(|links| links.sink.clone());
         let now = os.now();
-        let nodes = settings.members.len() as f64 + 1.0;
-        let site = &settings.settings;
-        let limits = site.state.strict();
-        // What the leader's budget leaves is for submissions, shared among the nodes.
-        let submit = limits.write_rps * (1.0 - options.write_budget as f64 / 100.0) / nodes;
-        let peers = settings
-            .members
-            .iter()
-            .map(|member| {
-                let link = Link::Peer(NodeName(member.node.clone()));
-                let client = PeerClient::new(os.clone(), member.peer_addr);
-                let client = client.with_evidence(link, sink.clone());
-                (member.node.clone(), client)
-            })
-            .collect();
+        let controllers = settings.members.len() as f64 + 1.0;
+        let limits = settings.settings.state.strict();
+        let peers = peer_clients(&settings, &os, evidence.as_ref());
+        // The leader reads and writes most; the shares still stay below the limit together.
+        let store = Store::new(
+            settings.endpoints.state,
+            limits.rps / controllers,
+            os.clone(),
+        );
+        // What the leader's write budget leaves is for submissions, shared among the controllers.
+        let unbudgeted = limits.write_rps * (1.0 - options.write_budget as f64 / 100.0);
+        let submission_rate = unbudgeted / controllers;
+        let submission_burst = submission_rate.max(MIN_SUBMISSION_BURST);
+        let cloud_rate = settings.settings.cloud.rps;
         Ok(Controller {
-            // The leader reads and writes most; the shares still stay below the limit together.
-            store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
-                .with_evidence(sink),
+            store: store.with_evidence(evidence),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
-                terminal_states: TerminalStates::new(site.quota.remembered()),
+                terminal_states: TerminalStates::new(settings.settings.quota.remembered()),
                 ..ControllerState::default()
             }),
             state_changed: os.event_count(),
             commands_due: os.event_count(),
             workers: WorkerClients::default(),
             peers,
-            submission_bucket: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
-            cloud_bucket: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
+            submission_bucket: Mutex::new(TokenBucket::new(submission_rate, submission_burst, now)),
+            cloud_bucket: Mutex::new(TokenBucket::new(
+                cloud_rate * CLOUD_RATE_SHARE,
+                cloud_rate,
+                now,
+            )),
             catalog: Mutex::new(None),
             open_connections: Arc::default(),
             isolated: AtomicBool::new(false),
@@ -165,14 +196,17 @@
         })
     }
 
+    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// The time of the monotonic clock.
     pub fn now(&self) -> Moment {
         self.os.now()
     }
 
+    /// The cloud's machine types, once they are known.
     pub fn catalog(&self) -> Option<Arc<Vec<MachineType>>> {
         self.catalog
             .lock()
@@ -180,6 +214,24 @@
             .clone()
     }
 
+    /// Sleeps for a random time between these bounds in milliseconds.
+    pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
+        random_pause(&*self.os, low_ms, high_ms);
+    }
+
+    /// The pause after a request that failed, before it is repeated.
+    pub(crate) fn pause_before_retry(&self) {
+        self.pause(200, 500);
+    }
+
+    /// Releases the lock and waits until the state has changed, for `timeout` at the longest.
+    pub fn wait_for_change(&self, state: MutexGuard<'_, ControllerState>, timeout: Duration) {
+        let observed = self.state_changed.prepare_wait();
+        drop(state);
+        self.state_changed.wait(observed, timeout);
+    }
+
+    /// The settings and flags that the scheduler state needs.
     pub fn scheduler_config(&self) -> SchedulerConfig {
         let site = &self.settings.settings;
         SchedulerConfig {
@@ -200,148 +252,21 @@
             most_machines: site.quota.most_machines(),
         }
     }
+}
 
-    /// Releases the main lock until something changed, or for so long.
-    pub fn wait_for_change(&self, state: MutexGuard<'_, ControllerState>, most: Duration) {
-        let observed = self.state_changed.prepare_wait();
-        drop(state);
-        self.state_changed.wait(observed, most);
-    }
-
-    /// What each thread of a process does, for as long as it lives.
-    pub fn threads(self: &Arc<Self>) -> Vec<(&'static str, ThreadBody)> {
-        let duty = |run: fn(&Controller)| {
-            let node = self.clone();
-            Box::new(move || run(&node)) as ThreadBody
-        };
-        let mut threads = vec![
-            ("catalog", duty(Controller::catalog_loop)),
-            ("lead", duty(Controller::election_loop)),
-            ("rounds", duty(Controller::record_writer_loop)),
-            ("jobs", duty(Controller::job_watch_loop)),
-            ("fleet", duty(Controller::cloud_sync_loop)),
-            ("tick", duty(Controller::timer_loop)),
-            ("company", duty(Controller::peer_probe_loop)),
-            ("level", duty(Controller::feature_level_loop)),
-        ];
-        if self.links.is_some() {
-            threads.push(("links", duty(Controller::links_loop)));
-            threads.push(("link-exchange", duty(Controller::link_exchange_loop)));
-        }
-        for _ in 0..self.settings.settings.quota.direct_threads() {
-            threads.push(("direct", duty(Controller::command_sender_loop)));
-        }
-        threads
-    }
-
-    /// Starts every thread and answers users and workers until the process is killed.
-    pub fn run(self: Arc<Self>, system: Arc<System>) -> std::io::Result<()> {
-        let public = TcpListener::bind(self.settings.public_addr)?;
-        let peers = TcpListener::bind(self.settings.peer_listen)?;
-        log::info!(
-            "{} serves {} and peers on {}",
-            self.settings.node,
-            self.settings.public_addr,
-            self.settings.peer_listen
-        );
-        let spawn = |name: &str, duty: ThreadBody| {
-            std::thread::Builder::new()
-                .name(name.to_string())
-                .stack_size(512 * 1024)
-                .spawn(duty)
-                .map(drop)
-        };
-        for (name, duty) in self.threads() {
-            spawn(name, duty)?;
-        }
-        let quota = self.settings.settings.quota.clone();
-        let node = self.clone();
-        let most = quota.peer_connections();
-        let answer = Arc::new(move |r| node.answer_peer(r));
-        spawn("peers", Box::new(move || serve_peers(peers, most, answer)))?;
-        let limits = ServerLimits {
-            max_connections: quota.connections(),
-            max_pool_threads: quota.pool_threads(),
-            max_buffered_bytes: quota.buffered(),
-        };
-        let open = self.open_connections.clone();
-        serve(public, self, system, limits, open)
-    }
-
-    fn timer_loop(&self) {
-        // Silence counts only while this node answers: during an outage it turns workers away.
-        let mut acting_since: Option<Moment> = None;
-        let mut told = Moment(0);
-        // Ticks and late ones of the last while, for a word to the operator.
-        let (mut timers, mut late, mut counted) = (0u32, 0u32, self.now());
-        loop {
-            let due = self.now() + TIMER_INTERVAL;
-            self.os.sleep(TIMER_INTERVAL.duration());
-            let overloaded = self.now() - due > LATE;
-            timers += 1;
-            late += u32::from(overloaded);
-            if self.now() - counted > PACE_EVERY {
-                if late * 2 > timers {
-                    log::warn!("short of processor: {late} of {timers} timers fired late");
-                }
-                (timers, late, counted) = (0, 0, self.now());
-            }
-            let mut state = self.state();
-            let now = self.now();
-            if state.acting_leader(now).is_none() {
-                acting_since = None;
-            } else {
-                acting_since.get_or_insert(now);
-            }
-            if let Some((_, scheduler)) = state.acting_leader(now) {
-                scheduler.overload.note(overloaded, now);
-                scheduler.on_timer(now);
-                if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
-                    told = now;
-                    log::debug!("{}", scheduler.summary(now));
-                    log::debug!("{}", scheduler.command_summary());
-                }
-                self.wake(scheduler);
-                let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
-                if unheard && self.stands_down_unasked() && state.candidacy_paused_until <= now {
-                    log::info!("most workers are silent: standing down");
-                    state.step_down_requested = true;
-                    state.candidacy_paused_until = now + CANDIDACY_PAUSE;
-                }
-            }
-        }
-    }
-
-    /// A leader that hears few workers stands down whoever else hears them, unless it can tell.
-    fn stands_down_unasked(&self) -> bool {
-        let links = self.links.as_ref();
-        links.is_none_or(|links| links.some_peer_without_views())
-    }
-
-    pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
-        match request {
-            PeerRequest::Status { id } => {
-                let mut state = self.state();
-                let now = self.now();
-                if let Some(view) = state.terminal_states.get(&id) {
-                    return PeerReply::Job(view);
-                }
-                match state.acting_leader(now) {
-                    Some((_, scheduler)) => match scheduler.view(&id) {
-                        LocalStatus::View(view) => PeerReply::Job(view),
-                        LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
-                            PeerReply::Unknown
-                        }
-                    },
-                    None => PeerReply::NotLeading,
-                }
-            }
-            PeerRequest::Ping => PeerReply::Unknown,
-            PeerRequest::Cancel { id } => self.cancel_here(&id),
-            PeerRequest::Read { id } => self.read_for_peer(&id),
-            PeerRequest::Accept { body } => self.accept_for_peer(&body),
-            PeerRequest::Links { view } => self.answer_view(&view),
-            PeerRequest::LinkReport => self.answer_link_report(),
-        }
-    }
+/// Clients of all other controllers, by name.
+fn peer_clients(
+    settings: &Settings,
+    os: &Arc<dyn Os>,
+    evidence: Option<&Arc<EvidenceSink>>,
+) -> BTreeMap<String, PeerClient> {
+    let client = |member: &Member| {
+        let link = Link::Peer(NodeName(member.node.clone()));
+        let client = PeerClient::new(os.clone(), member.peer_addr);
+        (
+            member.node.clone(),
+            client.with_evidence(link, evidence.cloned()),
+        )
+    };
+    settings.members.iter().map(client).collect()
 }
--- /dev/null
+++ b/src/controller/process.rs
@@ -0,0 +1,103 @@
+//! The process: its threads and its servers.
+
+use super::Controller;
+use crate::http::server::{ServerLimits, serve};
+use crate::os::System;
+use crate::peer::serve_peers;
+use std::io;
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::thread;
+
+/// The stack of a thread, in bytes.
+const THREAD_STACK_BYTES: usize = 512 * 1024;
+
+/// A thread of a controller that has not been started yet.
+pub struct ControllerThread {
+    /// The thread's name.
+    pub name: &'static str,
+    /// What it runs. Nearly all run for as long as the process lives.
+    pub body: Box<dyn FnOnce() + Send>,
+}
+
+impl ControllerThread {
+    /// Starts the thread. It isn't joined: it ends with the process.
+    fn start(self) -> io::Result<()> {
+        thread::Builder::new()
+            .name(self.name.to_string())
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(self.body)
+            .map(drop)
+    }
+}
+
+impl Controller {
+    /// The threads of a controller, except for those that serve connections. Their order is the order in which they are
+    /// started; the simulation seeds each by its place in it.
+    pub fn threads(self: &Arc<Self>) -> Vec<ControllerThread> {
+        let thread = |name: &'static str, run: fn(&Controller)| {
+            let controller = self.clone();
+            ControllerThread {
+                name,
+                body: Box::new(move || run(&controller)),
+            }
+        };
+        let mut threads = vec![
+            thread("catalog", Controller::catalog_loop),
+            thread("election", Controller::election_loop),
+            thread("record-writer", Controller::record_writer_loop),
+            thread("job-watch", Controller::job_watch_loop),
+            thread("cloud-sync", Controller::cloud_sync_loop),
+            thread("timer", Controller::timer_loop),
+            thread("peer-probe", Controller::peer_probe_loop),
+            thread("feature-level", Controller::feature_level_loop),
+        ];
+        if self.links.is_some() {
+            threads.push(thread("links", Controller::links_loop));
+            threads.push(thread("link-exchange", Controller::link_exchange_loop));
+        }
+        for _ in 0..self.settings.settings.quota.direct_threads() {
+            threads.push(thread("command-sender", Controller::command_sender_loop));
+        }
+        threads
+    }
+
+    /// Starts all threads and serves users, workers and peers until the process is killed.
+    ///
+    /// # Errors
+    ///
+    /// If an address can't be listened on, or a thread can't be started.
+    pub fn run(self: Arc<Self>, system: Arc<System>) -> io::Result<()> {
+        let public_listener = TcpListener::bind(self.settings.public_addr)?;
+        let peer_listener = TcpListener::bind(self.settings.peer_listen)?;
+        log::info!(
+            node = self.settings.node.as_str(),
+            addr:% = self.settings.public_addr,
+            peer_addr:% = self.settings.peer_listen;
+            "controller started"
+        );
+        for thread in self.threads() {
+            thread.start()?;
+        }
+        self.peer_server(peer_listener).start()?;
+        let quota = &self.settings.settings.quota;
+        let limits = ServerLimits {
+            max_connections: quota.connections(),
+            max_pool_threads: quota.pool_threads(),
+            max_buffered_bytes: quota.buffered(),
+        };
+        let open_connections = self.open_connections.clone();
+        serve(public_listener, self, system, limits, open_connections)
+    }
+
+    /// The thread that accepts connections of peers.
+    fn peer_server(self: &Arc<Self>, listener: TcpListener) -> ControllerThread {
+        let max_connections = self.settings.settings.quota.peer_connections();
+        let controller = self.clone();
+        let handler = Arc::new(move |request| controller.answer_peer(request));
+        ControllerThread {
+            name: "peer-server",
+            body: Box::new(move || serve_peers(listener, max_connections, handler)),
+        }
+    }
+}
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -1,37 +1,42 @@
-//! Final states that this node remembers.
+//! The cache of terminal states.
 
 use crate::jobs::JobView;
 use std::collections::{HashMap, VecDeque};
 
-/// Final states that were recorded: these never change, so any node may tell them from memory.
-/// Older ones are read from the state service.
+/// A cache of the terminal states of jobs. A recorded terminal state never changes, so every controller may answer from
+/// its cache. Beyond the capacity the oldest entries go; these are read from the store.
 #[derive(Debug, Default)]
 pub struct TerminalStates {
-    most: usize,
+    capacity: usize,
     views: HashMap<String, JobView>,
-    age: VecDeque<String>,
+    /// The ids in the order in which they were added.
+    oldest_first: VecDeque<String>,
 }
 
 impl TerminalStates {
-    pub fn new(most: usize) -> TerminalStates {
+    /// An empty cache of at most `capacity` jobs.
+    pub fn new(capacity: usize) -> TerminalStates {
         TerminalStates {
-            most,
+            capacity,
             ..TerminalStates::default()
         }
     }
 
+    /// The terminal state of a job, if it is in the cache.
     pub fn get(&self, id: &str) -> Option<JobView> {
         self.views.get(id).copied()
     }
 
+    /// Adds what was recorded of a job. A view that isn't terminal is ignored.
     pub fn note(&mut self, id: &str, view: JobView) {
-        if view.is_final() && self.views.insert(id.to_string(), view).is_none() {
-            self.age.push_back(id.to_string());
-            if self.age.len() > self.most
-                && let Some(old) = self.age.pop_front()
-            {
-                self.views.remove(&old);
-            }
+        if !view.is_final() || self.views.insert(id.to_string(), view).is_some() {
+            return;
+        }
+        self.oldest_first.push_back(id.to_string());
+        if self.oldest_first.len() > self.capacity
+            && let Some(oldest) = self.oldest_first.pop_front()
+        {
+            self.views.remove(&oldest);
         }
     }
 }
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::SchedulerState;
 use crate::store::token_bucket::TokenBucket;
 use crate::store::{
-    Change, Precondition, RequestPriority, StoreError, TransactionOutcome, from_value, to_value,
+    Change, Precondition, StoreError, StorePriority, TransactionOutcome, from_value, to_value,
 };
 use crate::time::{Micros, Moment};
 use std::time::Duration;
@@ -150,7 +150,7 @@
                 tokens.force(changes.len() as f64, self.now());
                 match self
                     .store
-                    .transact(&guards, &changes, RequestPriority::Admitted)
+                    .transact(&guards, &changes, StorePriority::Admitted)
                 {
                     Ok(TransactionOutcome::Committed { revision }) => {
                         self.note_written(term, &pack, revision)
@@ -209,14 +209,14 @@
         ];
         match self
             .store
-            .transact(&guards, &[change], RequestPriority::Admitted)
+            .transact(&guards, &[change], StorePriority::Admitted)
         {
             Ok(TransactionOutcome::Committed { revision }) => {
                 fullness.known(target, if target { revision } else { 0 })
             }
             Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
                 // One without an answer was carried out.
-                if let Ok(row) = self.store.get(FULL_KEY, RequestPriority::Normal) {
+                if let Ok(row) = self.store.get(FULL_KEY, StorePriority::Normal) {
                     fullness.known(row.is_some(), row.map_or(0, |r| r.revision));
                 }
             }
@@ -284,7 +284,7 @@
                 self.read_back_job(term, key);
                 continue;
             };
-            match self.store.get(key, RequestPriority::Normal) {
+            match self.store.get(key, StorePriority::Normal) {
                 Ok(Some(row)) => {
                     let record: DoneRecord = from_value(&row.data).unwrap_or_default();
                     self.with_scheduler(term, |c| c.load_done(id, chunk, &record, row.revision));
@@ -302,7 +302,7 @@
     /// A page that a write of ours without an answer changed: it is written again over that one,
     /// which can't be applied any more once its revision is known.
     fn read_back_page(&self, term: u64, key: &str) {
-        let revision = match self.store.get(key, RequestPriority::Normal) {
+        let revision = match self.store.get(key, StorePriority::Normal) {
             Ok(row) => row.map_or(0, |r| r.revision),
             Err(e) => {
                 log::debug!("{key} not read back: {e}");
@@ -330,13 +330,10 @@
         let Some(id) = key.strip_prefix("jobs/") else {
             return;
         };
-        let Ok(None) = self.store.get(key, RequestPriority::Normal) else {
+        let Ok(None) = self.store.get(key, StorePriority::Normal) else {
             return;
         };
-        let Ok(Some(row)) = self
-            .store
-            .get(&super::final_key(id), RequestPriority::Normal)
-        else {
+        let Ok(Some(row)) = self.store.get(&super::final_key(id), StorePriority::Normal) else {
             return;
         };
         let Some(record) = from_value::<FinalRecord>(&row.data) else {
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -11,7 +11,7 @@
 use crate::os::time_left;
 use crate::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::store::{
-    Change, Precondition, Rejection, RequestPriority, StoreError, TransactionOutcome, from_value,
+    Change, Precondition, Rejection, StoreError, StorePriority, TransactionOutcome, from_value,
     to_value,
 };
 use crate::time::{Micros, Moment};
@@ -291,7 +291,7 @@
         let term = leading(&self.state());
         match self
             .store
-            .transact(&guards, &changes, RequestPriority::Admitted)
+            .transact(&guards, &changes, StorePriority::Admitted)
         {
             Ok(TransactionOutcome::Committed { revision }) => {
                 let mut state = self.state();
@@ -485,7 +485,7 @@
                 });
             };
             self.store
-                .get_within(key, RequestPriority::Normal, READ_TIME.min(left))
+                .get_within(key, StorePriority::Normal, READ_TIME.min(left))
         };
         if let Some(row) = get(&job_key(id))? {
             let tasks = from_value::<Submission>(&row.data).map_or(0, |s| s.pieces as u32);
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -1,344 +1,142 @@
-//! The loop that takes and keeps the lead.
+//! The thread that follows a leader, and campaigns when there is none.
 
-use super::{
-    ElectionOutcome, LEADER_KEY, LeaderLease, LeaderRecord, PREFERRED_ZONE_KEY, campaign,
-    lease_until,
-};
+use super::election::{ElectionOutcome, campaign};
+use super::leader_record::{LEADER_KEY, LeaderRecord, PREFERRED_ZONE_KEY, PreferredZone};
 use crate::controller::Controller;
-use crate::jobs::spec::Submission;
-use crate::os::random_pause;
-use crate::store::{Change, RequestPriority, StoreError, from_value, to_value};
-use crate::time::{Micros, Moment};
-use std::time::Duration;
+use crate::store::{KeyValue, StoreError, StorePriority, from_value};
+use crate::time::Micros;
 
-const PAGE: usize = 100;
+/// How long one watch of the leader's key lasts: each answer confirms who leads, also if nothing has changed.
+const LEADER_WATCH_WAIT: Micros = Micros::from_secs(3);
+/// Refused heartbeats count as a sign that workers reach this controller for this long.
+const REFUSED_HEARTBEAT_VALIDITY: Micros = Micros::from_secs(4);
+/// The wait before a campaign, in milliseconds: in the preferred zone, and elsewhere, where it becomes shorter with
+/// each refused heartbeat. Up to [`CANDIDACY_JITTER_MS`] are added.
+const PREFERRED_ZONE_WAIT_MS: u64 = 50;
+const CANDIDACY_WAIT_MS: u64 = 500;
+const CANDIDACY_JITTER_MS: u64 = 60;
 
 impl Controller {
-    pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
-        random_pause(&*self.os, low_ms, high_ms);
-    }
-
-    pub fn election_loop(&self) {
+    /// Follows whoever leads, and campaigns when nobody does; a won campaign is followed by the whole term as
+    /// the leader. Never returns.
+    pub(crate) fn election_loop(&self) {
         loop {
-            match self.store.get(LEADER_KEY, RequestPriority::Leadership) {
-                Ok(Some(row)) => self.follow(row.data, row.revision),
-                Ok(None) => {
-                    self.state().known_leader = None;
-                    if !self.may_stand() {
-                        continue;
-                    }
-                    match campaign(
-                        &self.store,
-                        &*self.os,
-                        &self.settings.node,
-                        self.leader_lease_duration,
-                    ) {
-                        Ok(ElectionOutcome::Won(leader_lease)) => self.lead_term(leader_lease),
-                        Ok(ElectionOutcome::Lost) => {}
-                        Err(e) => {
-                            log::debug!("lead not taken: {e}");
-                            self.pause(200, 500);
-                        }
-                    }
-                }
-                Err(e) => {
-                    log::debug!("leader unknown: {e}");
-                    self.pause(200, 500);
+            match self.store.get(LEADER_KEY, StorePriority::Leadership) {
+                Ok(Some(stored)) => self.follow(&stored),
+                Ok(None) => self.stand_for_election(),
+                Err(error) => {
+                    log::debug!(error:%; "leader unknown");
+                    self.pause_before_retry();
                 }
             }
         }
     }
 
-    /// Waits before standing: whoever workers reach goes first.
-    fn may_stand(&self) -> bool {
+    fn stand_for_election(&self) {
+        self.state().known_leader = None;
+        if !self.wait_for_candidacy() {
+            return;
+        }
+        let node = &self.settings.node;
+        match campaign(&self.store, &*self.os, node, self.leader_lease_duration) {
+            Ok(ElectionOutcome::Won(leader_lease)) => self.lead_term(leader_lease),
+            Ok(ElectionOutcome::Lost) => {}
+            Err(error) => {
+                log::debug!(error:%; "campaign failed");
+                self.pause_before_retry();
+            }
+        }
+    }
+
+    /// Lets the controllers that workers reach campaign first. False if this one may not campaign now.
+    fn wait_for_candidacy(&self) -> bool {
         let now = self.now();
-        let (refused_heartbeats, abstaining) = {
+        let (refused_heartbeats, is_paused) = {
             let state = self.state();
-            let recent = |t: &&Moment| now - **t < Micros::from_secs(4);
-            let refused_heartbeats = state.refused_heartbeats.iter().filter(recent).count() as u64;
-            (refused_heartbeats, state.candidacy_paused_until > now)
+            let recent = state
+                .refused_heartbeats
+                .iter()
+                .filter(|at| now - **at < REFUSED_HEARTBEAT_VALIDITY);
+            (recent.count() as u64, state.candidacy_paused_until > now)
         };
-        if abstaining {
-            // Long enough for the others, if there are any, to take it.
+        if is_paused {
+            // Time enough for the other controllers, if there are any, to be elected.
             self.pause(1500, 2500);
-            return matches!(
-                self.store.get(LEADER_KEY, RequestPriority::Leadership),
-                Ok(None)
-            );
+            let leader = self.store.get(LEADER_KEY, StorePriority::Leadership);
+            return matches!(leader, Ok(None));
         }
-        let in_silent_zone = refused_heartbeats == 0
-            && matches!(self.store.get(PREFERRED_ZONE_KEY, RequestPriority::Leadership), Ok(Some(row))
-                if from_value::<String>(&row.data).as_ref() == Some(&self.settings.location));
-        let wait = match self.candidate_wait(in_silent_zone) {
+        let in_preferred_zone = refused_heartbeats == 0 && self.is_in_preferred_zone();
+        let wait_ms = match self.candidate_wait(in_preferred_zone) {
             Some(wait) => wait.0 / 1000,
-            None if in_silent_zone => 50,
-            None => 500 / (1 + refused_heartbeats),
+            None if in_preferred_zone => PREFERRED_ZONE_WAIT_MS,
+            None => CANDIDACY_WAIT_MS / (1 + refused_heartbeats),
         };
-        self.pause(wait, wait + 60);
+        self.pause(wait_ms, wait_ms + CANDIDACY_JITTER_MS);
         true
     }
 
-    /// Waits while somebody else leads.
-    fn follow(&self, data: ciborium::Value, revision: u64) {
-        let record: Option<LeaderRecord> = from_value(&data);
-        if let Some(r) = &record
-            && r.node == self.settings.node
-        {
-            // An earlier process of this node: it is dead, so its lease may end now.
-            log::info!("ending the lease of an earlier process");
-            if self.store.end_lease(r.lease_id).is_err() {
-                self.pause(100, 300);
-            }
-            return;
-        }
-        {
-            let mut state = self.state();
-            if state.known_leader != record {
-                log::info!(
-                    "leader is {}",
-                    record.as_ref().map_or("unknown", |r| r.node.as_str())
-                );
-            }
-            state.newest_term = state.newest_term.max(record.as_ref().map_or(0, |r| r.term));
-            state.known_leader = record;
-            state.leader_confirmed_at = self.now();
-        }
-        let mut since = revision;
-        loop {
-            // Short watches: each answer vouches for the leader's name.
-            match self.store.watch(LEADER_KEY, since, Micros::from_secs(3)) {
-                Ok(changes) if changes.events.is_empty() => {
-                    since = changes.revision.max(since);
-                    self.state().leader_confirmed_at = self.now();
-                }
-                Ok(_) => return,
-                Err(StoreError::WatchExpired { .. }) => return,
-                Err(e) => {
-                    log::debug!("watch on the leader: {e}");
-                    self.pause(200, 500);
-                    return;
-                }
-            }
-        }
-    }
-
-    fn lead_term(&self, leader_lease: LeaderLease) {
-        log::info!(
-            "leading: term={} token={} revision={} lease={}",
-            leader_lease.term,
-            leader_lease.term,
-            leader_lease.revision,
-            leader_lease.lease_id
-        );
-        let started = self.now();
-        let lease = leader_lease.lease_id;
-        {
-            let mut state = self.state();
-            state.known_leader = Some(LeaderRecord {
-                node: self.settings.node.clone(),
-                term: leader_lease.term,
-                lease_id: lease,
-            });
-            state.leader_lease = Some(leader_lease.clone());
-            state.scheduler = None;
-            state.step_down_requested = false;
-            state.newest_term = leader_lease.term;
-            state.handover = None;
-            state.handover_planner = None;
-        }
-        let handover_planner = self.plan_handovers();
-        let mut renewed = started;
-        let mut scheduler = self.load(&leader_lease, started, &mut renewed);
-        if let Some(scheduler) = scheduler.take() {
-            log::info!(
-                "records read: term={} jobs={} jobs_revision={} machines_unseen={}",
-                leader_lease.term,
-                scheduler.jobs.table.len(),
-                self.state().jobs_revision,
-                scheduler.prior_term.unreconciled.len()
-            );
-            {
-                let mut state = self.state();
-                state.scheduler = Some(scheduler);
-                state.handover_planner = handover_planner;
-            }
-            self.state_changed.notify_all();
-            self.keep(lease, &mut renewed);
-        }
-        let silent_zone = {
-            let state = self.state();
-            let mut zone = None;
-            if state.step_down_requested && state.candidacy_paused_until > self.now() {
-                zone = state
-                    .scheduler
-                    .as_ref()
-                    .and_then(|c| c.silent_zone(self.now()));
-            }
-            zone
+    fn is_in_preferred_zone(&self) -> bool {
+        let stored = self
+            .store
+            .get(PREFERRED_ZONE_KEY, StorePriority::Leadership);
+        let Ok(Some(stored)) = stored else {
+            return false;
         };
-        let handover = self.state().handover.take();
-        if let Some(record) = &handover {
-            self.hand_over(&leader_lease, record, silent_zone.as_deref());
-        } else if let Some(zone) = silent_zone {
-            let change = Change::write(PREFERRED_ZONE_KEY, to_value(&zone));
-            let _ = self.store.transact(
-                &[leader_lease.precondition()],
-                &[change],
-                RequestPriority::Leadership,
-            );
-        }
-        {
-            let mut state = self.state();
-            state.leader_lease = None;
-            state.scheduler = None;
-            state.known_leader = None;
-            state.step_down_requested = false;
-        }
-        self.state_changed.notify_all();
-        log::info!("lead over: term={}", leader_lease.term);
-        // Nobody can lead before the lease has ended, so ending it is worth a few tries.
-        for _ in 0..5 {
-            if self.store.end_lease(lease).is_ok() {
-                break;
-            }
-            self.pause(50, 100);
-        }
-        self.pause(300, 600);
+        from_value(&stored.data) == Some(PreferredZone(self.settings.location.clone()))
     }
 
-    /// Renews once if it is time; false when the lead is lost.
-    pub(super) fn renew_if_due(&self, lease: u64, renewed: &mut Moment) -> bool {
-        let life = self.leader_lease_duration;
-        let sent = self.now();
-        if sent - *renewed < life.scaled(0.25) {
-            return true;
-        }
-        match self.store.renew_lease(lease, Duration::from_millis(1000)) {
-            Ok(()) => {
-                *renewed = sent;
-                if let Some(leader_lease) = &mut self.state().leader_lease {
-                    leader_lease.valid_until = lease_until(sent, life);
-                }
-                true
-            }
-            Err(StoreError::LeaseExpired) => false,
-            Err(e) => {
-                // An outage, or a refusal of this node alone: nobody can tell which. The node
-                // stops acting when the lease could have run out, and goes on if it did not.
-                log::debug!("lease not renewed: {e}");
-                self.pause(150, 300);
-                true
-            }
+    /// Waits until the leader changes.
+    fn follow(&self, stored: &KeyValue) {
+        let record: Option<LeaderRecord> = from_value(&stored.data);
+        if let Some(own) = &record
+            && own.node == self.settings.node
+        {
+            self.end_lease_of_earlier_process(own);
+            return;
         }
+        self.note_leader(record);
+        self.watch_leader(stored.revision);
     }
 
-    fn keep(&self, lease: u64, renewed: &mut Moment) {
-        let wait = self.leader_lease_duration.scaled(0.25).duration();
-        loop {
-            if !self.renew_if_due(lease, renewed) || self.state().step_down_requested {
-                return;
-            }
-            let state = self.state();
-            if self.now() - *renewed < Micros::from_millis(100) && !state.step_down_requested {
-                drop(state);
-                self.os.sleep(wait.min(Duration::from_millis(500)));
-            } else {
-                drop(state);
-                self.os.sleep(Duration::from_millis(100));
-            }
+    /// An earlier process of this controller is dead, so its lease may end now.
+    fn end_lease_of_earlier_process(&self, own: &LeaderRecord) {
+        log::info!(term = own.term, lease_id = own.lease_id; "ending the leader lease of an earlier process");
+        if self.store.end_lease(own.lease_id).is_err() {
+            self.pause(100, 300);
         }
     }
 
-    /// Watches for jobs that other nodes accept.
-    pub fn job_watch_loop(&self) {
-        loop {
-            let (term, since) = {
-                let state = self.state();
-                match (&state.leader_lease, &state.scheduler) {
-                    (Some(leader_lease), Some(_)) => (leader_lease.term, state.jobs_revision),
-                    _ => {
-                        self.wait_for_change(state, Duration::from_millis(500));
-                        continue;
-                    }
-                }
-            };
-            match self.store.watch("jobs/", since, Micros::from_secs(10)) {
-                Ok(changes) => {
-                    let (now, wall) = (self.now(), self.os.wall());
-                    let mut state = self.state();
-                    let state = &mut *state;
-                    let (Some(leader_lease), Some(scheduler)) =
-                        (&state.leader_lease, &mut state.scheduler)
-                    else {
-                        continue;
-                    };
-                    if leader_lease.term != term {
-                        continue;
-                    }
-                    state.jobs_revision = changes.revision.max(since);
-                    for event in &changes.events {
-                        let (Some(_), Some(data)) = (&event.write, &event.data) else {
-                            continue;
-                        };
-                        let Some(s) = from_value::<Submission>(data) else {
-                            log::error!("malformed job in the watch");
-                            continue;
-                        };
-                        // A job that is retired already must not come back by a late event.
-                        if state.terminal_states.get(&s.id).is_none() {
-                            scheduler.add_job(&s, event.revision, now, wall);
-                        }
-                    }
-                    if now < leader_lease.valid_until {
-                        scheduler.place_soon(now);
-                        self.wake(scheduler);
-                    }
-                }
-                Err(StoreError::WatchExpired { .. }) => {
-                    log::info!("the watch on jobs is too old: reading again");
-                    self.reread_jobs(term);
-                }
-                Err(e) => {
-                    log::debug!("watch on jobs: {e}");
-                    self.pause(200, 500);
+    fn note_leader(&self, record: Option<LeaderRecord>) {
+        let now = self.now();
+        let mut state = self.state();
+        if state.known_leader != record {
+            match &record {
+                Some(leader) => {
+                    log::info!(node = leader.node.as_str(), term = leader.term; "leader known")
                 }
+                None => log::info!("leader record malformed"),
             }
         }
+        let term = record.as_ref().map_or(0, |leader| leader.term);
+        state.newest_term = state.newest_term.max(term);
+        state.known_leader = record;
+        state.leader_confirmed_at = now;
     }
 
-    fn reread_jobs(&self, term: u64) {
-        let mut since: Option<String> = None;
-        let mut revision = None;
+    /// Returns when the leader's record has changed since the revision, or the store doesn't answer.
+    fn watch_leader(&self, mut since: u64) {
         loop {
-            let Ok(page) =
-                self.store
-                    .range("jobs/", since.as_deref(), PAGE, RequestPriority::Normal)
-            else {
-                self.pause(200, 500);
-                return;
-            };
-            revision.get_or_insert(page.revision);
-            let (now, wall) = (self.now(), self.os.wall());
-            let mut state = self.state();
-            let state = &mut *state;
-            let (Some(leader_lease), Some(scheduler)) = (&state.leader_lease, &mut state.scheduler)
-            else {
-                return;
-            };
-            if leader_lease.term != term {
-                return;
-            }
-            for row in &page.rows {
-                since = Some(row.key.clone());
-                if let Some(s) = from_value::<Submission>(&row.data)
-                    && state.terminal_states.get(&s.id).is_none()
-                {
-                    scheduler.add_job(&s, row.revision, now, wall);
+            match self.store.watch(LEADER_KEY, since, LEADER_WATCH_WAIT) {
+                Ok(batch) if batch.events.is_empty() => {
+                    since = batch.revision.max(since);
+                    self.state().leader_confirmed_at = self.now();
+                }
+                Ok(_) | Err(StoreError::WatchExpired { .. }) => return,
+                Err(error) => {
+                    log::debug!(error:%; "watch of the leader failed");
+                    self.pause_before_retry();
+                    return;
                 }
-            }
-            if !page.more {
-                state.jobs_revision = revision.unwrap_or(state.jobs_revision);
-                return;
             }
         }
     }
--- a/src/leadership/failover.rs
+++ b/src/leadership/failover.rs
@@ -1,160 +1,109 @@
-//! Takeover: a new leader reads what the state service holds.
+//! Failover: a new leader reads the stored state.
 
-use super::LeaderLease;
+use super::leader_lease::LeaderLease;
+use super::leader_term::{LeaseRenewal, LeaseStatus};
+use super::record_loader::{ReadingTime, RecordLoader};
 use crate::controller::Controller;
 use crate::jobs::rounds::WATERMARKS_PREFIX;
-use crate::jobs::spec::Submission;
-use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
+use crate::jobs::{DONE_PREFIX, JOBS_PREFIX};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
-use crate::store::{KeyValue, RangePage, RequestPriority, from_value};
-use crate::time::{Micros, Moment, WallTime};
+use crate::store::{RangePage, StorePriority};
+use crate::time::{Micros, Moment};
 
-/// Records that one request asks for.
-const PAGE: usize = 100;
+/// Keys that one request asks for.
+const PAGE_SIZE: usize = 100;
 
-/// What a record is read with.
-struct Reading {
-    now: Moment,
-    wall: WallTime,
-    /// How far the times of day of two nodes may be apart.
-    skew: Micros,
-}
+/// The prefixes in the order in which they are read. The machine registry and the start watermarks come first: they
+/// tell which tasks of a job may have started.
+const PREFIXES: [&str; 4] = [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX];
 
 impl Controller {
-    /// Reads everything that a leader needs; None when the lead was lost meanwhile.
-    pub(super) fn load(
+    /// Reads all that a leader needs from the store, however long that takes, and renews the lease meanwhile.
+    /// `None` if the lease is lost.
+    pub(super) fn read_stored_state(
         &self,
         leader_lease: &LeaderLease,
-        started: Moment,
-        renewed: &mut Moment,
+        elected_at: Moment,
+        renewal: &mut LeaseRenewal,
     ) -> Option<SchedulerState> {
+        let mut scheduler = self.initial_state(leader_lease, elected_at);
+        let mut jobs_revision = None;
+        for prefix in PREFIXES {
+            let first_revision = self.read_prefix(prefix, &mut scheduler, renewal)?;
+            if prefix == JOBS_PREFIX {
+                jobs_revision = Some(first_revision);
+            }
+        }
+        scheduler.drop_stale_watermarks();
+        self.state().jobs_revision = jobs_revision.unwrap_or(leader_lease.revision);
+        Some(scheduler)
+    }
+
+    /// The state of a leader that has read nothing yet.
+    fn initial_state(&self, leader_lease: &LeaderLease, elected_at: Moment) -> SchedulerState {
         let seed = fastrand::u64(..);
-        let mut scheduler =
-            SchedulerState::new(self.scheduler_config(), leader_lease.term, started, seed);
+        let config = self.scheduler_config();
+        let mut scheduler = SchedulerState::new(config, leader_lease.term, elected_at, seed);
         if let Some(catalog) = self.catalog() {
             scheduler.provisioning.catalog = catalog.to_vec();
         }
         scheduler.wall_at_start = self.os.wall();
         scheduler.prior_term.older_version_led_at = leader_lease.older_version_led_at;
-        let skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
-        let mut jobs_revision = None;
-        // Roster and claims first: they tell what of a job may have started.
-        for prefix in [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX] {
-            let mut since: Option<String> = None;
-            loop {
-                let page = self.read_page(prefix, since.as_deref(), leader_lease, renewed)?;
-                if prefix == JOBS_PREFIX {
-                    jobs_revision.get_or_insert(page.revision);
-                }
-                let reading = Reading {
-                    now: self.now(),
-                    wall: self.os.wall(),
-                    skew,
-                };
-                for row in &page.rows {
-                    scheduler.load_record(prefix, row, &reading);
-                }
-                since = page.rows.last().map(|row| row.key.clone()).or(since);
-                if !page.more {
-                    break;
-                }
+        scheduler
+    }
+
+    /// Reads all keys of a prefix. Returns the revision of the first page: a watch since then misses nothing.
+    fn read_prefix(
+        &self,
+        prefix: &str,
+        scheduler: &mut SchedulerState,
+        renewal: &mut LeaseRenewal,
+    ) -> Option<u64> {
+        // Each of two clocks may be off by the allowed skew.
+        let wall_skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
+        let mut first_revision = None;
+        let mut after: Option<String> = None;
+        loop {
+            let page = self.read_page(prefix, after.as_deref(), renewal)?;
+            let first_revision = *first_revision.get_or_insert(page.revision);
+            let time = ReadingTime {
+                now: self.now(),
+                wall: self.os.wall(),
+                wall_skew,
+            };
+            let mut loader = RecordLoader { scheduler, time };
+            for stored in &page.rows {
+                loader.load(prefix, stored);
+            }
+            after = page.rows.last().map(|last| last.key.clone()).or(after);
+            if !page.more {
+                return Some(first_revision);
             }
         }
-        scheduler.drop_stale_watermarks();
-        self.state().jobs_revision = jobs_revision.unwrap_or(leader_lease.revision);
-        Some(scheduler)
     }
 
-    /// Reads one page, however often that takes; None when the lead was lost meanwhile.
+    /// Reads one page, with as many tries as that takes. `None` if the lease is lost.
     fn read_page(
         &self,
         prefix: &str,
-        since: Option<&str>,
-        leader_lease: &LeaderLease,
-        renewed: &mut Moment,
+        after: Option<&str>,
+        renewal: &mut LeaseRenewal,
     ) -> Option<RangePage> {
         loop {
-            if !self.renew_if_due(leader_lease.lease_id, renewed) {
+            if self.renew_if_due(renewal) == LeaseStatus::Lost {
                 return None;
             }
-            match self
+            let result = self
                 .store
-                .range(prefix, since, PAGE, RequestPriority::Leadership)
-            {
+                .range(prefix, after, PAGE_SIZE, StorePriority::Leadership);
+            match result {
                 Ok(page) => return Some(page),
-                Err(e) => {
-                    log::debug!("reading {prefix}: {e}");
+                Err(error) => {
+                    log::debug!(prefix, error:%; "stored state not read");
                     self.pause(100, 300);
                 }
             }
         }
     }
 }
-
-impl SchedulerState {
-    /// Takes in one record. One that can't be read counts as if it told the worst.
-    fn load_record(&mut self, prefix: &str, row: &KeyValue, reading: &Reading) {
-        let rest = &row.key[prefix.len()..];
-        let is_read = match prefix {
-            REGISTRY_PREFIX => self.load_roster_page(rest, row, reading),
-            WATERMARKS_PREFIX => self.load_claims_page(rest, row),
-            JOBS_PREFIX => self.load_job(row, reading),
-            _ => self.load_done_record(rest, row),
-        };
-        if is_read.is_none() {
-            log::error!("malformed record {}", row.key);
-            match prefix {
-                REGISTRY_PREFIX => {
-                    // Whatever it named may hold any task of any job.
-                    self.prior_term.note_machine(&row.key, reading.now);
-                    self.prior_term.watermarks_lost = true;
-                }
-                WATERMARKS_PREFIX => self.prior_term.watermarks_lost = true,
-                _ => {}
-            }
-        }
-    }
-
-    fn load_roster_page(&mut self, number: &str, row: &KeyValue, reading: &Reading) -> Option<()> {
-        let number = number.parse().ok()?;
-        let entries: Vec<(String, u64)> = from_value(&row.data)?;
-        for (name, at) in &entries {
-            let age = reading.wall.0.saturating_sub(*at);
-            let age = age.saturating_sub(reading.skew.0);
-            let since = Moment(reading.now.0.saturating_sub(age));
-            self.prior_term.note_machine(name, since);
-        }
-        self.provisioning
-            .registry
-            .load(number, row.revision, entries);
-        Some(())
-    }
-
-    fn load_claims_page(&mut self, number: &str, row: &KeyValue) -> Option<()> {
-        let number = number.parse().ok()?;
-        self.jobs
-            .start_watermarks
-            .load(number, row.revision, from_value(&row.data)?);
-        Some(())
-    }
-
-    fn load_job(&mut self, row: &KeyValue, reading: &Reading) -> Option<()> {
-        let submission: Submission = from_value(&row.data)?;
-        self.add_job(&submission, row.revision, reading.now, reading.wall);
-        Some(())
-    }
-
-    fn load_done_record(&mut self, rest: &str, row: &KeyValue) -> Option<()> {
-        // Keys of another form aren't ours.
-        let Some((id, chunk)) = rest.split_once('/') else {
-            return Some(());
-        };
-        let Ok(chunk) = chunk.parse() else {
-            return Some(());
-        };
-        let record: DoneRecord = from_value(&row.data)?;
-        self.load_done(id, chunk, &record, row.revision);
-        Some(())
-    }
-}
--- /dev/null
+++ b/src/leadership/job_watch_loop.rs
@@ -0,0 +1,142 @@
+//! The thread of the leader that learns of jobs which other controllers accept.
+
+use crate::controller::{Controller, ControllerState};
+use crate::jobs::JOBS_PREFIX;
+use crate::jobs::spec::Submission;
+use crate::store::{StoreError, StorePriority, WatchBatch, from_value};
+use crate::time::Micros;
+use std::time::Duration;
+
+/// How long one watch lasts if nothing changes.
+const WATCH_WAIT: Micros = Micros::from_secs(10);
+/// Keys that one request asks for when the jobs are read again.
+const PAGE_SIZE: usize = 100;
+
+/// Where a watch begins.
+#[derive(Clone, Copy)]
+struct WatchPosition {
+    /// The term for which the changes count.
+    term: u64,
+    /// The revision up to which the leader knows all jobs.
+    since: u64,
+}
+
+impl Controller {
+    /// Watches the accepted jobs while this controller leads. Never returns.
+    pub(crate) fn job_watch_loop(&self) {
+        loop {
+            let Some(position) = self.job_watch_position() else {
+                continue;
+            };
+            match self.store.watch(JOBS_PREFIX, position.since, WATCH_WAIT) {
+                Ok(batch) => self.add_watched_jobs(position, &batch),
+                Err(StoreError::WatchExpired { .. }) => {
+                    log::info!(term = position.term, revision = position.since; "watch of jobs expired");
+                    self.read_jobs_again(position.term);
+                }
+                Err(error) => {
+                    log::debug!(term = position.term, error:%; "watch of jobs failed");
+                    self.pause_before_retry();
+                }
+            }
+        }
+    }
+
+    /// Where the watch goes on; None after a wait if this controller doesn't lead.
+    fn job_watch_position(&self) -> Option<WatchPosition> {
+        let state = self.state();
+        match (&state.leader_lease, &state.scheduler) {
+            (Some(leader_lease), Some(_)) => Some(WatchPosition {
+                term: leader_lease.term,
+                since: state.jobs_revision,
+            }),
+            _ => {
+                self.wait_for_change(state, Duration::from_millis(500));
+                None
+            }
+        }
+    }
+
+    /// Adds the jobs of a batch, if the term still lasts.
+    fn add_watched_jobs(&self, position: WatchPosition, batch: &WatchBatch) {
+        let (now, wall) = (self.now(), self.os.wall());
+        let mut state = self.state();
+        let ControllerState {
+            leader_lease: Some(leader_lease),
+            scheduler: Some(scheduler),
+            terminal_states,
+            jobs_revision,
+            ..
+        } = &mut *state
+        else {
+            return;
+        };
+        if leader_lease.term != position.term {
+            return;
+        }
+        *jobs_revision = batch.revision.max(position.since);
+        for event in &batch.events {
+            let (Some(key), Some(data)) = (&event.write, &event.data) else {
+                continue;
+            };
+            let Some(submission) = from_value::<Submission>(data) else {
+                log::error!(key = key.as_str(); "record malformed");
+                continue;
+            };
+            // A job that is over must not come back by an event that arrives late.
+            if terminal_states.get(&submission.id).is_none() {
+                scheduler.add_job(&submission, event.revision, now, wall);
+            }
+        }
+        if now < leader_lease.valid_until {
+            scheduler.place_soon(now);
+            self.wake(scheduler);
+        }
+    }
+
+    /// Reads all jobs, from which the watch goes on. If it fails, the watch fails again and it is repeated.
+    fn read_jobs_again(&self, term: u64) {
+        let mut first_revision = None;
+        let mut after: Option<String> = None;
+        loop {
+            let page = self.store.range(
+                JOBS_PREFIX,
+                after.as_deref(),
+                PAGE_SIZE,
+                StorePriority::Normal,
+            );
+            let Ok(page) = page else {
+                self.pause_before_retry();
+                return;
+            };
+            let first_revision = *first_revision.get_or_insert(page.revision);
+            let (now, wall) = (self.now(), self.os.wall());
+            let mut state = self.state();
+            let ControllerState {
+                leader_lease: Some(leader_lease),
+                scheduler: Some(scheduler),
+                terminal_states,
+                jobs_revision,
+                ..
+            } = &mut *state
+            else {
+                return;
+            };
+            if leader_lease.term != term {
+                return;
+            }
+            for stored in &page.rows {
+                if let Some(submission) = from_value::<Submission>(&stored.data)
+                    && terminal_states.get(&submission.id).is_none()
+                {
+                    scheduler.add_job(&submission, stored.revision, now, wall);
+                }
+            }
+            if !page.more {
+                *jobs_revision = first_revision;
+                return;
+            }
+            after = page.rows.last().map(|last| last.key.clone()).or(after);
+        }
+    }
+}
--- a/src/leadership/term_counter.rs
+++ b/src/leadership/term_counter.rs
@@ -1,13 +1,13 @@
-//! The record that counts terms, in the forms that different versions of the program read.
+//! The stored counter of terms, in the forms that different versions of the program read.
 //!
-//! Taking the lead raises the counter, so a controller that can't read it can't lead. Earlier versions
-//! read the *open* form only. Once every controller knows the newest record format, the counter is
-//! rewritten in the *fenced* form (see [`super::feature_level`]); from then on no earlier version can take the
-//! lead, whichever process of it comes back.
+//! An election raises the counter, so a controller that can't read it can't be elected. Earlier versions read the
+//! *open* form only. Once all members can read the current record format, the counter is rewritten in the *fenced*
+//! form ([`super::feature_level_loop`]); from then on no process of an earlier version can be elected.
 
 use crate::store::{KeyValue, StoreError, from_value, to_value};
 use serde::{Deserialize, Serialize};
 
+/// The key of the counter.
 pub const TERM_KEY: &str = "term";
 
 /// The stored value. Earlier versions write and read `term` alone, and ignore other fields.
@@ -32,40 +32,45 @@
     raised_by: Option<u64>,
 }
 
-/// The counter of terms as this version works with it.
+/// The counter of terms. Fencing tokens are numbers of the same counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TermCounter {
+    /// The last number that was used; 0 if nobody ever led.
     pub term: u64,
-    /// It is stored in a form that earlier versions can't read.
+    /// The counter is stored in the fenced form, which earlier versions can't read.
     pub fenced: bool,
-    /// Revision at which an earlier version last took the lead, 0 if none ever did. Such a leader
-    /// drops the claims of jobs that it doesn't know.
+    /// The revision at which a controller of an earlier version was last elected, 0 if none ever was. Such a
+    /// leader drops the start watermarks of jobs that it doesn't know.
     pub older_version_led_at: u64,
-    /// Revision at which the leader took the lead that has raised the counter since, for a fencing
-    /// token; None if it was last raised by taking the lead.
+    /// The revision at which the leader was elected that has since raised the counter for a fencing token. None if
+    /// the counter was last raised by an election.
     pub raised_by: Option<u64>,
 }
 
 impl TermCounter {
-    /// Reads the counter; without a row nobody has ever led.
-    pub fn read(row: Option<&KeyValue>) -> Result<TermCounter, StoreError> {
-        let Some(row) = row else {
+    /// Reads the counter; without a stored one nobody has ever led.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::MalformedValue`] if the value is no counter in either form.
+    pub fn read(stored: Option<&KeyValue>) -> Result<TermCounter, StoreError> {
+        let Some(stored) = stored else {
             return Ok(TermCounter::default());
         };
         let malformed = || StoreError::MalformedValue {
-            key: TERM_KEY.into(),
+            key: TERM_KEY.to_string(),
         };
-        let value: TermValue = from_value(&row.data).ok_or_else(malformed)?;
+        let value: TermValue = from_value(&stored.data).ok_or_else(malformed)?;
         Ok(TermCounter {
             term: value.fenced_term.or(value.term).ok_or_else(malformed)?,
             fenced: value.fenced_term.is_some(),
-            // Whoever leaves the field out is an earlier version, which leads since then.
-            older_version_led_at: value.older_version_led_at.unwrap_or(row.revision),
+            // A value without this field was written by a leader of an earlier version.
+            older_version_led_at: value.older_version_led_at.unwrap_or(stored.revision),
             raised_by: value.raised_by,
         })
     }
 
-    /// The counter once the next leader has taken the lead.
+    /// The counter after the next election.
     pub fn next(self) -> TermCounter {
         TermCounter {
             term: self.term + 1,
@@ -74,26 +79,28 @@
         }
     }
 
-    /// The counter once the leader that took the lead at this revision has raised it for a fencing token.
-    pub fn raised(self, lead_revision: u64) -> TermCounter {
+    /// The counter after the leader that was elected at the revision `elected_at` has raised it for a fencing
+    /// token.
+    pub fn raised(self, elected_at: u64) -> TermCounter {
         TermCounter {
             term: self.term + 1,
-            raised_by: Some(lead_revision),
+            raised_by: Some(elected_at),
             ..self
         }
     }
 
-    /// True if this counter, of that revision, was last raised by the leader that took the lead at
-    /// `lead_revision`: by taking the lead, or since.
-    pub fn is_of_leader(self, revision: u64, lead_revision: u64) -> bool {
-        revision == lead_revision || self.raised_by == Some(lead_revision)
+    /// True if this counter, stored at `revision`, was last raised by the leader that was elected at the revision
+    /// `elected_at`: by the election itself, or since for a fencing token.
+    pub fn is_of_leader(self, revision: u64, elected_at: u64) -> bool {
+        revision == elected_at || self.raised_by == Some(elected_at)
     }
 
-    /// The same counter in the form that only this version reads, or in the one that all read.
+    /// The same counter in the fenced form, or in the open one.
     pub fn in_form(self, fenced: bool) -> TermCounter {
         TermCounter { fenced, ..self }
     }
 
+    /// The value to store.
     pub fn to_value(self) -> ciborium::Value {
         to_value(&TermValue {
             term: (!self.fenced).then_some(self.term),
--- a/src/link_health/exchange.rs
+++ b/src/link_health/exchange.rs
@@ -3,7 +3,7 @@
 use super::{Links, lock};
 use crate::controller::Controller;
 use crate::peer::{PeerReply, ViewExchange};
-use crate::store::{Change, Precondition, RequestPriority, from_value, to_value};
+use crate::store::{Change, Precondition, StorePriority, from_value, to_value};
 use crate::time::{Micros, Moment};
 use aspenreel_link_health::evidence::{Link, NodeName, Outcome};
 use aspenreel_link_health::monitor::LinkState;
@@ -70,13 +70,13 @@
         let wanted = |link| lock(&links.tracker).wants_probe(&link, SILENCE, now);
         // What these calls prove is noted where all calls to the state service are made.
         if wanted(Link::StateReads) {
-            let _ = self.store.get(PROBE_KEY, RequestPriority::Background);
+            let _ = self.store.get(PROBE_KEY, StorePriority::Background);
         }
         if wanted(Link::StateWrites) {
             let guard = Precondition::new(PROBE_KEY, 0);
             let _ = self
                 .store
-                .transact(&[guard], &[], RequestPriority::Background);
+                .transact(&[guard], &[], StorePriority::Background);
         }
     }
 
@@ -134,7 +134,7 @@
         };
         let key = format!("{VIEWS_PREFIX}{}", links.own);
         let change = Change::write(key, to_value(&stored));
-        let _ = self.store.transact(&[], &[change], RequestPriority::Normal);
+        let _ = self.store.transact(&[], &[change], StorePriority::Normal);
     }
 
     /// A leader that hears few workers looks for views of peers that it doesn't reach.
@@ -149,7 +149,7 @@
         }
         let Ok(page) = self
             .store
-            .range(VIEWS_PREFIX, None, PAGE, RequestPriority::Normal)
+            .range(VIEWS_PREFIX, None, PAGE, StorePriority::Normal)
         else {
             return;
         };
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -3,7 +3,7 @@
 use super::{Links, lock};
 use crate::controller::Controller;
 use crate::leadership::{LEADER_KEY, LeaderLease, PREFERRED_ZONE_KEY};
-use crate::store::{Change, RequestPriority, from_value, to_value};
+use crate::store::{Change, StorePriority, from_value, to_value};
 use crate::time::Micros;
 use aspenreel_link_health::election::Candidate;
 use aspenreel_link_health::evidence::{Link, NodeName};
@@ -21,7 +21,7 @@
     fn last_handover(&self) -> Option<HandoverRecord> {
         let row = self
             .store
-            .get(HANDOVER_KEY, RequestPriority::Leadership)
+            .get(HANDOVER_KEY, StorePriority::Leadership)
             .ok()??;
         from_value(&row.data)
     }
@@ -29,7 +29,7 @@
     /// A planner for a term that begins.
     pub fn plan_handovers(&self) -> Option<HandoverPlanner> {
         self.links.as_ref()?;
-        let last = match self.store.get(HANDOVER_KEY, RequestPriority::Leadership) {
+        let last = match self.store.get(HANDOVER_KEY, StorePriority::Leadership) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
             // One may have been a moment ago, for all that is known.
             Err(_) => Some(HandoverRecord {
@@ -81,7 +81,7 @@
         match self.store.transact(
             &[leader_lease.precondition()],
             &changes,
-            RequestPriority::Leadership,
+            StorePriority::Leadership,
         ) {
             Ok(_) => log::info!("term {} is handed over", leader_lease.term),
             Err(e) => log::info!("the handover is not on record: {e}"),
--- a/src/link_health/watch.rs
+++ b/src/link_health/watch.rs
@@ -13,8 +13,6 @@
 use std::collections::BTreeMap;
 
 const TICK: Micros = Micros::from_millis(250);
-/// How long a leader that gave the lead up lets others go first.
-pub const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
 impl Controller {
     /// Drains evidence, keeps the states, and acts on them.
@@ -92,8 +90,7 @@
         };
         log::info!("{}: handing over to {}", handover.reason, handover.to);
         state.handover = Some(planner.record(&handover, term, wall, &links.settings));
-        state.step_down_requested = true;
-        state.candidacy_paused_until = now + CANDIDACY_PAUSE;
+        state.step_down_for_others(now);
     }
 }
 
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode, json_len};
 use crate::os::random_pause;
-use crate::store::{Change, RequestPriority, from_value, to_value};
+use crate::store::{Change, StorePriority, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     /// and even while the cloud is down, else from the cloud; then from the cloud now and then.
     pub fn catalog_loop(&self) {
         while self.catalog().is_none() {
-            if let Ok(Some(row)) = self.store.get(CATALOG_KEY, RequestPriority::Normal)
+            if let Ok(Some(row)) = self.store.get(CATALOG_KEY, StorePriority::Normal)
                 && let Some(catalog) = from_value::<Catalog>(&row.data)
                 && !catalog.builds.is_empty()
             {
@@ -167,7 +167,7 @@
         }
         let change = Change::write(CATALOG_KEY, data);
         self.store
-            .transact(&[guard], &[change], RequestPriority::Background)
+            .transact(&[guard], &[change], StorePriority::Background)
             .is_ok()
     }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,6 +1,6 @@
 //! The client of the key-value store: reads, transactions, leases and watches.
 
-use super::connection::{Connection, RequestPriority, StoreRequest, TRANSACTION_PATH};
+use super::connection::{Connection, StorePriority, StoreRequest, TRANSACTION_PATH};
 use super::error::{Rejection, StoreError};
 use super::wire::{
     Change, ErrorResponse, GrantLeaseRequest, GrantLeaseResponse, KeyValue, NO_SUCH_LEASE,
@@ -85,11 +85,7 @@
     /// # Errors
     ///
     /// [`StoreError::NotExecuted`] and [`StoreError::OutcomeUnknown`]; both mean that nothing is known.
-    pub fn get(
-        &self,
-        key: &str,
-        priority: RequestPriority,
-    ) -> Result<Option<KeyValue>, StoreError> {
+    pub fn get(&self, key: &str, priority: StorePriority) -> Result<Option<KeyValue>, StoreError> {
         self.get_within(key, priority, CALL_TIMEOUT)
     }
 
@@ -101,7 +97,7 @@
     pub fn get_within(
         &self,
         key: &str,
-        priority: RequestPriority,
+        priority: StorePriority,
         timeout: Duration,
     ) -> Result<Option<KeyValue>, StoreError> {
         let request = StoreRequest {
@@ -130,7 +126,7 @@
         prefix: &str,
         after: Option<&str>,
         limit: usize,
-        priority: RequestPriority,
+        priority: StorePriority,
     ) -> Result<RangePage, StoreError> {
         let since = after.map(|key| format!("&since={key}")).unwrap_or_default();
         let request = StoreRequest {
@@ -158,7 +154,7 @@
         &self,
         preconditions: &[Precondition],
         changes: &[Change],
-        priority: RequestPriority,
+        priority: StorePriority,
     ) -> Result<TransactionOutcome, StoreError> {
         let body = encode(&TransactionRequest {
             preconditions,
@@ -204,7 +200,7 @@
             method: "POST",
             path: "/holds",
             body: &body,
-            priority: RequestPriority::Leadership,
+            priority: StorePriority::Leadership,
             timeout: CALL_TIMEOUT,
         };
         let response = self.connection.send(&request)?;
@@ -227,7 +223,7 @@
             method: "POST",
             path: &format!("/holds/{lease_id}/renew"),
             body: &[],
-            priority: RequestPriority::Leadership,
+            priority: StorePriority::Leadership,
             timeout,
         };
         match self.connection.send(&request)?.status {
@@ -247,7 +243,7 @@
             method: "DELETE",
             path: &format!("/holds/{lease_id}"),
             body: &[],
-            priority: RequestPriority::Leadership,
+            priority: StorePriority::Leadership,
             timeout: CALL_TIMEOUT,
         };
         match self.connection.send(&request)?.status {
@@ -269,7 +265,7 @@
             method: "GET",
             path: &format!("/changes?starts={prefix}&since={since}&holdMs={wait_ms}"),
             body: &[],
-            priority: RequestPriority::Normal,
+            priority: StorePriority::Normal,
             timeout: wait.duration() + WATCH_GRACE,
         };
         let response = self.connection.send(&request)?;
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -29,7 +29,7 @@
 
 /// How a request competes for this controller's share of the store's request rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestPriority {
+pub enum StorePriority {
     /// Elections and renewals of the leader lease: never delayed.
     Leadership,
     /// A write that passed the leader's write budget already: never delayed, so that reads for users
@@ -46,7 +46,7 @@
     pub method: &'static str,
     pub path: &'a str,
     pub body: &'a [u8],
-    pub priority: RequestPriority,
+    pub priority: StorePriority,
     pub timeout: Duration,
 }
 
@@ -152,15 +152,15 @@
     }
 
     /// Takes the token of a request; false if the request has to be dropped.
-    fn admit(&self, priority: RequestPriority, now: Moment) -> bool {
+    fn admit(&self, priority: StorePriority, now: Moment) -> bool {
         let mut bucket = self.request_bucket();
         match priority {
-            RequestPriority::Leadership | RequestPriority::Admitted => {
+            StorePriority::Leadership | StorePriority::Admitted => {
                 bucket.force(1.0, now);
                 true
             }
-            RequestPriority::Normal => bucket.take(1.0, now),
-            RequestPriority::Background => {
+            StorePriority::Normal => bucket.take(1.0, now),
+            StorePriority::Background => {
                 bucket.available(now) >= BACKGROUND_TOKENS_LEFT + 1.0 && bucket.take(1.0, now)
             }
         }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -18,6 +18,6 @@
 mod wire;
 
 pub use client::{Store, TransactionOutcome, from_value, to_value};
-pub use connection::RequestPriority;
+pub use connection::StorePriority;
 pub use error::{MissingResponse, Rejection, StoreError};
 pub use wire::{Change, KeyValue, Precondition, RangePage, WatchBatch, WatchEvent};
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -16,7 +16,7 @@
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::{ElectionOutcome, campaign};
 use aspenreel::os::System;
-use aspenreel::store::{Change, RequestPriority, Store, TransactionOutcome, to_value};
+use aspenreel::store::{Change, Store, StorePriority, TransactionOutcome, to_value};
 use aspenreel::time::Micros;
 use aspenreel_testbed::servers::{Cloud, Door, State};
 use ciborium::{Value, cbor};
@@ -332,7 +332,7 @@
     nodes.until(0, "POST", "/work", &job("run-1", 1, 1.0), |s, _| s == 201);
     let store = Store::new(state_addr, 1000.0, Arc::new(System::default()));
     let mark = [Change::write("full", to_value(&true))];
-    assert!(store.transact(&[], &mark, RequestPriority::Normal).is_ok());
+    assert!(store.transact(&[], &mark, StorePriority::Normal).is_ok());
     for node in 0..3 {
         let (status, _) = nodes.call(node, "POST", "/work", &job("run-2", 1, 1.0));
         assert_eq!(status, 503);
@@ -340,7 +340,7 @@
         assert_eq!(status, 200);
     }
     let gone = [Change::delete("full")];
-    assert!(store.transact(&[], &gone, RequestPriority::Normal).is_ok());
+    assert!(store.transact(&[], &gone, StorePriority::Normal).is_ok());
     nodes.until(1, "POST", "/work", &job("run-2", 1, 1.0), |s, _| s == 201);
 }
 
@@ -351,19 +351,15 @@
     let store = Store::new(addr, 1e-6, Arc::new(System::default()));
     assert!(
         store
-            .get("jobs/run-1", RequestPriority::Normal)
+            .get("jobs/run-1", StorePriority::Normal)
             .unwrap()
             .is_none()
     );
-    assert!(store.get("jobs/run-1", RequestPriority::Normal).is_err());
+    assert!(store.get("jobs/run-1", StorePriority::Normal).is_err());
     let change = [Change::write("jobs/run-1", to_value(&1))];
-    assert!(
-        store
-            .transact(&[], &change, RequestPriority::Normal)
-            .is_err()
-    );
+    assert!(store.transact(&[], &change, StorePriority::Normal).is_err());
     let written = store
-        .transact(&[], &change, RequestPriority::Admitted)
+        .transact(&[], &change, StorePriority::Admitted)
         .unwrap();
     assert!(matches!(written, TransactionOutcome::Committed { .. }));
 }
@@ -392,7 +388,7 @@
         .transact(
             &[old.precondition()],
             &[write("old")],
-            RequestPriority::Normal,
+            StorePriority::Normal,
         )
         .unwrap();
     assert_eq!(
@@ -405,7 +401,7 @@
         .transact(
             &[new.precondition()],
             &[write("new")],
-            RequestPriority::Normal,
+            StorePriority::Normal,
         )
         .unwrap();
     assert!(matches!(now, TransactionOutcome::Committed { .. }));
