--- a/src/controller.rs
+++ b/src/controller.rs
@@ -19,7 +19,7 @@
 use crate::cli::ServeOptions;
 use crate::leadership::feature_level::FeatureLevel;
 use crate::leadership::{LeaderLease, LeaderRecord};
-use crate::link_health::{EvidenceSink, Links};
+use crate::link_health::{LinkHealth, ObservationQueue};
 use crate::os::{EventCount, HttpClient, Os, random_pause};
 use crate::peer::PeerClient;
 use crate::provisioning::MachineType;
@@ -29,8 +29,8 @@
 use crate::store::token_bucket::TokenBucket;
 use crate::time::{Micros, Moment};
 use crate::workers::edge::WorkerClients;
-use aspenreel_link_health::evidence::{Link, NodeName};
 use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord};
+use aspenreel_link_health::link::{Link, NodeName};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -133,7 +133,7 @@
     /// The feature level as last read; use [`Controller::feature_level`].
     pub feature_level: Mutex<FeatureLevel>,
     /// What is known of the links, if they are watched.
-    pub links: Option<Arc<Links>>,
+    pub link_health: Option<Arc<LinkHealth>>,
 }
 
 impl Controller {
@@ -149,13 +149,16 @@
     ) -> Result<Controller, SettingsError> {
         let requested_lease = options.leader_lease_ms.map(Micros::from_millis);
         let leader_lease_duration = settings.leader_lease(requested_lease)?;
-        let links = options.links.settings()?;
-        let links = links.map(|links| Arc::new(Links::new(&settings, links, os.wall())));
-        let evidence = links.as_ref().map(|links| links.sink.clone());
+        let link_settings = options.links.settings()?;
+        let link_health =
+            link_settings.map(|links| Arc::new(LinkHealth::new(&settings, links, os.wall())));
+        let observations = link_health
+            .as_ref()
+            .map(|health| health.observations.clone());
         let now = os.now();
         let controllers = settings.members.len() as f64 + 1.0;
         let limits = settings.settings.state.strict();
-        let peers = peer_clients(&settings, &os, evidence.as_ref());
+        let peers = peer_clients(&settings, &os, observations.as_ref());
         // The leader reads and writes most; the shares still stay below the limit together.
         let store = Store::new(
             settings.endpoints.state,
@@ -168,7 +171,7 @@
         let submission_burst = submission_rate.max(MIN_SUBMISSION_BURST);
         let cloud_rate = settings.settings.cloud.rps;
         Ok(Controller {
-            store: store.with_evidence(evidence),
+            store: store.with_observations(observations),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
                 terminal_states: TerminalStates::new(settings.settings.quota.remembered()),
@@ -188,7 +191,7 @@
             open_connections: Arc::default(),
             isolated: AtomicBool::new(false),
             feature_level: Mutex::default(),
-            links,
+            link_health,
             leader_lease_duration,
             os,
             settings,
@@ -258,14 +261,14 @@
 fn peer_clients(
     settings: &Settings,
     os: &Arc<dyn Os>,
-    evidence: Option<&Arc<EvidenceSink>>,
+    observations: Option<&Arc<ObservationQueue>>,
 ) -> BTreeMap<String, PeerClient> {
     let client = |member: &Member| {
         let link = Link::Peer(NodeName(member.node.clone()));
         let client = PeerClient::new(os.clone(), member.peer_addr);
         (
             member.node.clone(),
-            client.with_evidence(link, evidence.cloned()),
+            client.with_observations(link, observations.cloned()),
         )
     };
     settings.members.iter().map(client).collect()
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -52,9 +52,9 @@
             thread("peer-probe", Controller::peer_probe_loop),
             thread("feature-level", Controller::feature_level_loop),
         ];
-        if self.links.is_some() {
-            threads.push(thread("links", Controller::links_loop));
-            threads.push(thread("link-exchange", Controller::link_exchange_loop));
+        if self.link_health.is_some() {
+            threads.push(thread("link-state", Controller::link_state_loop));
+            threads.push(thread("view-exchange", Controller::view_exchange_loop));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
             threads.push(thread("command-sender", Controller::command_sender_loop));
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -99,8 +99,8 @@
     /// False if a handover can find a better-placed peer: then the leader steps down for that peer only. The views
     /// of all peers are needed for it.
     fn steps_down_without_successor(&self) -> bool {
-        let links = self.links.as_ref();
-        links.is_none_or(|links| links.some_peer_without_views())
+        let link_health = self.link_health.as_ref();
+        link_health.is_none_or(|health| health.any_peer_without_views())
     }
 }
 
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -66,7 +66,7 @@
             return matches!(leader, Ok(None));
         }
         let in_preferred_zone = refused_heartbeats == 0 && self.is_in_preferred_zone();
-        let wait_ms = match self.candidate_wait(in_preferred_zone) {
+        let wait_ms = match self.campaign_delay(in_preferred_zone) {
             Some(wait) => wait.0 / 1000,
             None if in_preferred_zone => PREFERRED_ZONE_WAIT_MS,
             None => CANDIDACY_WAIT_MS / (1 + refused_heartbeats),
--- a/src/leadership/leader_term.rs
+++ b/src/leadership/leader_term.rs
@@ -46,7 +46,7 @@
         );
         let elected_at = self.now();
         self.begin_term(&leader_lease);
-        let handover_planner = self.plan_handovers();
+        let handover_planner = self.new_handover_planner();
         let mut renewal = LeaseRenewal {
             lease_id: leader_lease.lease_id,
             renewed_at: elected_at,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,10 +1,11 @@
-//! The client of one other controller: backoff, and evidence of the link to it.
+//! The client of one other controller: backoff, and observations of the link to it.
 
 use super::wire::{PeerReply, PeerRequest};
-use crate::link_health::EvidenceSink;
+use crate::link_health::ObservationQueue;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::link::Link;
+use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -45,7 +46,7 @@
     timed_out_at: Mutex<Option<Moment>>,
     backoff: Micros,
     /// The name of the link, and where it is left what requests show of it, if links are watched.
-    evidence: Option<(Link, Arc<EvidenceSink>)>,
+    observations: Option<(Link, Arc<ObservationQueue>)>,
 }
 
 impl PeerClient {
@@ -61,14 +62,18 @@
             os,
             timed_out_at: Mutex::new(None),
             backoff,
-            evidence: None,
+            observations: None,
         }
     }
 
-    /// The same client, which leaves in `evidence` what its requests show of `link`.
-    pub fn with_evidence(self, link: Link, evidence: Option<Arc<EvidenceSink>>) -> Self {
+    /// The same client, which leaves in `observations` what its requests show of `link`.
+    pub fn with_observations(
+        self,
+        link: Link,
+        observations: Option<Arc<ObservationQueue>>,
+    ) -> Self {
         PeerClient {
-            evidence: evidence.map(|sink| (link, sink)),
+            observations: observations.map(|queue| (link, queue)),
             ..self
         }
     }
@@ -84,7 +89,7 @@
             return Err(ErrorKind::TimedOut.into());
         }
         let result = self.transport.call(request, timeout);
-        self.record_evidence(outcome(&result));
+        self.record_observation(outcome(&result));
         // Only requests that are answered from memory show that the peer is overloaded: the others wait for
         // the store, and a leader that is slow for its sake can still tell the status of its jobs.
         if matches!(request, PeerRequest::Status { .. })
@@ -99,7 +104,7 @@
     /// True if the peer answers a ping now, whatever became of earlier requests.
     pub fn is_reachable(&self, timeout: Duration) -> bool {
         let result = self.transport.call(&PeerRequest::Ping, timeout);
-        self.record_evidence(outcome(&result));
+        self.record_observation(outcome(&result));
         result.is_ok()
     }
 
@@ -108,11 +113,11 @@
         let result = self.transport.call(&PeerRequest::Links { view }, timeout);
         match &result {
             // An earlier version closes the connection on a request that it doesn't know. The ping leaves
-            // evidence of its own.
+            // an observation of its own.
             Err(e) if !is_timeout(e) && self.is_reachable(timeout) => {
                 return ViewExchange::NotOffered;
             }
-            _ => self.record_evidence(outcome(&result)),
+            _ => self.record_observation(outcome(&result)),
         }
         match result {
             Ok(PeerReply::Links { view }) => ViewExchange::View(view),
@@ -130,19 +135,19 @@
             .is_some_and(|timed_out_at| now - timed_out_at < self.backoff)
     }
 
-    fn record_evidence(&self, outcome: Outcome) {
-        if let Some((link, sink)) = &self.evidence {
-            sink.note(link.clone(), outcome, self.os.now());
+    fn record_observation(&self, outcome: CallOutcome) {
+        if let Some((link, queue)) = &self.observations {
+            queue.record(link.clone(), outcome, self.os.now());
         }
     }
 }
 
 /// What the result of a request shows of the link.
-fn outcome(result: &io::Result<PeerReply>) -> Outcome {
+fn outcome(result: &io::Result<PeerReply>) -> CallOutcome {
     match result {
-        Ok(_) => Outcome::Answered,
-        Err(e) if is_timeout(e) => Outcome::Failed(Failure::NoAnswer),
-        Err(_) => Outcome::Failed(Failure::Unreachable),
+        Ok(_) => CallOutcome::Answered,
+        Err(e) if is_timeout(e) => CallOutcome::Failed(CallFailure::NoAnswer),
+        Err(_) => CallOutcome::Failed(CallFailure::Unreachable),
     }
 }
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `wire`: the messages;
 //! - `frame`: how a message is read and written;
-//! - `client`: [`PeerClient`], with backoff and evidence of the link, over a [`PeerTransport`];
+//! - `client`: [`PeerClient`], with backoff and observations of the link, over a [`PeerTransport`];
 //! - `tcp_transport`: the transport in production;
 //! - `server`: [`serve_peers`]. What a controller answers is decided in `controller::peer_requests`.
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -7,7 +7,7 @@
     Precondition, RangePage, TransactionRequest, TransactionResponse, WatchBatch,
 };
 use crate::http::cbor::{decode, encode};
-use crate::link_health::EvidenceSink;
+use crate::link_health::ObservationQueue;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
 use ciborium::Value;
@@ -63,9 +63,9 @@
         }
     }
 
-    /// The same client, which leaves in `evidence` what its calls show of the links to the store.
-    pub fn with_evidence(mut self, evidence: Option<Arc<EvidenceSink>>) -> Self {
-        self.connection.evidence = evidence;
+    /// The same client, which leaves in `observations` what its calls show of the links to the store.
+    pub fn with_observations(mut self, observations: Option<Arc<ObservationQueue>>) -> Self {
+        self.connection.observations = observations;
         self
     }
 
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -5,10 +5,11 @@
 use super::token_bucket::TokenBucket;
 use crate::http::cbor::decode;
 use crate::http::client::{CallError, ClientResponse};
-use crate::link_health::EvidenceSink;
+use crate::link_health::ObservationQueue;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::evidence::{Failure, Link, Outcome};
+use aspenreel_link_health::link::Link;
+use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -89,7 +90,7 @@
     last_answered_at: AtomicU64,
     last_failed_at: AtomicU64,
     /// Receives what calls show of the links to the store, if links are watched.
-    pub evidence: Option<Arc<EvidenceSink>>,
+    pub observations: Option<Arc<ObservationQueue>>,
 }
 
 impl Connection {
@@ -102,7 +103,7 @@
             request_bucket: Mutex::new(request_bucket),
             last_answered_at: AtomicU64::new(0),
             last_failed_at: AtomicU64::new(0),
-            evidence: None,
+            observations: None,
         }
     }
 
@@ -168,7 +169,7 @@
 
     /// Records what a call showed of the store's availability and of the link to it.
     fn record(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
-        self.record_evidence(path, result, at);
+        self.record_observation(path, result, at);
         let last = match result {
             Ok(response) if response.status != STATUS_UNAVAILABLE => &self.last_answered_at,
             _ => &self.last_failed_at,
@@ -177,23 +178,28 @@
     }
 
     /// A call that was never sent shows nothing of the link.
-    fn record_evidence(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
-        let Some(evidence) = &self.evidence else {
+    fn record_observation(
+        &self,
+        path: &str,
+        result: &Result<ClientResponse, CallError>,
+        at: Moment,
+    ) {
+        let Some(queue) = &self.observations else {
             return;
         };
         let outcome = match result {
             Ok(response) if response.status == STATUS_UNAVAILABLE => {
-                Outcome::Failed(Failure::Refused)
+                CallOutcome::Failed(CallFailure::Refused)
             }
-            Ok(_) => Outcome::Answered,
+            Ok(_) => CallOutcome::Answered,
             Err(CallError::NotSent { .. }) => return,
-            Err(CallError::Unreachable { .. }) => Outcome::Failed(Failure::Unreachable),
-            Err(CallError::OutcomeUnknown { .. }) => Outcome::Failed(Failure::NoAnswer),
+            Err(CallError::Unreachable { .. }) => CallOutcome::Failed(CallFailure::Unreachable),
+            Err(CallError::OutcomeUnknown { .. }) => CallOutcome::Failed(CallFailure::NoAnswer),
         };
         let link = match path {
             TRANSACTION_PATH => Link::StateWrites,
             _ => Link::StateReads,
         };
-        evidence.note(link, outcome, at);
+        queue.record(link, outcome, at);
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,7 +2,7 @@
 //! slices in the same way.
 //!
 //! - `client`: [`Store`], the operations: reads, transactions, leases, watches;
-//! - `connection`: what all requests share: the request rate, availability, evidence of links;
+//! - `connection`: what all requests share: the request rate, availability, observations of links;
 //! - `wire`: the messages of the store's API;
 //! - `error`: [`StoreError`], which tells whether a request may have been executed;
 //! - [`paged_map`]: many small entries packed into few values;
