--- a/src/link_health/view_exchange_loop.rs
+++ b/src/link_health/view_exchange_loop.rs
@@ -2,8 +2,8 @@
 
 use super::{LinkHealth, lock};
 use crate::controller::Controller;
-use crate::leadership::peer::{Exchange, PeerReply};
-use crate::state_store::{Change, Guard, Urgency, from_value, to_value};
+use crate::peer::{PeerReply, ViewExchange};
+use crate::store::{Change, Precondition, StorePriority, from_value, to_value};
 use crate::time::{Micros, Moment};
 use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::observation::CallOutcome;
@@ -85,11 +85,13 @@
         let wants_probe = |link| lock(&link_health.tracker).wants_probe(&link, PROBE_AFTER, now);
         // The results don't matter here: the store's client records the outcome of every call.
         if wants_probe(Link::StateReads) {
-            let _ = self.store.get(PROBE_KEY, Urgency::Lazy);
+            let _ = self.store.get(PROBE_KEY, StorePriority::Background);
         }
         if wants_probe(Link::StateWrites) {
-            let guard = Guard::new(PROBE_KEY, 0);
-            let _ = self.store.transact(&[guard], &[], Urgency::Lazy);
+            let guard = Precondition::new(PROBE_KEY, 0);
+            let _ = self
+                .store
+                .transact(&[guard], &[], StorePriority::Background);
         }
     }
 
@@ -105,18 +107,18 @@
         state.unanswered.remove(peer);
         let view = link_health.view_for(peer).encode();
         match client.exchange_views(view, REQUEST_TIMEOUT) {
-            Exchange::View(bytes) => {
+            ViewExchange::View(bytes) => {
                 state.unsupported.remove(peer);
                 let accepted = lock(&link_health.peer_views).accept(peer, &bytes, asked);
                 if let Err(error) = accepted {
                     link_health.log_rejected_view(&peer.0, error);
                 }
             }
-            Exchange::NotOffered => {
+            ViewExchange::NotOffered => {
                 state.unsupported.insert(peer.clone(), asked);
                 lock(&link_health.peer_views).mark_unsupported(peer);
             }
-            Exchange::Failed => {
+            ViewExchange::Failed => {
                 state.unanswered.insert(peer.clone(), asked);
             }
         }
@@ -144,7 +146,7 @@
         let key = format!("{VIEWS_PREFIX}{}", link_health.own_name);
         let change = Change::write(key, to_value(&stored));
         // A view that isn't written is followed by the next one.
-        let _ = self.store.transact(&[], &[change], Urgency::Normal);
+        let _ = self.store.transact(&[], &[change], StorePriority::Normal);
     }
 
     /// A leader that few workers reach looks for views of peers that it doesn't reach.
@@ -158,7 +160,10 @@
         {
             return;
         }
-        let Ok(page) = self.store.range(VIEWS_PREFIX, None, PAGE, Urgency::Normal) else {
+        let Ok(page) = self
+            .store
+            .range(VIEWS_PREFIX, None, PAGE, StorePriority::Normal)
+        else {
             return;
         };
         let (now, wall) = (self.now(), self.os.wall());
