--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,5 +1,6 @@
 //! The client of one other controller: backoff, and observations of the link to it.
 
+use super::transport::{PeerTransport, is_timeout};
 use super::wire::{PeerReply, PeerRequest};
 use crate::link_health::ObservationQueue;
 use crate::os::Os;
@@ -15,18 +16,6 @@
 /// is overloaded, and answers to clients that no longer wait would take the processor time that it has left.
 const BACKOFF: Micros = Micros::from_secs(1);
 
-/// Sends requests to one other controller.
-pub trait PeerTransport: Send + Sync {
-    /// Sends a request and blocks until its reply has arrived, or `timeout` is over.
-    ///
-    /// # Errors
-    ///
-    /// [`ErrorKind::TimedOut`] or [`ErrorKind::WouldBlock`] if there is no reply in time; other kinds if
-    /// there is no connection, or the peer closed it without a reply. The request may have been
-    /// executed in each case.
-    fn call(&self, request: &PeerRequest, timeout: Duration) -> io::Result<PeerReply>;
-}
-
 /// What became of an exchange of link views with a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewExchange {
@@ -150,8 +139,3 @@
         Err(_) => CallOutcome::Failed(CallFailure::Unreachable),
     }
 }
-
-/// True if a reply did not arrive in time, false if the connection failed.
-pub(super) fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
-}
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -3,7 +3,7 @@
 //! - `wire`: the messages;
 //! - `frame`: how a message is read and written;
 //! - `client`: [`PeerClient`], with backoff and observations of the link, over a [`PeerTransport`];
-//! - `tcp_transport`: the transport in production;
+//! - `transport` and `tcp_transport`: the interface of what carries requests, and the transport in production;
 //! - `server`: [`serve_peers`]. What a controller answers is decided in `controller::peer_requests`.
 
 #![warn(missing_docs)]
@@ -12,9 +12,11 @@
 mod frame;
 mod server;
 mod tcp_transport;
+mod transport;
 mod wire;
 
-pub use client::{PeerClient, PeerTransport, ViewExchange};
+pub use client::{PeerClient, ViewExchange};
 pub use server::{PeerRequestHandler, serve_peers};
 pub use tcp_transport::TcpTransport;
+pub use transport::PeerTransport;
 pub use wire::{PeerReply, PeerRequest};
--- a/src/peer/tcp_transport.rs
+++ b/src/peer/tcp_transport.rs
@@ -1,7 +1,7 @@
 //! Requests to one controller over TCP.
 
-use super::client::{PeerTransport, is_timeout};
 use super::frame::{read_frame, write_frame};
+use super::transport::{PeerTransport, is_timeout};
 use super::wire::{PeerReply, PeerRequest};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
