--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -2,11 +2,9 @@
 
 use super::transport::{PeerTransport, is_timeout};
 use super::wire::{PeerReply, PeerRequest};
-use crate::link_health::ObservationQueue;
+use crate::link_health::{CallFailure, CallOutcome, Link, ObservationQueue};
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::link::Link;
-use aspenreel_link_health::observation::{CallFailure, CallOutcome};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
