--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
 mod terminal_states;
 mod timer_loop;
 
-pub use process::ControllerThread;
+pub use process::{ControllerThread, StartError};
 pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -5,13 +5,38 @@
 use crate::os::System;
 use crate::peer::serve_peers;
 use std::io;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::thread;
+use thiserror::Error;
 
 /// The stack of a thread, in bytes.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
 
+/// Why a controller can't run.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// An address can't be listened on.
+    #[error("cannot listen on {addr}: {source}")]
+    Listen {
+        /// The address.
+        addr: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
+    /// A thread can't be started.
+    #[error("cannot start thread {name}: {source}")]
+    Thread {
+        /// The thread's name.
+        name: &'static str,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The HTTP server can't be started.
+    #[error("cannot serve: {0}")]
+    Serve(#[source] io::Error),
+}
+
 /// A thread of a controller that has not been started yet.
 pub struct ControllerThread {
     /// The thread's name.
@@ -22,12 +47,14 @@
 
 impl ControllerThread {
     /// Starts the thread. It isn't joined: it ends with the process.
-    fn start(self) -> io::Result<()> {
+    fn start(self) -> Result<(), StartError> {
+        let name = self.name;
         thread::Builder::new()
-            .name(self.name.to_string())
+            .name(name.to_string())
             .stack_size(THREAD_STACK_BYTES)
             .spawn(self.body)
             .map(drop)
+            .map_err(|source| StartError::Thread { name, source })
     }
 }
 
@@ -66,10 +93,10 @@
     ///
     /// # Errors
     ///
-    /// If an address can't be listened on, or a thread can't be started.
-    pub fn run(self: Arc<Self>, system: Arc<System>) -> io::Result<()> {
-        let public_listener = TcpListener::bind(self.settings.public_addr)?;
-        let peer_listener = TcpListener::bind(self.settings.peer_listen)?;
+    /// [`StartError`] if an address can't be listened on, or a thread can't be started.
+    pub fn run(self: Arc<Self>, system: Arc<System>) -> Result<(), StartError> {
+        let public_listener = listen(self.settings.public_addr)?;
+        let peer_listener = listen(self.settings.peer_listen)?;
         log::info!(
             node = self.settings.node.as_str(),
             addr:% = self.settings.public_addr,
@@ -87,7 +114,7 @@
             max_buffered_bytes: quota.buffered(),
         };
         let open_connections = self.open_connections.clone();
-        serve(public_listener, self, system, limits, open_connections)
+        serve(public_listener, self, system, limits, open_connections).map_err(StartError::Serve)
     }
 
     /// The thread that accepts connections of peers.
@@ -101,3 +128,7 @@
         }
     }
 }
+
+fn listen(addr: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(addr).map_err(|source| StartError::Listen { addr, source })
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,20 @@
 //! aspenreel: a small cluster scheduler with durable outcomes.
 //!
-//! One controller leads. It takes task outcomes from workers' reports, settles each guarded by
-//! its attempt number, and counts a task as done only once that is recorded in the state service.
-//! `docs/design.md` tells the whole design and where it comes from.
+//! Several controllers run, and at most one of them leads. Workers send heartbeats to it; the replies carry commands.
+//! The leader takes the outcomes of tasks from heartbeats, settles each under its attempt number, and counts a task as
+//! done only once that is recorded in the key-value store.
+//!
+//! A request or a thread is found here:
+//!
+//! - [`controller`]: one process: its state, threads, routes of users, workers and peers;
+//! - [`leadership`]: elections, terms, failover; [`peer`]: messages between controllers;
+//! - [`scheduler`]: the leader's state; [`jobs`], [`workers`], [`placement`] and [`provisioning`]: its parts and the
+//!   decisions on them;
+//! - [`store`]: the key-value store's client; [`http`]: server, client and message encoding;
+//! - [`link_health`]: which links work, and handovers;
+//! - [`settings`] and [`cli`]; [`os`], [`logging`], [`invariants`].
+//!
+//! `docs/architecture.md` shows how they work together, `docs/glossary.md` has the terms, `docs/design.md` the proofs.
 
 pub mod cli;
 pub mod controller;
@@ -19,5 +31,6 @@
 pub mod scheduler;
 pub mod settings;
 pub mod store;
-pub use aspenreel_time as time;
 pub mod workers;
+
+pub use aspenreel_time as time;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,72 +1,86 @@
+//! The daemon `aspenreel`: a controller, and the commands for operators.
+
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
-use aspenreel::controller::Controller;
-use aspenreel::leadership::version_rollback::allow_earlier_versions;
+use aspenreel::controller::{Controller, StartError};
+use aspenreel::leadership::version_rollback::{RollbackError, allow_earlier_versions};
 use aspenreel::link_health::command::{ask_for_links, exit_code, links_json, links_table};
+use aspenreel::logging::{self, LoggingError};
 use aspenreel::os::System;
-use aspenreel::settings::Settings;
+use aspenreel::settings::{Settings, SettingsError};
 use aspenreel::store::Store;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
+
+/// The exit code of a command that failed.
+const FAILURE: u8 = 2;
+
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Logging(#[from] LoggingError),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Start(#[from] StartError),
+    #[error(transparent)]
+    Rollback(#[from] RollbackError),
+}
 
 fn main() -> ExitCode {
     let result = match Cli::from_process().command {
         Command::Serve(options) => serve(options),
-        Command::AllowEarlierVersions(options) => roll_back(options),
-        Command::Links(options) => return show_links(&options),
+        Command::AllowEarlierVersions(options) => roll_back(&options),
+        Command::Links(options) => show_links(&options),
     };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("aspenreel: {e}");
-            ExitCode::from(2)
-        }
-    }
+    result.unwrap_or_else(|error| {
+        eprintln!("aspenreel: {error}");
+        ExitCode::from(FAILURE)
+    })
 }
 
-fn serve(options: ServeOptions) -> Result<(), String> {
-    let level = std::env::var("LOG_LEVEL").ok();
-    aspenreel::logging::init(level.as_deref()).map_err(|e| e.to_string())?;
-    let settings = Settings::load(&options.config).map_err(|e| e.to_string())?;
+/// Runs a controller until the process is killed.
+fn serve(options: ServeOptions) -> Result<ExitCode, CommandError> {
+    let log_level = std::env::var("LOG_LEVEL").ok();
+    logging::init(log_level.as_deref())?;
+    let settings = Settings::load(&options.config)?;
     for warning in settings.settings.quota.warnings() {
         log::warn!("{warning}");
     }
-    few_arenas();
+    limit_malloc_arenas();
     let system = Arc::new(System::default());
-    let node = Controller::new(settings, options, system.clone()).map_err(|e| e.to_string())?;
-    let node = Arc::new(node);
-    node.run(system).map_err(|e| format!("cannot listen: {e}"))
+    let controller = Controller::new(settings, options, system.clone())?;
+    Arc::new(controller).run(system)?;
+    Ok(ExitCode::SUCCESS)
 }
 
-fn show_links(options: &LinksOptions) -> ExitCode {
-    let settings = match Settings::load(&options.config) {
-        Ok(settings) => settings,
-        Err(e) => {
-            eprintln!("aspenreel: {e}");
-            return ExitCode::from(2);
-        }
-    };
+/// Prints what the controllers say about their links.
+fn show_links(options: &LinksOptions) -> Result<ExitCode, CommandError> {
+    let settings = Settings::load(&options.config)?;
     let answers = ask_for_links(&settings, Duration::from_millis(options.timeout_ms));
-    match options.json {
-        true => println!("{}", links_json(&answers)),
-        false => print!("{}", links_table(&answers)),
+    if options.json {
+        println!("{}", links_json(&answers));
+    } else {
+        print!("{}", links_table(&answers));
     }
-    exit_code(&answers)
+    Ok(exit_code(&answers))
 }
 
-fn roll_back(options: RollbackOptions) -> Result<(), String> {
-    let settings = Settings::load(&options.config).map_err(|e| e.to_string())?;
+/// Lets controllers of earlier versions lead again.
+fn roll_back(options: &RollbackOptions) -> Result<ExitCode, CommandError> {
+    let settings = Settings::load(&options.config)?;
     let rate = settings.settings.state.strict().rps;
     let store = Store::new(settings.endpoints.state, rate, Arc::new(System::default()));
-    allow_earlier_versions(&store).map_err(|e| e.to_string())?;
+    allow_earlier_versions(&store)?;
     println!("controllers of earlier versions may lead");
-    Ok(())
+    Ok(ExitCode::SUCCESS)
 }
 
-/// One malloc arena for all threads: each further one would cost memory that small
-/// controllers don't have. The only unsafe call of the program.
+/// Makes all threads share one malloc arena. Each further arena would cost memory that small controllers don't have.
 #[allow(unsafe_code)]
-fn few_arenas() {
+fn limit_malloc_arenas() {
     // SAFETY: mallopt only sets a parameter of the allocator, before threads are started.
     unsafe {
         libc::mallopt(libc::M_ARENA_MAX, 1);
