--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -3,6 +3,8 @@
 //! An outcome is held in memory until its done set is written; only then is the task done for
 //! anybody outside. A job is final (done, cancelled) once that is recorded, never before.
 
+mod admission;
+mod completion;
 pub mod doneset;
 pub mod edge;
 pub mod rounds;
@@ -386,6 +388,19 @@
         id
     }
 
+    /// Drops the start watermarks of jobs that were retired: nothing of them is left.
+    pub fn drop_stale_watermarks(&mut self) {
+        let stale: Vec<String> = self
+            .start_watermarks
+            .keys()
+            .filter(|id| self.find(id).is_none())
+            .cloned()
+            .collect();
+        for id in stale {
+            self.start_watermarks.remove(&id);
+        }
+    }
+
     pub fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.table.remove(&id)?;
         self.by_ref.remove(&job.spec.id);
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -60,7 +60,7 @@
                 }
             }
         }
-        scheduler.drop_stale_watermarks();
+        scheduler.jobs.drop_stale_watermarks();
         self.state().jobs_revision = jobs_revision.unwrap_or(lead.revision);
         Some(scheduler)
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -9,14 +9,13 @@
 mod run_times;
 mod status;
 
-use crate::jobs::spec::Submission;
-use crate::jobs::{DoneRecord, FinalWrite, Job, JobId, JobTable, Outcome, new_job};
+use crate::jobs::{Job, JobTable};
 use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
 use crate::settings::{Objective, TeamSettings};
 use crate::time::{Micros, Moment, WallTime, at_most};
 use crate::workers::fencing::Fencing;
-use crate::workers::{CommandQueue, DesiredState, Machine};
+use crate::workers::{CommandQueue, Machine};
 use aspenreel_links::permissions::Permissions;
 use overload::OverloadMonitor;
 use prior_term::PriorTerm;
@@ -55,7 +54,7 @@
 pub const LEASE_MARGIN: Micros = Micros::from_millis(500);
 
 /// Classes of jobs whose run times are learned.
-const MOST_CLASSES: usize = 1000;
+pub(crate) const MOST_CLASSES: usize = 1000;
 
 /// The leader's state, each part with its owner.
 #[derive(Debug)]
@@ -126,153 +125,11 @@
         at_most(self.config.lease) + LEASE_MARGIN
     }
 
-    /// Adds an accepted job. What an earlier term claimed of it is known from the pages.
-    pub fn add_job(
-        &mut self,
-        submission: &Submission,
-        revision: u64,
-        now: Moment,
-        wall: WallTime,
-    ) -> JobId {
-        if let Some(id) = self.jobs.find(&submission.id) {
-            return id;
-        }
-        let spec = submission.spec();
-        if !spec.standing && self.classes.with_arrays.len() < MOST_CLASSES {
-            self.classes.with_arrays.insert(spec.class.clone());
-        }
-        let team = self.config.teams.iter().position(|t| t.name == spec.team);
-        let age = wall.0.saturating_sub(spec.accepted.0);
-        let accepted_at = Moment(now.0.saturating_sub(age));
-        self.placement.due = true;
-        let mut start_watermark = self
-            .jobs
-            .start_watermarks
-            .get(&spec.id)
-            .copied()
-            .unwrap_or(0);
-        if self.prior_term.watermarks_lost
-            || (spec.standing && revision <= self.prior_term.older_version_led_at)
-        {
-            // Any of its tasks may have started, whatever the pages say.
-            start_watermark = spec.tasks;
-        }
-        let mut job = new_job(spec, team, revision, accepted_at, start_watermark);
-        if self.prior_term.released {
-            job.release();
-        }
-        self.jobs.insert(job)
-    }
-
-    /// Takes in a done set's key, read at takeover or after a conflict.
-    pub fn load_done(&mut self, id: &str, chunk: u32, record: &DoneRecord, revision: u64) {
-        let Some(job_id) = self.jobs.find(id) else {
-            return;
-        };
-        let Some(job) = self.jobs.table.get_mut(&job_id) else {
-            return;
-        };
-        let Some(known) = job.revisions.get_mut(chunk as usize) else {
-            return;
-        };
-        if *known != revision && chunk == 0 {
-            // What got no answer was guarded by the revision before: it can't be applied any more.
-            job.final_write = FinalWrite::Idle;
-        }
-        *known = revision;
-        let mut set = job.recorded.clone();
-        if set.add_chunk(chunk, &record.set).is_none() {
-            log::error!("done set of {id}: malformed chunk {chunk}");
-            return;
-        }
-        job.recorded = set;
-        for task in job.recorded.iter().collect::<Vec<_>>() {
-            job.settle(task);
-        }
-        if let Some(outcome) = record.state {
-            self.finish(job_id, outcome);
-        }
-    }
-
-    /// A job's final state is recorded: nothing of it may run any more.
-    pub fn finish(&mut self, id: JobId, outcome: Outcome) {
-        let Some(job) = self.jobs.table.get_mut(&id) else {
-            return;
-        };
-        if job.outcome.is_some() {
-            return;
-        }
-        job.outcome = Some(outcome);
-        job.final_write = FinalWrite::Idle;
-        log::debug!(
-            "{} of {}: {outcome:?}, {} tasks, first all placed {:?} s after acceptance",
-            job.spec.id,
-            job.spec.class,
-            job.spec.tasks,
-            job.placed_at.map(|t| (t - job.accepted_at).as_secs_f64())
-        );
-        self.stop_attempts_of(id);
-    }
-
-    /// Stops whatever there is of a job. Not even time to save: nobody has a use for what it does.
-    fn stop_attempts_of(&mut self, id: JobId) {
-        for m in self.machines.values_mut() {
-            let own = (id, 0, 0)..=(id, u32::MAX, u64::MAX);
-            let mut any = false;
-            for (_, attempt) in m.attempts.range_mut(own) {
-                any = true;
-                attempt.desired = DesiredState::Stop {
-                    grace_period: Micros::ZERO,
-                };
-            }
-            if any {
-                m.rooms.set(None);
-                self.commands.due.insert(m.name.clone());
-            }
-        }
-        self.placement.due = true;
-    }
-
-    /// Claims of jobs that were retired: nothing of them is left.
-    pub fn drop_stale_watermarks(&mut self) {
-        let jobs = &self.jobs;
-        let stale: Vec<String> = self
-            .jobs
-            .start_watermarks
-            .keys()
-            .filter(|id| jobs.find(id).is_none())
-            .cloned()
-            .collect();
-        for id in stale {
-            self.jobs.start_watermarks.remove(&id);
-        }
-    }
-
     /// The time of day, as far as this clock tells it.
     pub fn wall(&self, now: Moment) -> WallTime {
         WallTime(self.wall_at_start.0 + (now - self.started).0)
     }
 
-    /// From here on nothing of the job starts, and what runs is stopped: its user has no use for it,
-    /// whatever becomes of the record. It is cancelled once that is written.
-    pub fn ask_cancel(&mut self, id: &str, now: Moment) -> bool {
-        let Some(job_id) = self.jobs.find(id) else {
-            return false;
-        };
-        if let Some(job) = self.jobs.table.get_mut(&job_id)
-            && job.outcome.is_none()
-            && !job.complete()
-        {
-            let first = job.cancel_asked_at.is_none();
-            job.cancel_asked_at.get_or_insert(now);
-            self.writes_due = true;
-            if first {
-                self.stop_attempts_of(job_id);
-            }
-        }
-        true
-    }
-
     /// Lets earlier terms' claimed tasks go once no unseen machine can hold them any more.
     ///
     /// A task starts only on a machine that is on the roster, and only once it is claimed. So
@@ -312,12 +169,6 @@
         }
     }
 
-    /// True while no more jobs may be accepted; once full, until a tenth of the room is free.
-    pub fn is_full(&self, was: bool) -> bool {
-        let most = self.config.job_bytes;
-        self.jobs.weight() > if was { most / 10 * 9 } else { most }
-    }
-
     /// Which decisions may be made now. Every slice asks here before it decides what needs a record.
     pub fn permissions(&self) -> Permissions {
         self.permissions
