--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -1,7 +1,7 @@
 //! What a fleet of some size costs its leader: memory, and time for a heartbeat and a placement pass.
 
 use aspenreel::http::cbor::{decode, encode};
-use aspenreel::jobs::spec::Submission;
+use aspenreel::jobs::Submission;
 use aspenreel::provisioning::wire::Catalog;
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
@@ -47,7 +47,7 @@
         .into_iter()
         .enumerate()
     {
-        scheduler.written(&write, 10 + revision as u64);
+        scheduler.apply_written(&write, 10 + revision as u64);
     }
     scheduler.release_prior_term(at(60));
     for number in 0..machines {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -215,8 +215,8 @@
         let mut duties = vec![
             ("catalog", duty(Controller::catalog_loop)),
             ("lead", duty(Controller::lead_loop)),
-            ("rounds", duty(Controller::rounds_loop)),
-            ("jobs", duty(Controller::jobs_loop)),
+            ("rounds", duty(Controller::record_writer_loop)),
+            ("jobs", duty(Controller::job_watch_loop)),
             ("fleet", duty(Controller::fleet_loop)),
             ("tick", duty(Controller::timer_loop)),
             ("company", duty(Controller::peer_probe_loop)),
@@ -335,7 +335,7 @@
                 }
             }
             PeerRequest::Ping => PeerReply::Unknown,
-            PeerRequest::Cancel { id } => self.cancel_here(&id),
+            PeerRequest::Cancel { id } => self.cancel_as_leader(&id),
             PeerRequest::Read { id } => self.read_for_peer(&id),
             PeerRequest::Accept { body } => self.accept_for_peer(&body),
             PeerRequest::Links { view } => self.answer_view(&view),
--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -18,11 +18,11 @@
             return id;
         }
         let spec = submission.spec();
-        if !spec.standing && self.classes.with_arrays.len() < MOST_CLASSES {
+        if !spec.is_standing() && self.classes.with_arrays.len() < MOST_CLASSES {
             self.classes.with_arrays.insert(spec.class.clone());
         }
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
-        let age = wall.0.saturating_sub(spec.accepted.0);
+        let age = wall.0.saturating_sub(spec.accepted_at.0);
         let accepted_at = Moment(now.0.saturating_sub(age));
         self.placement.due = true;
         let mut start_watermark = self
@@ -32,7 +32,7 @@
             .copied()
             .unwrap_or(0);
         if self.prior_term.watermarks_lost
-            || (spec.standing && revision <= self.prior_term.older_version_led_at)
+            || (spec.is_standing() && revision <= self.prior_term.older_version_led_at)
         {
             // Any of its tasks may have started, whatever the pages say.
             start_watermark = spec.tasks;
@@ -47,6 +47,6 @@
     /// True while no more jobs may be accepted; once full, until a tenth of the room is free.
     pub fn is_full(&self, was: bool) -> bool {
         let most = self.config.job_bytes;
-        self.jobs.weight() > if was { most / 10 * 9 } else { most }
+        self.jobs.memory_bytes() > if was { most / 10 * 9 } else { most }
     }
 }
--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -7,7 +7,7 @@
 
 impl SchedulerState {
     /// Takes in a done set's key, read at takeover or after a conflict.
-    pub fn load_done(&mut self, id: &str, chunk: u32, record: &DoneRecord, revision: u64) {
+    pub fn apply_done_record(&mut self, id: &str, chunk: u32, record: &DoneRecord, revision: u64) {
         let Some(job_id) = self.jobs.find(id) else {
             return;
         };
@@ -32,12 +32,12 @@
             job.settle(task);
         }
         if let Some(outcome) = record.state {
-            self.finish(job_id, outcome);
+            self.apply_outcome(job_id, outcome);
         }
     }
 
     /// A job's final state is recorded: nothing of it may run any more.
-    pub fn finish(&mut self, id: JobId, outcome: Outcome) {
+    pub fn apply_outcome(&mut self, id: JobId, outcome: Outcome) {
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return;
         };
@@ -58,7 +58,7 @@
 
     /// From here on nothing of the job starts, and what runs is stopped: its user has no use for it,
     /// whatever becomes of the record. It is cancelled once that is written.
-    pub fn ask_cancel(&mut self, id: &str, now: Moment) -> bool {
+    pub fn request_cancellation(&mut self, id: &str, now: Moment) -> bool {
         let Some(job_id) = self.jobs.find(id) else {
             return false;
         };
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -1,6 +1,8 @@
 //! The loop that writes records.
 
-use super::rounds::{WATERMARKS_PREFIX, Write, WriteKind, affordable, pack};
+use super::rounds::{
+    PendingWrite, PendingWriteKind, WATERMARKS_PREFIX, pack_transactions, take_affordable,
+};
 use super::{DoneRecord, FULL_KEY, FinalRecord, JobView};
 use crate::controller::{Controller, ControllerState};
 use crate::provisioning::REGISTRY_PREFIX;
@@ -20,7 +22,7 @@
 
 /// Whether the record says that no more jobs are accepted.
 #[derive(Debug, Default)]
-pub struct Fullness {
+pub struct AdmissionGate {
     pub term: u64,
     pub told: bool,
     /// The key's revision, 0 while it is absent.
@@ -30,7 +32,7 @@
     pub unconfirmed: Option<bool>,
 }
 
-impl Fullness {
+impl AdmissionGate {
     /// What is to be written now, if anything.
     pub fn next(&self, is_full: bool) -> Option<bool> {
         self.unconfirmed
@@ -52,7 +54,7 @@
 }
 
 impl Controller {
-    pub fn rounds_loop(&self) {
+    pub fn record_writer_loop(&self) {
         let site = self.settings.settings.state.strict();
         let rate = site.write_rps * self.options.write_budget as f64 / 100.0;
         let round = Micros::from_millis(self.options.round_ms);
@@ -62,7 +64,7 @@
         // Machines come up one by one: they share pages, and leave most of the tokens to claims.
         let roster_every = Micros::from_secs_f64(ROSTER_TOKENS / rate);
         let mut next_roster = self.now();
-        let mut fullness = Fullness::default();
+        let mut gate = AdmissionGate::default();
         loop {
             self.os.sleep(GATHER);
             let now = self.now();
@@ -78,10 +80,10 @@
                 }
                 let guard = lead.guard();
                 let (term, lease) = (lead.term, lead.lease);
-                if fullness.term != term {
-                    fullness = Fullness {
+                if gate.term != term {
+                    gate = AdmissionGate {
                         term,
-                        ..Fullness::default()
+                        ..AdmissionGate::default()
                     };
                 }
                 if scheduler.token_raise_due(now) && tokens.available(now) >= 1.0 {
@@ -91,17 +93,17 @@
                     self.raise_fencing_token(&lead);
                     continue;
                 }
-                let is_full = scheduler.is_full(fullness.told);
-                if let Some(target) = fullness.next(is_full) {
+                let is_full = scheduler.is_full(gate.told);
+                if let Some(target) = gate.next(is_full) {
                     drop(state);
-                    self.tell_full(&guard, lease, &mut fullness, target);
+                    self.write_gate(&guard, lease, &mut gate, target);
                     continue;
                 }
                 let mut left = tokens.available(now).max(0.0) as usize;
                 let mut writes = Vec::new();
                 // First what somebody waits for: starts for the first two, users for the last.
                 if now >= next_roster {
-                    writes.extend(affordable(
+                    writes.extend(take_affordable(
                         scheduler.pending_registry_writes(false),
                         &mut left,
                     ));
@@ -109,16 +111,22 @@
                         next_roster = now + roster_every;
                     }
                 }
-                writes.extend(affordable(scheduler.pending_watermark_writes(), &mut left));
+                writes.extend(take_affordable(
+                    scheduler.pending_watermark_writes(),
+                    &mut left,
+                ));
                 let terminal_states = scheduler.pending_final_writes(site.txn_ops);
-                writes.extend(affordable(terminal_states, &mut left));
+                writes.extend(take_affordable(terminal_states, &mut left));
                 if now >= next_round {
                     next_round = now + round;
-                    writes.extend(affordable(scheduler.pending_done_sets(left), &mut left));
+                    writes.extend(take_affordable(
+                        scheduler.pending_done_sets(left),
+                        &mut left,
+                    ));
                     let retired = scheduler.pending_retirements(left, site.txn_ops);
-                    writes.extend(affordable(retired, &mut left));
-                    if !writes.iter().any(Write::is_registry) {
-                        writes.extend(affordable(
+                    writes.extend(take_affordable(retired, &mut left));
+                    if !writes.iter().any(PendingWrite::is_registry) {
+                        writes.extend(take_affordable(
                             scheduler.pending_registry_writes(true),
                             &mut left,
                         ));
@@ -137,10 +145,10 @@
                     continue;
                 }
                 // From here on nobody is told anything older than what may be on record soon.
-                scheduler.sending(&writes);
+                scheduler.mark_sent(&writes);
                 (writes, guard, term)
             };
-            let mut packs = pack(writes, site.txn_ops, TRANSACTION_BYTES).into_iter();
+            let mut packs = pack_transactions(writes, site.txn_ops, TRANSACTION_BYTES).into_iter();
             for pack in packs.by_ref() {
                 let mut guards = vec![guard.clone()];
                 guards.extend(pack.iter().flat_map(|w| w.guards.iter().cloned()));
@@ -153,18 +161,22 @@
                             self.lose_lead(term);
                         } else {
                             self.read_back(term, &failed);
-                            self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
+                            self.with_scheduler(term, |scheduler| {
+                                scheduler.mark_not_written(&pack)
+                            });
                         }
                     }
                     Err(e) => {
                         log::debug!("records not written: {e}");
                         not_before = self.now() + Micros::from_millis(200);
                         if matches!(e, StoreError::Refused(_)) {
-                            self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
+                            self.with_scheduler(term, |scheduler| {
+                                scheduler.mark_not_written(&pack)
+                            });
                         } else {
                             // Whether it was applied shows at the next try: the guards' revisions fail.
                             not_before = self.now() + Micros::from_millis(50);
-                            self.with_scheduler(term, |scheduler| scheduler.unanswered(&pack));
+                            self.with_scheduler(term, |scheduler| scheduler.mark_unanswered(&pack));
                         }
                         break;
                     }
@@ -172,7 +184,7 @@
             }
             // What was not sent after all.
             for pack in packs {
-                self.with_scheduler(term, |scheduler| scheduler.not_written(&pack));
+                self.with_scheduler(term, |scheduler| scheduler.mark_not_written(&pack));
             }
             self.changed.notify_all();
         }
@@ -187,7 +199,7 @@
     }
 
     /// Writes that no more jobs are to be accepted, or that they are again.
-    fn tell_full(&self, guard: &Guard, lease: u64, fullness: &mut Fullness, target: bool) {
+    fn write_gate(&self, guard: &Guard, lease: u64, gate: &mut AdmissionGate, target: bool) {
         let change = match target {
             true => Change::Write {
                 write: FULL_KEY.into(),
@@ -196,21 +208,19 @@
             },
             false => Change::delete(FULL_KEY),
         };
-        let guards = [guard.clone(), Guard::new(FULL_KEY, fullness.revision)];
+        let guards = [guard.clone(), Guard::new(FULL_KEY, gate.revision)];
         match self.store.transact(&guards, &[change], Urgency::Granted) {
-            Ok(Commit::Done { revision }) => {
-                fullness.known(target, if target { revision } else { 0 })
-            }
+            Ok(Commit::Done { revision }) => gate.known(target, if target { revision } else { 0 }),
             Ok(Commit::Conflict { failed }) if failed == [FULL_KEY] => {
                 // One without an answer was carried out.
                 if let Ok(row) = self.store.get(FULL_KEY, Urgency::Normal) {
-                    fullness.known(row.is_some(), row.map_or(0, |r| r.revision));
+                    gate.known(row.is_some(), row.map_or(0, |r| r.revision));
                 }
             }
             Ok(Commit::Conflict { .. }) | Err(StoreError::Refused(_)) => {}
             Err(e) => {
                 log::debug!("not told whether jobs are accepted: {e}");
-                fullness.unconfirmed = Some(target);
+                gate.unconfirmed = Some(target);
             }
         }
     }
@@ -233,23 +243,24 @@
         });
     }
 
-    fn note_written(&self, term: u64, pack: &[Write], revision: u64) {
+    fn note_written(&self, term: u64, pack: &[PendingWrite], revision: u64) {
         self.under(term, |state| self.note_written_in(state, pack, revision));
         self.changed.notify_all();
     }
 
-    fn note_written_in(&self, state: &mut ControllerState, pack: &[Write], revision: u64) {
+    fn note_written_in(&self, state: &mut ControllerState, pack: &[PendingWrite], revision: u64) {
         let Some(scheduler) = &mut state.scheduler else {
             return;
         };
         for write in pack {
-            if let WriteKind::Final(job, outcome) | WriteKind::Retire(job, outcome) = &write.kind
+            if let PendingWriteKind::FinalState(job, outcome)
+            | PendingWriteKind::Retirement(job, outcome) = &write.kind
                 && let Some(job) = scheduler.jobs.table.get(job)
             {
                 let view = JobView::of_final(*outcome, job.spec.tasks);
                 state.terminal_states.note(&job.spec.id, view);
             }
-            scheduler.written(write, revision);
+            scheduler.apply_written(write, revision);
         }
         scheduler.place_soon(self.now());
         self.wake(scheduler);
@@ -274,7 +285,9 @@
             match self.store.get(key, Urgency::Normal) {
                 Ok(Some(row)) => {
                     let record: DoneRecord = from_value(&row.data).unwrap_or_default();
-                    self.with_scheduler(term, |c| c.load_done(id, chunk, &record, row.revision));
+                    self.with_scheduler(term, |c| {
+                        c.apply_done_record(id, chunk, &record, row.revision)
+                    });
                 }
                 Ok(None) => {
                     self.with_scheduler(term, |c| c.done_key_absent(id, chunk));
@@ -331,7 +344,7 @@
         self.state().terminal_states.note(id, view);
         self.with_scheduler(term, |scheduler| {
             if let Some(job) = scheduler.jobs.find(id) {
-                scheduler.finish(job, record.state);
+                scheduler.apply_outcome(job, record.state);
                 scheduler.forget_job(id);
             }
         });
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -11,11 +11,17 @@
 pub mod spec;
 pub mod users;
 
+pub use doneset::TaskSet;
+pub use edge::AdmissionGate;
+pub use rounds::{
+    PendingWrite, PendingWriteKind, WATERMARKS_PREFIX, pack_transactions, page_write,
+    take_affordable,
+};
+pub use spec::{JobKind, JobSpec, MAX_TASKS, Priority, Refusal, Submission};
+
 use crate::state_store::pages::Pages;
 use crate::time::{Micros, Moment};
-use doneset::TaskSet;
 use serde::{Deserialize, Serialize};
-use spec::JobSpec;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A job's number within one leader's memory.
@@ -141,6 +147,15 @@
     }
 }
 
+/// Run times seen of a job's own finished tasks.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct RunTimes {
+    /// How many were seen.
+    pub count: u32,
+    /// Their sum.
+    pub total: Micros,
+}
+
 #[derive(Debug)]
 pub struct Job {
     pub spec: JobSpec,
@@ -150,7 +165,7 @@
     pub accepted_at: Moment,
     /// Tasks numbered below this were claimed under an earlier term: a machine not seen yet may
     /// still run them. 0 once that is settled.
-    pub held_below: u32,
+    pub unreconciled_below: u32,
     /// Tasks numbered below this may start: the claim is on record.
     pub start_watermark: u32,
     /// What the next claim is to cover.
@@ -171,24 +186,24 @@
     /// How many attempts they are.
     bound_attempts: u32,
     /// One of its tasks ran for long enough to count as started.
-    pub begun: bool,
+    pub ran_long_enough: bool,
     requeued: BTreeSet<u32>,
     cursor: u32,
     /// Machines on which a task failed, since the last success.
     pub failed_on: BTreeSet<String>,
     pub failures: u32,
-    pub retry_at: Moment,
+    pub retry_after: Moment,
     /// When no task was left without a place for the first time.
     pub placed_at: Option<Moment>,
     /// Run times seen of its own tasks: how many, and their sum.
-    pub runs: (u32, Micros),
+    pub run_times: RunTimes,
 }
 
 impl Job {
     /// Bytes that it takes while it waits, roughly. What runs is bounded by the machines.
-    fn weight(&self) -> usize {
+    fn memory_bytes(&self) -> usize {
         let s = &self.spec;
-        let types = s.types.iter().flatten().map(|t| t.len() + 24);
+        let types = s.machine_types.iter().flatten().map(|t| t.len() + 24);
         let text = s.id.len() + s.class.len() + s.team.len() + s.image.len();
         JOB_BYTES + 2 * text + types.sum::<usize>() + s.tasks as usize / 4
     }
@@ -208,15 +223,15 @@
 
     /// Of these, the ones that may be on a machine not seen yet.
     pub fn held(&self) -> u32 {
-        (0..self.held_below)
+        (0..self.unreconciled_below)
             .filter(|t| !self.done.contains(*t) && !self.bound.contains_key(t))
             .count() as u32
     }
 
     /// No machine that was not seen can have any of its tasks.
     pub fn release(&mut self) {
-        if self.held_below > 0 {
-            self.held_below = 0;
+        if self.unreconciled_below > 0 {
+            self.unreconciled_below = 0;
             self.cursor = 0;
         }
     }
@@ -232,8 +247,8 @@
     }
 
     /// Some task of it has a place, or had one for long enough.
-    pub fn begun(&self) -> bool {
-        self.bound_attempts > 0 || self.begun || !self.done.is_empty()
+    pub fn has_begun(&self) -> bool {
+        self.bound_attempts > 0 || self.ran_long_enough || !self.done.is_empty()
     }
 
     pub fn is_bound(&self) -> bool {
@@ -248,7 +263,7 @@
     /// Tasks that a machine not seen yet may run, done ones as well: an order of an earlier term may
     /// still start them there once more.
     pub fn maybe_unreconciled(&self) -> u32 {
-        (0..self.held_below)
+        (0..self.unreconciled_below)
             .filter(|t| !self.bound.contains_key(t))
             .count() as u32
     }
@@ -278,14 +293,14 @@
 
     /// The next task without a place; it stays ready until it is bound.
     pub fn next_ready(&mut self) -> Option<u32> {
-        while let Some(&task) = self.requeued.range(self.held_below..).next() {
+        while let Some(&task) = self.requeued.range(self.unreconciled_below..).next() {
             if self.done.contains(task) || self.bound.contains_key(&task) {
                 self.requeued.remove(&task);
             } else {
                 return Some(task);
             }
         }
-        self.cursor = self.cursor.max(self.held_below);
+        self.cursor = self.cursor.max(self.unreconciled_below);
         while self.cursor < self.spec.tasks {
             if self.done.contains(self.cursor) || self.bound.contains_key(&self.cursor) {
                 self.cursor += 1;
@@ -321,8 +336,8 @@
     }
 
     /// When the job must be complete.
-    pub fn due_at(&self) -> Option<Moment> {
-        self.spec.due.map(|d| self.accepted_at + d)
+    pub fn deadline(&self) -> Option<Moment> {
+        self.spec.deadline.map(|d| self.accepted_at + d)
     }
 
     /// All tasks have an outcome in memory; the record may still be missing.
@@ -332,12 +347,12 @@
 
     /// Waits longer after each failure on yet another machine, so that a job that was submitted
     /// with a mistake doesn't starve the others.
-    pub fn note_failure(&mut self, machine: &str, now: Moment) {
+    pub fn note_task_failure(&mut self, machine: &str, now: Moment) {
         self.failures += 1;
         self.failed_on.insert(machine.to_string());
         if self.failed_on.len() >= 3 {
             let exponent = (self.failed_on.len() as u32 - 3).min(5);
-            self.retry_at = now + Micros::from_secs(2 << exponent);
+            self.retry_after = now + Micros::from_secs(2 << exponent);
         }
     }
 }
@@ -349,7 +364,7 @@
     /// Of each job, below which number its tasks may have started.
     pub start_watermarks: Pages<u32>,
     /// The sum of the jobs' weights.
-    weight: usize,
+    memory_bytes: usize,
     pub table: BTreeMap<JobId, Job>,
     by_ref: HashMap<String, JobId>,
 }
@@ -360,7 +375,7 @@
         JobTable {
             next: 0,
             start_watermarks: Pages::new(value_bytes),
-            weight: 0,
+            memory_bytes: 0,
             table: BTreeMap::new(),
             by_ref: HashMap::new(),
         }
@@ -375,15 +390,15 @@
     }
 
     /// Bytes that all of them take, roughly.
-    pub fn weight(&self) -> usize {
-        self.weight
+    pub fn memory_bytes(&self) -> usize {
+        self.memory_bytes
     }
 
     pub fn insert(&mut self, job: Job) -> JobId {
         let id = JobId(self.next);
         self.next += 1;
         self.by_ref.insert(job.spec.id.clone(), id);
-        self.weight += job.weight();
+        self.memory_bytes += job.memory_bytes();
         self.table.insert(id, job);
         id
     }
@@ -404,7 +419,7 @@
     pub fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.table.remove(&id)?;
         self.by_ref.remove(&job.spec.id);
-        self.weight -= job.weight();
+        self.memory_bytes -= job.memory_bytes();
         Some(job)
     }
 }
@@ -421,7 +436,7 @@
     Job {
         team,
         accepted_at,
-        held_below: start_watermark,
+        unreconciled_below: start_watermark,
         start_watermark,
         requested_watermark: 0,
         revisions: vec![0; done.chunks() as usize],
@@ -434,14 +449,14 @@
         bound: HashMap::new(),
         bound_open: 0,
         bound_attempts: 0,
-        begun: false,
+        ran_long_enough: false,
         requeued: BTreeSet::new(),
         cursor: 0,
         failed_on: BTreeSet::new(),
         failures: 0,
-        retry_at: Moment(0),
+        retry_after: Moment(0),
         placed_at: None,
-        runs: (0, Micros::ZERO),
+        run_times: RunTimes::default(),
         spec,
     }
 }
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -1,4 +1,4 @@
-//! Write rounds: which records are due, most urgent first, packed into few transactions.
+//! PendingWrite rounds: which records are due, most urgent first, packed into few transactions.
 
 use super::{
     DoneRecord, FinalRecord, FinalWrite, Job, JobId, Outcome, done_key, final_key, job_key,
@@ -18,31 +18,31 @@
 
 /// One write: the changes belong together, and so do their guards.
 #[derive(Clone, Debug)]
-pub struct Write {
-    pub kind: WriteKind,
+pub struct PendingWrite {
+    pub kind: PendingWriteKind,
     pub guards: Vec<Guard>,
     pub changes: Vec<Change>,
 }
 
 #[derive(Clone, Debug)]
-pub enum WriteKind {
-    Final(JobId, Outcome),
-    Set {
+pub enum PendingWriteKind {
+    FinalState(JobId, Outcome),
+    DoneSet {
         job: JobId,
         chunk: u32,
         text: String,
     },
     /// Only `final/<ref>` stays of the job.
-    Retire(JobId, Outcome),
+    Retirement(JobId, Outcome),
     /// Tasks numbered below these may start.
-    Claims(PageImage<u32>),
+    StartWatermarks(PageImage<u32>),
     /// These machines may hold tasks.
-    Registry(PageImage<u64>),
+    MachineRegistry(PageImage<u64>),
 }
 
-impl Write {
+impl PendingWrite {
     pub fn is_registry(&self) -> bool {
-        matches!(self.kind, WriteKind::Registry(_))
+        matches!(self.kind, PendingWriteKind::MachineRegistry(_))
     }
 
     /// What it takes of a transaction, in bytes of JSON.
@@ -55,10 +55,10 @@
 pub fn page_write<V: Clone + serde::Serialize>(
     prefix: &str,
     image: PageImage<V>,
-    kind: impl Fn(PageImage<V>) -> WriteKind,
-) -> Write {
+    kind: impl Fn(PageImage<V>) -> PendingWriteKind,
+) -> PendingWrite {
     let key = format!("{prefix}{}", image.number);
-    Write {
+    PendingWrite {
         guards: vec![Guard::new(key.clone(), image.revision)],
         changes: vec![Change::write(key, to_value(&image.entries))],
         kind: kind(image),
@@ -74,14 +74,14 @@
     }
 
     /// Pages of claims that starts wait for.
-    pub fn pending_watermark_writes(&self) -> Vec<Write> {
+    pub fn pending_watermark_writes(&self) -> Vec<PendingWrite> {
         let due = self.jobs.start_watermarks.due(false).into_iter();
-        due.map(|image| page_write(WATERMARKS_PREFIX, image, WriteKind::Claims))
+        due.map(|image| page_write(WATERMARKS_PREFIX, image, PendingWriteKind::StartWatermarks))
             .collect()
     }
 
     /// Final states that wait: they go out at once.
-    pub fn pending_final_writes(&self, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_final_writes(&self, txn_ops: usize) -> Vec<PendingWrite> {
         self.jobs
             .table
             .iter()
@@ -106,8 +106,8 @@
                     state: Some(outcome),
                     set: String::new(),
                 };
-                Write {
-                    kind: WriteKind::Final(*id, outcome),
+                PendingWrite {
+                    kind: PendingWriteKind::FinalState(*id, outcome),
                     // The revision keeps done and cancelled apart even if an unanswered
                     // transaction of ours is applied late.
                     guards: vec![Guard::new(key.clone(), j.revisions[0])],
@@ -118,7 +118,7 @@
     }
 
     /// Changed done sets, those with most unrecorded outcomes first.
-    pub fn pending_done_sets(&self, budget: usize) -> Vec<Write> {
+    pub fn pending_done_sets(&self, budget: usize) -> Vec<PendingWrite> {
         let mut due: Vec<(u32, JobId)> = self
             .jobs
             .table
@@ -147,8 +147,8 @@
                     state: None,
                     set: text.clone(),
                 };
-                writes.push(Write {
-                    kind: WriteKind::Set {
+                writes.push(PendingWrite {
+                    kind: PendingWriteKind::DoneSet {
                         job: id,
                         chunk,
                         text,
@@ -163,7 +163,7 @@
 
     /// Final jobs of which nothing is left on any machine: only `final/<ref>` stays, so that a
     /// new leader reads no more than what still matters.
-    pub fn pending_retirements(&self, budget: usize, txn_ops: usize) -> Vec<Write> {
+    pub fn pending_retirements(&self, budget: usize, txn_ops: usize) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         let mut ops = 0;
         for (id, job) in &self.jobs.table {
@@ -185,7 +185,7 @@
     /// Nothing of the job can be on any machine, or arrive there.
     fn leaves_nothing(&self, id: JobId, job: &Job) -> bool {
         // An unseen machine may still run tasks of a held job: its team's limit needs them.
-        job.held_below == 0 && !job.is_bound() && !self.has_open_starts(id)
+        job.unreconciled_below == 0 && !job.is_bound() && !self.has_open_starts(id)
     }
 
     /// A start without an answer may still arrive: its attempt must not be cleared, so its job
@@ -206,7 +206,7 @@
     }
 
     /// These writes are about to be sent.
-    pub fn sending(&mut self, writes: &[Write]) {
+    pub fn mark_sent(&mut self, writes: &[PendingWrite]) {
         self.decide(writes, |was| match was {
             FinalWrite::Idle => FinalWrite::Sent,
             was => was,
@@ -214,7 +214,7 @@
     }
 
     /// These writes were surely not carried out.
-    pub fn not_written(&mut self, writes: &[Write]) {
+    pub fn mark_not_written(&mut self, writes: &[PendingWrite]) {
         self.decide(writes, |was| match was {
             FinalWrite::Sent => FinalWrite::Idle,
             was => was,
@@ -222,13 +222,14 @@
     }
 
     /// These writes got no answer: they may have been carried out, or may yet be.
-    pub fn unanswered(&mut self, writes: &[Write]) {
+    pub fn mark_unanswered(&mut self, writes: &[PendingWrite]) {
         self.decide(writes, |_| FinalWrite::Unknown);
     }
 
-    fn decide(&mut self, writes: &[Write], next: impl Fn(FinalWrite) -> FinalWrite) {
+    fn decide(&mut self, writes: &[PendingWrite], next: impl Fn(FinalWrite) -> FinalWrite) {
         for write in writes {
-            if let WriteKind::Final(id, _) | WriteKind::Retire(id, _) = &write.kind
+            if let PendingWriteKind::FinalState(id, _) | PendingWriteKind::Retirement(id, _) =
+                &write.kind
                 && let Some(job) = self.jobs.table.get_mut(id)
             {
                 job.final_write = next(job.final_write);
@@ -237,9 +238,9 @@
     }
 
     /// A write was committed at this revision.
-    pub fn written(&mut self, write: &Write, revision: u64) {
+    pub fn apply_written(&mut self, write: &PendingWrite, revision: u64) {
         match &write.kind {
-            WriteKind::Final(id, outcome) => {
+            PendingWriteKind::FinalState(id, outcome) => {
                 let Some(job) = self.jobs.table.get_mut(id) else {
                     return;
                 };
@@ -247,9 +248,9 @@
                 if *outcome == Outcome::Done {
                     job.recorded = job.done.clone();
                 }
-                self.finish(*id, *outcome);
+                self.apply_outcome(*id, *outcome);
             }
-            WriteKind::Set { job, chunk, text } => {
+            PendingWriteKind::DoneSet { job, chunk, text } => {
                 let Some(job) = self.jobs.table.get_mut(job) else {
                     return;
                 };
@@ -271,14 +272,14 @@
                     let _ = job.recorded.add_chunk(*chunk, text);
                 }
             }
-            WriteKind::Retire(id, outcome) => {
-                self.finish(*id, *outcome);
+            PendingWriteKind::Retirement(id, outcome) => {
+                self.apply_outcome(*id, *outcome);
                 if let Some(job) = self.jobs.table.get(id) {
                     let id = job.spec.id.clone();
                     self.forget_job(&id);
                 }
             }
-            WriteKind::Claims(image) => {
+            PendingWriteKind::StartWatermarks(image) => {
                 self.jobs
                     .start_watermarks
                     .written(image.number, image.version, revision);
@@ -295,7 +296,7 @@
                     }
                 }
             }
-            WriteKind::Registry(image) => {
+            PendingWriteKind::MachineRegistry(image) => {
                 self.provisioning
                     .registry
                     .written(image.number, image.version, revision);
@@ -348,7 +349,7 @@
 }
 
 /// The transaction after which only `final/<ref>` is left; None if it has too many chunks.
-fn retirement(id: JobId, job: &Job, outcome: Outcome, txn_ops: usize) -> Option<Write> {
+fn retirement(id: JobId, job: &Job, outcome: Outcome, txn_ops: usize) -> Option<PendingWrite> {
     let spec_id = &job.spec.id;
     let chunks: Vec<u32> = stored_chunks(job).collect();
     if chunks.len() + 2 > txn_ops {
@@ -371,8 +372,8 @@
     };
     changes.push(Change::write(final_key(spec_id), to_value(&record)));
     changes.push(Change::delete(job_key(spec_id)));
-    Some(Write {
-        kind: WriteKind::Retire(id, outcome),
+    Some(PendingWrite {
+        kind: PendingWriteKind::Retirement(id, outcome),
         guards,
         changes,
     })
@@ -386,7 +387,7 @@
 }
 
 /// Too many chunks for one transaction: the higher ones go first, the final state last.
-fn fewer_chunks(id: JobId, job: &Job, txn_ops: usize) -> Write {
+fn fewer_chunks(id: JobId, job: &Job, txn_ops: usize) -> PendingWrite {
     let chunks = stored_chunks(job).filter(|c| *c > 0).take(txn_ops);
     let (guards, changes) = chunks
         .map(|c| {
@@ -395,8 +396,8 @@
             (guard, Change::delete(key))
         })
         .unzip();
-    Write {
-        kind: WriteKind::Set {
+    PendingWrite {
+        kind: PendingWriteKind::DoneSet {
             job: id,
             chunk: 0,
             text: String::new(),
@@ -407,8 +408,12 @@
 }
 
 /// Packs writes into transactions of at most `ops` changes and `bytes` bytes, keeping each write whole.
-pub fn pack(writes: Vec<Write>, ops: usize, bytes: usize) -> Vec<Vec<Write>> {
-    let mut packs: Vec<Vec<Write>> = Vec::new();
+pub fn pack_transactions(
+    writes: Vec<PendingWrite>,
+    ops: usize,
+    bytes: usize,
+) -> Vec<Vec<PendingWrite>> {
+    let mut packs: Vec<Vec<PendingWrite>> = Vec::new();
     let (mut packed_ops, mut packed_bytes) = (0, 0);
     for write in writes {
         let (own_ops, own_bytes) = (write.changes.len(), write.json_len());
@@ -430,7 +435,7 @@
 
 /// As many of the writes, in their order, as there are tokens for. One that is too large stops
 /// the others: else small ones would always go before it.
-pub fn affordable(writes: Vec<Write>, left: &mut usize) -> Vec<Write> {
+pub fn take_affordable(writes: Vec<PendingWrite>, left: &mut usize) -> Vec<PendingWrite> {
     let mut taken = Vec::new();
     for write in writes {
         let n = write.changes.len();
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -23,42 +23,49 @@
 pub struct Submission {
     #[serde(rename = "ref")]
     pub id: String,
-    pub lane: String,
-    pub crew: String,
-    pub shape: Shape,
-    pub rank: Priority,
-    pub pieces: u64,
+    #[serde(rename = "lane")]
+    pub class: String,
+    #[serde(rename = "crew")]
+    pub team: String,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
+    #[serde(rename = "pieces")]
+    pub tasks: u64,
     pub cpus: Decimal,
     pub gpus: Decimal,
     #[serde(rename = "ramGb")]
     pub ram_gb: Decimal,
-    pub bundle: String,
+    #[serde(rename = "bundle")]
+    pub image: String,
     #[serde(rename = "imageGb")]
     pub image_gb: Decimal,
-    #[serde(default)]
-    pub builds: Option<Vec<String>>,
-    #[serde(default)]
-    pub yard: Option<String>,
+    #[serde(rename = "builds", default)]
+    pub machine_types: Option<Vec<String>>,
+    #[serde(rename = "yard", default)]
+    pub zone: Option<String>,
     #[serde(rename = "samePlace")]
-    pub same_place: bool,
+    pub same_zone: bool,
     pub spread: bool,
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     #[serde(rename = "guessS")]
-    pub guess_s: Decimal,
+    pub estimate_s: Decimal,
     #[serde(rename = "bookmarkS")]
-    pub bookmark_s: Decimal,
+    pub checkpoint_interval_s: Decimal,
     #[serde(rename = "stashS")]
-    pub stash_s: Decimal,
+    pub checkpoint_duration_s: Decimal,
     #[serde(rename = "dueS", default)]
-    pub due_s: Option<Decimal>,
+    pub deadline_s: Option<Decimal>,
     /// Ours, in the kept record: when it was accepted, by the accepting node's time of day.
     #[serde(rename = "acceptedUs", default)]
     pub accepted_us: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Shape {
+#[serde(rename_all = "lowercase", expecting = "enum Shape")]
+pub enum JobKind {
     /// Independent tasks, each runs to its end.
     Array,
     /// Tasks (replicas) that run until the job is cancelled.
@@ -86,24 +93,30 @@
     pub id: String,
     pub class: String,
     pub team: String,
-    pub rank: Priority,
+    pub priority: Priority,
     pub tasks: u32,
     /// What one task takes of its machine.
-    pub need: Resources,
+    pub demand: Resources,
     pub image: String,
     pub image_gb: f64,
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
-    pub one_zone: bool,
+    pub same_zone: bool,
     pub spread: bool,
     pub spot: bool,
     pub estimate: Micros,
-    pub checkpoint: Micros,
-    pub save: Micros,
-    pub due: Option<Micros>,
+    pub checkpoint_interval: Micros,
+    pub checkpoint_duration: Micros,
+    pub deadline: Option<Micros>,
+    pub kind: JobKind,
+    pub accepted_at: WallTime,
+}
+
+impl JobSpec {
     /// Its tasks are replicas that run until it is cancelled.
-    pub standing: bool,
-    pub accepted: WallTime,
+    pub fn is_standing(&self) -> bool {
+        self.kind == JobKind::Standing
+    }
 }
 
 impl Submission {
@@ -118,7 +131,7 @@
         if !is_ref(&self.id) {
             return bad("ref");
         }
-        if !(1..=MAX_TASKS).contains(&self.pieces) {
+        if !(1..=MAX_TASKS).contains(&self.tasks) {
             return bad("pieces");
         }
         let amount = |d: Decimal| (0.0..=1e9).contains(&d.0);
@@ -127,9 +140,9 @@
             ("gpus", self.gpus),
             ("ramGb", self.ram_gb),
             ("imageGb", self.image_gb),
-            ("guessS", self.guess_s),
-            ("bookmarkS", self.bookmark_s),
-            ("stashS", self.stash_s),
+            ("guessS", self.estimate_s),
+            ("bookmarkS", self.checkpoint_interval_s),
+            ("stashS", self.checkpoint_duration_s),
         ] {
             if !amount(value) {
                 return bad(field);
@@ -138,10 +151,10 @@
         if self.cpus.0 <= 0.0 && self.gpus.0 <= 0.0 {
             return bad("cpus");
         }
-        if self.due_s.is_some_and(|d| !amount(d)) {
+        if self.deadline_s.is_some_and(|d| !amount(d)) {
             return bad("dueS");
         }
-        if self.bundle.is_empty() {
+        if self.image.is_empty() {
             return bad("bundle");
         }
         Ok(())
@@ -150,24 +163,24 @@
     pub fn spec(&self) -> JobSpec {
         JobSpec {
             id: self.id.clone(),
-            class: self.lane.clone(),
-            team: self.crew.clone(),
-            rank: self.rank,
-            tasks: self.pieces.min(MAX_TASKS) as u32,
-            need: Resources::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
-            image: self.bundle.clone(),
+            class: self.class.clone(),
+            team: self.team.clone(),
+            priority: self.priority,
+            tasks: self.tasks.min(MAX_TASKS) as u32,
+            demand: Resources::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
+            image: self.image.clone(),
             image_gb: self.image_gb.0,
-            types: self.builds.clone(),
-            zone: self.yard.clone(),
-            one_zone: self.same_place,
+            machine_types: self.machine_types.clone(),
+            zone: self.zone.clone(),
+            same_zone: self.same_zone,
             spread: self.spread,
-            spot: self.loaners,
-            estimate: Micros::from_secs_f64(self.guess_s.0),
-            checkpoint: Micros::from_secs_f64(self.bookmark_s.0),
-            save: Micros::from_secs_f64(self.stash_s.0),
-            due: self.due_s.map(|d| Micros::from_secs_f64(d.0)),
-            standing: self.shape == Shape::Standing,
-            accepted: WallTime(self.accepted_us),
+            spot: self.spot,
+            estimate: Micros::from_secs_f64(self.estimate_s.0),
+            checkpoint_interval: Micros::from_secs_f64(self.checkpoint_interval_s.0),
+            checkpoint_duration: Micros::from_secs_f64(self.checkpoint_duration_s.0),
+            deadline: self.deadline_s.map(|d| Micros::from_secs_f64(d.0)),
+            kind: self.kind,
+            accepted_at: WallTime(self.accepted_us),
         }
     }
 
@@ -179,13 +192,13 @@
         zones: &[String],
     ) -> Result<(), Refusal> {
         let never = |why: &str| Err(Refusal::Impossible(why.to_string()));
-        let Some(team) = teams.iter().find(|t| t.name == self.crew) else {
+        let Some(team) = teams.iter().find(|t| t.name == self.team) else {
             return never("unknown team");
         };
         let spec = self.spec();
         // Tasks of an array may run one after the other; replicas run together.
-        let together = if spec.standing { spec.tasks } else { 1 };
-        let mut least = spec.need.by(i64::from(together));
+        let together = if spec.is_standing() { spec.tasks } else { 1 };
+        let mut least = spec.demand.by(i64::from(together));
         least.ram = 0;
         if !least.fits(Resources::have(team.cpus_max, team.gpus_max, 0.0)) {
             return never("more than the team's limit");
@@ -196,8 +209,11 @@
             return never("unknown zone");
         }
         let fits = catalog.iter().any(|t| {
-            spec.need.fits(t.room)
-                && spec.types.as_ref().is_none_or(|a| a.contains(&t.name))
+            spec.demand.fits(t.room)
+                && spec
+                    .machine_types
+                    .as_ref()
+                    .is_none_or(|a| a.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         if !fits {
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -1,6 +1,6 @@
 //! What users ask: submit, status, cancel and `/up`.
 
-use super::spec::{Refusal, Shape, Submission, is_ref};
+use super::spec::{JobKind, Refusal, Submission, is_ref};
 use super::{
     DoneRecord, FULL_KEY, FinalRecord, JobView, LocalStatus, ViewState, done_key, final_key,
     job_key,
@@ -162,7 +162,7 @@
 
     /// A standing job is written once all controllers know what it is.
     fn may_write(&self, submission: &Submission) -> bool {
-        submission.shape == Shape::Array || self.level().has_standing_jobs()
+        submission.kind == JobKind::Array || self.level().has_standing_jobs()
     }
 
     /// A ref that is accepted already never gets a refusal, whatever body comes again.
@@ -274,7 +274,7 @@
             Guard::new(final_key(&id), 0),
             Guard::new(FULL_KEY, 0),
         ];
-        if submission.shape == Shape::Standing {
+        if submission.kind == JobKind::Standing {
             // What was known when this process looked may have been taken back since.
             guards.push(self.level().guard());
         }
@@ -332,7 +332,7 @@
         if !is_ref(id) {
             return Response::new(404, Vec::new());
         }
-        let mut reply = self.cancel_here(id);
+        let mut reply = self.cancel_as_leader(id);
         if reply == PeerReply::NotLeading {
             reply = self
                 .ask_leader(
@@ -356,7 +356,7 @@
     }
 
     /// Cancels a job if this node leads, and waits for the record for a bounded time.
-    pub fn cancel_here(&self, id: &str) -> PeerReply {
+    pub fn cancel_as_leader(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIME;
         let mut state = self.state();
         if let Some(view) = state.terminal_states.get(id) {
@@ -366,7 +366,7 @@
         let Some((_, scheduler)) = state.acting(now) else {
             return PeerReply::NotLeading;
         };
-        if !scheduler.ask_cancel(id, now) {
+        if !scheduler.request_cancellation(id, now) {
             return PeerReply::Unknown;
         }
         self.changed.notify_all();
@@ -474,7 +474,7 @@
                 .get_within(key, Urgency::Normal, READ_TIME.min(left))
         };
         if let Some(row) = get(&job_key(id))? {
-            let tasks = from_value::<Submission>(&row.data).map_or(0, |s| s.pieces as u32);
+            let tasks = from_value::<Submission>(&row.data).map_or(0, |s| s.tasks as u32);
             if let Some(done) = get(&done_key(id, 0))? {
                 let record: DoneRecord = from_value(&done.data).unwrap_or_default();
                 if let Some(outcome) = record.state {
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -2,7 +2,7 @@
 
 use super::{ElectionOutcome, HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, lease_until, take};
 use crate::controller::Controller;
-use crate::jobs::spec::Submission;
+use crate::jobs::Submission;
 use crate::os::pause;
 use crate::state_store::{Change, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
@@ -237,7 +237,7 @@
     }
 
     /// Watches for jobs that other nodes accept.
-    pub fn jobs_loop(&self) {
+    pub fn job_watch_loop(&self) {
         loop {
             let (term, since) = {
                 let state = self.state();
--- a/src/leadership/rollback.rs
+++ b/src/leadership/rollback.rs
@@ -7,7 +7,7 @@
 use super::term::{TERM_KEY, TermRecord};
 use super::{LEADER_KEY, LeaderRecord};
 use crate::jobs::JOBS_PREFIX;
-use crate::jobs::spec::{Shape, Submission};
+use crate::jobs::{JobKind, Submission};
 use crate::state_store::{Change, Commit, Guard, Store, StoreError, Urgency, from_value};
 
 const PAGE: usize = 100;
@@ -59,7 +59,7 @@
         let page = store.range(JOBS_PREFIX, since.as_deref(), PAGE, Urgency::LeaderLease)?;
         let jobs = page.rows.iter();
         let mut jobs = jobs.filter_map(|row| from_value::<Submission>(&row.data));
-        if let Some(job) = jobs.find(|job| job.shape == Shape::Standing) {
+        if let Some(job) = jobs.find(|job| job.kind == JobKind::Standing) {
             return Err(RollbackError::StandingJob(job.id));
         }
         since = page.rows.last().map(|row| row.key.clone());
--- a/src/leadership/takeover.rs
+++ b/src/leadership/takeover.rs
@@ -2,8 +2,8 @@
 
 use super::LeaderLease;
 use crate::controller::Controller;
-use crate::jobs::rounds::WATERMARKS_PREFIX;
-use crate::jobs::spec::Submission;
+use crate::jobs::Submission;
+use crate::jobs::WATERMARKS_PREFIX;
 use crate::jobs::{DONE_PREFIX, DoneRecord, JOBS_PREFIX};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
@@ -150,7 +150,7 @@
             return Some(());
         };
         let record: DoneRecord = from_value(&row.data)?;
-        self.load_done(id, chunk, &record, row.revision);
+        self.apply_done_record(id, chunk, &record, row.revision);
         Some(())
     }
 }
--- a/src/placement/fit.rs
+++ b/src/placement/fit.rs
@@ -24,7 +24,7 @@
         zones: &BTreeMap<String, u32>,
     ) -> Option<usize> {
         let job = self.jobs.table.get(&id)?;
-        let (need, anywhere) = (job.spec.need, job.spec.anywhere());
+        let (need, anywhere) = (job.spec.demand, job.spec.anywhere());
         if pass.unplaceable.iter().any(|b| b.fits(need)) {
             return None;
         }
@@ -64,7 +64,7 @@
     /// Lower is better; None if the task doesn't fit there.
     fn score(&self, id: JobId, place: &Place, zones: &BTreeMap<String, u32>) -> Option<f64> {
         let job = self.jobs.table.get(&id)?;
-        let need = job.spec.need;
+        let need = job.spec.demand;
         if !need.fits(place.free) || !need.fits(place.promised) {
             return None;
         }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -13,7 +13,7 @@
 pub use schedule::PlacementSchedule;
 
 use crate::jobs::JobId;
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 use crate::workers::{Attempt, Machine};
@@ -138,7 +138,7 @@
                 .table
                 .values()
                 .filter(|j| j.is_bound())
-                .map(|j| j.spec.rank)
+                .map(|j| j.spec.priority)
                 .min(),
             over: over
                 .map(|(used, t)| used.cpu - Resources::have(t.cpus, 0.0, 0.0).cpu)
@@ -159,8 +159,8 @@
             return;
         };
         let Some(team) = job.team else { return };
-        let (need, mut ready) = (job.spec.need, job.ready());
-        let zoned = job.spec.one_zone || job.spec.spread;
+        let (need, mut ready) = (job.spec.demand, job.ready());
+        let zoned = job.spec.same_zone || job.spec.spread;
         let starves = queue_order.starves.0;
         if starves {
             ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
@@ -225,8 +225,8 @@
         let cache_gb = self.provisioning.cache_of(&machine.type_name);
         machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
-        place.free = place.free.minus(job.spec.need);
-        place.promised = place.promised.minus(job.spec.need);
+        place.free = place.free.minus(job.spec.demand);
+        place.promised = place.promised.minus(job.spec.demand);
         Some(machine.zone.clone())
     }
 
@@ -264,7 +264,7 @@
             .filter(|(_, p)| !p.reserved)
             .filter(|(_, p)| {
                 self.machines.get(&p.name).is_some_and(|m| {
-                    job.spec.need.fits(m.total)
+                    job.spec.demand.fits(m.total)
                         && job.spec.allows(&m.type_name, &m.zone, m.spot)
                         && Self::zone_allowed(job, &m.zone, zones)
                 })
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,7 +1,7 @@
 //! The order in which waiting jobs are placed.
 
 use super::Resources;
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -54,7 +54,7 @@
         for (id, job) in by_age {
             let Some(team) = job.team else { continue };
             start_watermark[team] =
-                start_watermark[team].plus(job.spec.need.by(i64::from(job.remaining())));
+                start_watermark[team].plus(job.spec.demand.by(i64::from(job.remaining())));
             let settings = &self.config.teams[team];
             let guarantee = Resources::have(settings.cpus, settings.gpus, 0.0);
             let within = start_watermark[team].cpu <= guarantee.cpu
@@ -62,25 +62,25 @@
             if !within {
                 beyond.insert(*id);
             }
-            if job.ready() == 0 || job.retry_at > now {
+            if job.ready() == 0 || job.retry_after > now {
                 continue;
             }
             let latest_start = self.latest_start(job);
             // What the job takes of its team's limit, were it alone: of jobs equally pressed,
             // small ones go first, since they hold up the others least.
-            let run = match job.spec.standing {
+            let run = match job.spec.is_standing() {
                 true => 0.0,
                 false => self.expected_run(job).as_secs_f64(),
             };
-            let work = f64::from(job.remaining()) * run * job.spec.need.cpu as f64;
+            let work = f64::from(job.remaining()) * run * job.spec.demand.cpu as f64;
             let alone = work / (settings.cpus_max * 1000.0).max(1.0);
             let urgency = latest_start + Micros::from_secs_f64(alone * SMALL_FIRST);
             order.push((
                 QueueOrder {
                     starves: Reverse(self.starves(job, now)),
                     beyond_guarantee: !within,
-                    rank: Reverse(job.spec.rank),
-                    late: !job.spec.standing && now > latest_start + LATE_GRACE,
+                    rank: Reverse(job.spec.priority),
+                    late: !job.spec.is_standing() && now > latest_start + LATE_GRACE,
                     urgency,
                     accepted: job.accepted_at,
                 },
@@ -95,6 +95,6 @@
     /// late work, ranks before lower ranks; each may be endless, so that waiting itself must win
     /// in the end. The age comes from the record, so it survives a takeover.
     fn starves(&self, job: &Job, now: Moment) -> bool {
-        !job.begun() && now - job.accepted_at > self.config.patience
+        !job.has_begun() && now - job.accepted_at > self.config.patience
     }
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::{Place, PlacementPass, QueueOrder, Resources};
 use crate::jobs::JobId;
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::wire::TaskStatus;
@@ -41,23 +41,23 @@
                     continue;
                 };
                 // Else what begins at last would be stopped at once, again and again.
-                let begins = !v.begun && now - v.accepted_at > self.config.patience;
+                let begins = !v.ran_long_enough && now - v.accepted_at > self.config.patience;
                 if a.protected || begins || place.reserved {
                     continue;
                 }
                 let Some(team) = v.team else { continue };
-                let rank = Some(v.spec.rank);
+                let rank = Some(v.spec.priority);
                 if rank >= highest && (rank > within || pass.over[team] <= 0) {
                     continue;
                 }
                 let ran = (now - a.running_since.unwrap_or(now)).0;
                 victims.push(Victim {
-                    lost: ran.saturating_mul(v.spec.need.cpu as u64),
+                    lost: ran.saturating_mul(v.spec.demand.cpu as u64),
                     at,
                     key: *key,
-                    need: v.spec.need,
+                    need: v.spec.demand,
                     team,
-                    rank: v.spec.rank,
+                    rank: v.spec.priority,
                     stopped: false,
                 });
             }
@@ -79,7 +79,7 @@
             return;
         };
         let Some(team) = job.team else { return };
-        let (need, rank) = (job.spec.need, job.spec.rank);
+        let (need, rank) = (job.spec.demand, job.spec.priority);
         // Most jobs that wait may stop nothing: they needn't look at all that runs.
         let lower = pass.lowest.is_some_and(|lowest| lowest < rank);
         let mut others = pass.over.iter().enumerate().filter(|(t, _)| *t != team);
@@ -171,8 +171,8 @@
         let Some(job) = self.jobs.table.get(&key.0) else {
             return;
         };
-        let grace_period = if job.spec.checkpoint > Micros::ZERO {
-            job.spec.save + Micros::from_secs(2)
+        let grace_period = if job.spec.checkpoint_interval > Micros::ZERO {
+            job.spec.checkpoint_duration + Micros::from_secs(2)
         } else {
             Micros::ZERO
         };
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -29,7 +29,7 @@
             let need = match last {
                 Some((id, need)) if id == key.0 => need,
                 _ => match self.jobs.table.get(&key.0) {
-                    Some(job) => job.spec.need,
+                    Some(job) => job.spec.demand,
                     None => continue,
                 },
             };
@@ -49,9 +49,9 @@
         let mut unreconciled = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
-            let need = job.spec.need;
+            let need = job.spec.demand;
             used[team] = used[team].plus(need.by(i64::from(job.bound_attempts())));
-            if job.held_below > 0 {
+            if job.unreconciled_below > 0 {
                 unreconciled[team] =
                     unreconciled[team].plus(need.by(i64::from(job.maybe_unreconciled())));
             }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -1,6 +1,6 @@
 //! Where the tasks of a job may be: types, zones and kinds of machines.
 
-use crate::jobs::spec::JobSpec;
+use crate::jobs::JobSpec;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use std::collections::BTreeMap;
@@ -8,7 +8,11 @@
 impl JobSpec {
     /// True if any machine will do that has the room.
     pub(super) fn anywhere(&self) -> bool {
-        self.spot && self.zone.is_none() && self.types.is_none() && !self.one_zone && !self.spread
+        self.spot
+            && self.zone.is_none()
+            && self.machine_types.is_none()
+            && !self.same_zone
+            && !self.spread
     }
 
     /// Whether its tasks may run on such a machine at all.
@@ -16,7 +20,7 @@
         (self.spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
             && self
-                .types
+                .machine_types
                 .as_ref()
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
@@ -29,7 +33,7 @@
         let Some(job) = self.jobs.table.get(&id) else {
             return zones;
         };
-        if !job.spec.one_zone && !job.spec.spread {
+        if !job.spec.same_zone && !job.spec.spread {
             return zones;
         }
         for m in self.machines.values() {
@@ -46,12 +50,12 @@
     }
 
     pub fn zone_allowed(job: &Job, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
-        if !job.spec.one_zone && !job.spec.spread {
+        if !job.spec.same_zone && !job.spec.spread {
             return true;
         }
         // What an unseen machine may run may be in any zone.
         let unreconciled = job.maybe_unreconciled();
-        if job.spec.one_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
+        if job.spec.same_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
             return false;
         }
         let most = job.spec.tasks.div_ceil(2);
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -7,7 +7,7 @@
 mod returns;
 pub mod wire;
 
-use crate::jobs::rounds::{Write, WriteKind, page_write};
+use crate::jobs::{PendingWrite, PendingWriteKind, page_write};
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
 use crate::state_store::pages::Pages;
@@ -184,9 +184,9 @@
 
     /// Pages of the roster that differ from what is stored; without `tidy` only those with new
     /// machines.
-    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<Write> {
+    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<PendingWrite> {
         let due = self.provisioning.registry.due(tidy).into_iter();
-        due.map(|image| page_write(REGISTRY_PREFIX, image, WriteKind::Registry))
+        due.map(|image| page_write(REGISTRY_PREFIX, image, PendingWriteKind::MachineRegistry))
             .collect()
     }
 }
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -115,10 +115,10 @@
                 continue;
             };
             let Some(team) = job.team else { continue };
-            let need = job.spec.need;
+            let need = job.spec.demand;
             let run = self.expected_run(job);
             // Whoever aims at starting times wants every start as soon as a machine can be had.
-            let latest = match eager || job.spec.standing {
+            let latest = match eager || job.spec.is_standing() {
                 true => now,
                 false => self.latest_start(job),
             };
@@ -135,7 +135,7 @@
                 Some(Reverse((start.max(now), i)))
             };
             // A job bound to one zone, or spread over several, has no use for room elsewhere.
-            let zoned = job.spec.one_zone || job.spec.spread;
+            let zoned = job.spec.same_zone || job.spec.spread;
             let mut zones = self.zones_of(id);
             let mut starts: BinaryHeap<Reverse<(Moment, usize)>> =
                 (0..bins.len()).filter_map(|i| earliest(&bins, i)).collect();
@@ -199,7 +199,7 @@
         existing: Option<Moment>,
         now: Moment,
     ) -> Option<Offer> {
-        let need = job.spec.need;
+        let need = job.spec.demand;
         offers
             .iter()
             .filter(|(o, _)| {
@@ -245,7 +245,7 @@
                 };
                 let from = attempt.running_since.unwrap_or(now);
                 let end = (from + self.expected_run(job)).max(now + Micros::from_secs(2));
-                releases.push((end, job.spec.need));
+                releases.push((end, job.spec.demand));
             }
             releases.sort_by_key(|r| r.0);
         }
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -101,13 +101,13 @@
     /// Standing jobs that may not use spot machines.
     fn on_demand_services(&self) -> impl Iterator<Item = &Job> {
         let jobs = self.jobs.table.values();
-        jobs.filter(|j| j.spec.standing && !j.spec.spot && !j.is_closed())
+        jobs.filter(|j| j.spec.is_standing() && !j.spec.spot && !j.is_closed())
     }
 
     /// CPUs to keep for replicas that are yet to come, which can't wait for a boot; None if none are
     /// expected.
     fn replica_reserve(&self, now: Moment) -> Option<i64> {
-        let total = |j: &Job| j.spec.need.by(i64::from(j.spec.tasks)).cpu;
+        let total = |j: &Job| j.spec.demand.by(i64::from(j.spec.tasks)).cpu;
         let largest = self.on_demand_services().map(total).max();
         if largest.is_none() && !self.expects_services() {
             return None;
@@ -139,8 +139,8 @@
     pub(super) fn replica_room(&self, now: Moment) -> Option<i64> {
         let reserve = self.replica_reserve(now)?;
         let replica = |key: &AttemptKey| {
-            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.standing);
-            job.map_or(0, |j| j.spec.need.cpu)
+            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.is_standing());
+            job.map_or(0, |j| j.spec.demand.cpu)
         };
         let room = |m: &Machine| {
             let held = m.attempts.iter().filter(|(_, a)| a.holds());
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -156,7 +156,7 @@
             let mut held = m.attempts.iter().filter(|(_, a)| a.holds());
             held.any(|(key, _)| {
                 let job = self.jobs.table.get(&key.0);
-                job.is_some_and(|j| j.spec.standing && !j.is_closed())
+                job.is_some_and(|j| j.spec.is_standing() && !j.is_closed())
             })
         };
         let names = silent.iter().filter(has_replicas).map(|m| m.name.clone());
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -195,5 +195,5 @@
 }
 
 fn retry_due(now: Moment) -> impl Fn(&Job) -> bool {
-    move |j| j.retry_at > Moment(0) && j.retry_at <= now && j.ready() > 0
+    move |j| j.retry_after > Moment(0) && j.retry_after <= now && j.ready() > 0
 }
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -26,8 +26,8 @@
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return;
         };
-        job.runs.0 += 1;
-        job.runs.1 = job.runs.1 + ran;
+        job.run_times.count += 1;
+        job.run_times.total = job.run_times.total + ran;
         let guess = job.spec.estimate.as_secs_f64();
         if guess > 0.0 {
             let seen = (ran.as_secs_f64() / guess).clamp(0.1, 10.0);
@@ -47,7 +47,7 @@
 
     /// How long a task of the job should run: its own finished tasks tell most.
     pub fn expected_run(&self, job: &Job) -> Micros {
-        if job.spec.standing {
+        if job.spec.is_standing() {
             return FOR_GOOD;
         }
         let ratio = self
@@ -57,7 +57,7 @@
             .copied()
             .unwrap_or(1.0);
         let guess = job.spec.estimate.scaled(ratio);
-        let (n, sum) = job.runs;
+        let (n, sum) = (job.run_times.count, job.run_times.total);
         Micros((guess.0 + sum.0) / u64::from(n + 1))
     }
 
@@ -68,10 +68,10 @@
             let run = self.expected_run(job).scaled(1.2);
             Moment(due.0.saturating_sub(run.0))
         };
-        if job.spec.standing {
+        if job.spec.is_standing() {
             return job.accepted_at;
         }
-        let mut latest = job.due_at().map(before);
+        let mut latest = job.deadline().map(before);
         for o in self.config.objectives.iter() {
             if o.class.as_deref() != Some(job.spec.class.as_str()) || o.within_s <= 0.0 {
                 continue;
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -79,7 +79,7 @@
                     (_, Some(TaskStatus::Running)) => "running",
                     _ => "other",
                 };
-                let need = self.jobs.table.get(&key.0).map_or(0, |j| j.spec.need.cpu);
+                let need = self.jobs.table.get(&key.0).map_or(0, |j| j.spec.demand.cpu);
                 *by_state.entry(state).or_insert(0) += need;
             }
         }
@@ -87,7 +87,7 @@
             .jobs
             .table
             .values()
-            .map(|j| j.spec.need.cpu * i64::from(j.ready()))
+            .map(|j| j.spec.demand.cpu * i64::from(j.ready()))
             .sum();
         let by_state: Vec<String> = by_state
             .iter()
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -212,8 +212,8 @@
     let Some(since) = attempt.running_since else {
         return;
     };
-    if !job.begun && now - since > COUNTS_AFTER {
-        job.begun = true;
+    if !job.ran_long_enough && now - since > COUNTS_AFTER {
+        job.ran_long_enough = true;
         let waited = since - job.accepted_at;
         log::debug!("{} began after {} s", job.spec.id, waited.as_secs_f64());
     }
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -34,9 +34,9 @@
     machine: &mut Machine,
     attempt: &mut Attempt,
 ) -> ExitEffect {
-    attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.standing;
+    attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.is_standing();
     let since = attempt.running_since;
-    let effect = if job.spec.standing {
+    let effect = if job.spec.is_standing() {
         let lasted = since.is_some_and(|t| exit.at - t > COUNTS_AFTER);
         settle_replica(exit, lasted, job, machine);
         ExitEffect::default()
@@ -54,7 +54,7 @@
 fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
-        ExitReason::Done => job.note_failure(&machine.name, exit.at),
+        ExitReason::Done => job.note_task_failure(&machine.name, exit.at),
         ExitReason::Error => note_error(exit, job, machine),
         _ => {}
     }
@@ -86,7 +86,7 @@
 
 /// An error mostly means a faulty machine, unless the job fails wherever it runs.
 fn note_error(exit: &Exit, job: &mut Job, machine: &mut Machine) {
-    job.note_failure(&machine.name, exit.at);
+    job.note_task_failure(&machine.name, exit.at);
     machine.error_streak.insert(exit.key.0);
     let suspects_machine = job.failed_on.len() < JOB_SUSPECTED_AFTER;
     if machine.error_streak.len() >= FAULTY_AFTER && suspects_machine {
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -2,8 +2,8 @@
 
 use aspenreel::http::cbor::{Decimal, decode, encode};
 use aspenreel::jobs::LocalStatus;
-use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
-use aspenreel::jobs::spec::Submission;
+use aspenreel::jobs::Submission;
+use aspenreel::jobs::{PendingWrite, PendingWriteKind};
 use aspenreel::provisioning::wire::{Catalog, ListedMachine};
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
@@ -150,7 +150,7 @@
 
     /// A job of which an earlier term claimed every task.
     pub fn old_job(&mut self, submission: Submission) -> &mut Self {
-        let start_watermark = submission.pieces as u32;
+        let start_watermark = submission.tasks as u32;
         self.accepted(submission, start_watermark)
     }
 
@@ -171,7 +171,7 @@
             .add_job(&s, self.epoch, self.now, WallTime(s.accepted_us));
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
-            s.id, s.pieces, s.cpus.0, s.rank
+            s.id, s.tasks, s.cpus.0, s.priority
         ));
         self
     }
@@ -289,7 +289,7 @@
         writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
             self.epoch += 1;
-            self.scheduler.written(write, self.epoch);
+            self.scheduler.apply_written(write, self.epoch);
         }
     }
 
@@ -338,7 +338,7 @@
 
     /// One write round; `commit` says whether the state service took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
-        let mut writes: Vec<RecordWrite> = self.scheduler.pending_final_writes(12);
+        let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
         writes.extend(self.scheduler.pending_retirements(100, 12));
         let told: Vec<String> = writes
@@ -346,11 +346,11 @@
             .map(|w| {
                 let id = |job| &self.scheduler.jobs.table[job].spec.id;
                 match &w.kind {
-                    WriteKind::Final(j, o) => format!("{} is {o:?}", id(j)),
-                    WriteKind::Set { job, chunk, text } => {
+                    PendingWriteKind::FinalState(j, o) => format!("{} is {o:?}", id(j)),
+                    PendingWriteKind::DoneSet { job, chunk, text } => {
                         format!("{} chunk {chunk} = {text:.40}", id(job))
                     }
-                    WriteKind::Retire(j, o) => format!("{} is {o:?} and retired", id(j)),
+                    PendingWriteKind::Retirement(j, o) => format!("{} is {o:?} and retired", id(j)),
                     other => format!("{other:?}"),
                 }
             })
@@ -360,7 +360,7 @@
         if commit {
             for write in &writes {
                 self.epoch += 1;
-                self.scheduler.written(write, self.epoch);
+                self.scheduler.apply_written(write, self.epoch);
             }
         }
         self
@@ -498,7 +498,7 @@
         writes.extend(self.scheduler.pending_retirements(100, 12));
         for write in &writes {
             self.epoch += 1;
-            self.scheduler.written(write, self.epoch);
+            self.scheduler.apply_written(write, self.epoch);
         }
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -26,9 +26,9 @@
 fn a_late_start() {
     let mut w = world();
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(60.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
 }
 
@@ -38,9 +38,9 @@
     w.raises_tokens = false;
     w.scheduler.config.cancel = Micros::from_secs(5);
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.on_timer(7.0);
 }
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Small parts by themselves: clocks, kept connections, done sets, links to peers.
 
-use aspenreel::jobs::doneset::TaskSet;
+use aspenreel::jobs::TaskSet;
 use aspenreel::leadership::peer::{PeerClient, PeerRequest};
 use aspenreel::os::{HttpClient, Os, Signal, System};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -7,8 +7,8 @@
 //! as much work on as many more machines.
 
 use aspenreel::http::cbor::{decode, encode};
-use aspenreel::jobs::rounds::affordable;
-use aspenreel::jobs::spec::Submission;
+use aspenreel::jobs::Submission;
+use aspenreel::jobs::take_affordable;
 use aspenreel::provisioning::RentalResult;
 use aspenreel::provisioning::wire::{Catalog, MachineList};
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
@@ -297,28 +297,28 @@
 
     /// What the state service takes: as many changes as the leader may write in a step.
     fn write(&mut self, in_round: bool, mut left: usize) {
-        let mut writes = affordable(self.scheduler.pending_registry_writes(false), &mut left);
-        writes.extend(affordable(
+        let mut writes = take_affordable(self.scheduler.pending_registry_writes(false), &mut left);
+        writes.extend(take_affordable(
             self.scheduler.pending_watermark_writes(),
             &mut left,
         ));
-        writes.extend(affordable(
+        writes.extend(take_affordable(
             self.scheduler.pending_final_writes(12),
             &mut left,
         ));
         if in_round {
-            writes.extend(affordable(
+            writes.extend(take_affordable(
                 self.scheduler.pending_done_sets(left),
                 &mut left,
             ));
-            writes.extend(affordable(
+            writes.extend(take_affordable(
                 self.scheduler.pending_retirements(left, 12),
                 &mut left,
             ));
         }
         for write in &writes {
             self.epoch += 1;
-            self.scheduler.written(write, self.epoch);
+            self.scheduler.apply_written(write, self.epoch);
         }
         let now = self.now();
         self.scheduler.place_soon(now);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -5,8 +5,8 @@
 #[path = "common/trace.rs"]
 mod trace;
 
-use aspenreel::jobs::rounds::{WriteKind, affordable};
-use aspenreel::jobs::spec::{Priority, Shape, Submission};
+use aspenreel::jobs::{JobKind, Priority, Submission};
+use aspenreel::jobs::{PendingWriteKind, take_affordable};
 use aspenreel::provisioning::RentalResult;
 use aspenreel::settings::Objective;
 use aspenreel::workers::direct::DirectResult;
@@ -23,7 +23,7 @@
 fn settling() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
         .heartbeat(
@@ -52,7 +52,7 @@
 #[test]
 fn first_settle_wins() {
     let mut w = World::new(3, one_team());
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.heartbeat("big-east-1", &["run-1/0#1.7 running"]);
     w.heartbeat("big-east-2", &["run-1/0#2.9 running"]);
     w.at(2.0).heartbeat("big-east-2", &["run-1/0#2.9 done"]);
@@ -69,8 +69,8 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -100.0);
     w.recorded("big-east-2", -100.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
-    w.at(0.2).job(submission("run-2", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
+    w.at(0.2).job(submission("run-2", |s| s.tasks = 1));
     let old_token = w.report("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
     w.at(0.5).send(&old_token);
     w.at(1.0)
@@ -85,7 +85,7 @@
 fn takeover_waits_a_lease_for_a_silent_machine() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     for t in [1.0, 10.0, 20.0, 20.4] {
         w.at(t).heartbeat("big-east-1", &[]);
         w.on_timer(t).bound();
@@ -100,7 +100,7 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -60.0);
     w.recorded("big-east-8", -2.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[("big-east-1", "running")]);
     w.at(5.0).list(&[("big-east-1", "running")]).bound();
@@ -120,7 +120,7 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -60.0);
     w.recorded("big-east-2", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
     w.at(1.0).heartbeat("big-east-1", &[]).bound();
     let woken = w.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
     w.at(3.0).send(&woken).bound();
@@ -164,7 +164,7 @@
 fn listed_late_and_gone() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[
         ("big-east-1", "running"),
@@ -187,7 +187,7 @@
 #[test]
 fn booting_machines_are_not_waited_for() {
     let mut w = World::new(2, one_team());
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.scheduler.provisioning.listed = true;
     w.scheduler.plan_rentals(at(1.0));
     let rental_requests = w.scheduler.provisioning.rental_requests.clone();
@@ -217,7 +217,7 @@
 fn late_reports() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     let overtaken = w.report("big-east-1", 2, 1, &[]);
     w.at(1.0).on_timer(1.0);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
@@ -242,7 +242,7 @@
     w.raises_tokens = false;
     w.heartbeat("big-east-1", &[]);
     w.heartbeat("big-east-2", &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown).bound();
     let name = w
         .scheduler
@@ -251,7 +251,7 @@
         .find(|m| m.busy())
         .map(|m| m.name.clone())
         .unwrap();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true).view("run-1");
     w.at(3.0).heartbeat(&name, &[]);
     w.at(6.0).heartbeat(&name, &[]).bound();
@@ -269,12 +269,12 @@
 fn lost_answers() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 2));
+    w.job(submission("run-1", |s| s.tasks = 2));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true);
     w.at(9.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
@@ -290,13 +290,13 @@
 fn withdraw_against_done() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
-    w.job(submission("run-2", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
+    w.job(submission("run-2", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-2/0#2.2 running"]);
-    w.scheduler.ask_cancel("run-1", w.now);
-    w.scheduler.ask_cancel("run-2", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
+    w.scheduler.request_cancellation("run-2", w.now);
     w.view("run-1").view("run-2");
     w.at(6.1).round(true).view("run-1").view("run-2");
     w.at(7.0)
@@ -310,8 +310,8 @@
 fn quota_counts_unseen_machines() {
     let mut w = World::new(2, vec![team("a", 8.0, 12.0)]);
     w.recorded("big-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
-    w.at(0.1).job(submission("run-2", |s| s.pieces = 3));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
+    w.at(0.1).job(submission("run-2", |s| s.tasks = 3));
     w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.1).bound();
     let seen = w.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
     w.at(2.0).send(&seen).bound();
@@ -326,12 +326,12 @@
         w.heartbeat(name, &[]);
     }
     w.job(submission("run-1", |s| {
-        s.pieces = 5;
+        s.tasks = 5;
         s.spread = true;
     }));
     w.job(submission("run-2", |s| {
-        s.pieces = 4;
-        s.same_place = true;
+        s.tasks = 4;
+        s.same_zone = true;
     }));
     w.on_timer(1.0).bound();
     assert_snapshot!(w.log);
@@ -344,7 +344,7 @@
     let mut w = World::new(2, teams);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.cpus = decimal(8.0);
     }));
     w.at(1.0).heartbeat("big-east-1", &[]);
@@ -356,8 +356,8 @@
     ];
     w.at(2.0).heartbeat("big-east-1", &running);
     w.at(5.0).job(submission("run-2", |s| {
-        s.crew = "b".into();
-        s.pieces = 1;
+        s.team = "b".into();
+        s.tasks = 1;
         s.cpus = decimal(16.0);
     }));
     w.at(5.1).heartbeat("big-east-1", &running);
@@ -370,9 +370,9 @@
     ];
     w.at(8.0).heartbeat("big-east-1", &both);
     w.job(submission("run-3", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     w.at(9.0).heartbeat("big-east-1", &both);
     assert_snapshot!(w.log);
@@ -382,8 +382,8 @@
 #[test]
 fn failures() {
     let mut w = World::new(2, one_team());
-    w.job(submission("run-1", |s| s.pieces = 1));
-    w.job(submission("run-2", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
+    w.job(submission("run-2", |s| s.tasks = 1));
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0)
@@ -402,7 +402,7 @@
 #[test]
 fn large_job() {
     let mut w = World::new(2, one_team());
-    w.job(submission("run-1", |s| s.pieces = 100_000));
+    w.job(submission("run-1", |s| s.tasks = 100_000));
     let id = w.scheduler.jobs.find("run-1").unwrap();
     for task in (0..100_000).filter(|t| t % 7 != 3) {
         w.scheduler.jobs.table.get_mut(&id).unwrap().settle(task);
@@ -419,20 +419,21 @@
         longest.is_some_and(|l| l < 3072)
     ));
     let mut next = World::new(3, one_team());
-    next.old_job(submission("run-1", |s| s.pieces = 100_000));
+    next.old_job(submission("run-1", |s| s.tasks = 100_000));
     for write in &writes {
-        w.scheduler.written(write, 500);
-        if let WriteKind::Set { chunk, text, .. } = &write.kind {
+        w.scheduler.apply_written(write, 500);
+        if let PendingWriteKind::DoneSet { chunk, text, .. } = &write.kind {
             let record = aspenreel::jobs::DoneRecord {
                 state: None,
                 set: text.clone(),
             };
-            next.scheduler.load_done("run-1", *chunk, &record, 500);
+            next.scheduler
+                .apply_done_record("run-1", *chunk, &record, 500);
         }
     }
     let remaining = next.scheduler.jobs.get("run-1").unwrap().remaining();
     w.note(&format!("the next leader finds {remaining} tasks left"));
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true);
     // More chunks than a transaction holds: they go in steps, the final record last.
     w.round(true).round(true).view("run-1");
@@ -444,9 +445,9 @@
 fn renting() {
     let mut w = World::new(4, one_team());
     w.job(submission("run-1", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.yard = Some("west".into());
+        s.zone = Some("west".into());
     }));
     w.rentals();
     w.at(1.0).list(&[]).rentals();
@@ -458,8 +459,8 @@
     w.at(2.0).rentals();
     w.at(3.0).job(submission("run-2", |s| {
         s.cpus = decimal(8.0);
-        s.pieces = 1;
-        s.loaners = false;
+        s.tasks = 1;
+        s.spot = false;
     }));
     w.rentals();
     w.scheduler
@@ -497,9 +498,9 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -50.0);
     w.recorded("big-east-1", -50.0);
-    w.accepted(submission("run-1", |s| s.pieces = 4), 2);
-    w.old_job(submission("run-2", |s| s.pieces = 1));
-    w.accepted(submission("run-3", |s| s.pieces = 1), 0);
+    w.accepted(submission("run-1", |s| s.tasks = 4), 2);
+    w.old_job(submission("run-2", |s| s.tasks = 1));
+    w.accepted(submission("run-3", |s| s.tasks = 1), 0);
     w.at(1.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
         .on_timer(1.2)
@@ -525,11 +526,11 @@
     let mut w = World::new(2, one_team());
     let first = w.report("big-east-1", 2, 1, &[]);
     w.scheduler.heartbeat(&first, at(0.0));
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 9));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 9));
     w.scheduler.on_timer(at(1.0));
     w.bound();
     for write in w.scheduler.pending_registry_writes(false) {
-        w.scheduler.written(&write, 7);
+        w.scheduler.apply_written(&write, 7);
     }
     w.scheduler.on_timer(at(1.01));
     w.bound().direct(|_| unreachable!());
@@ -538,9 +539,9 @@
         w.note(&format!("to be written: {:?}", write.kind));
     }
     // The page changes while it is being written: it stays due, over its own revision.
-    w.job(submission("run-2", |s| s.pieces = 1));
+    w.job(submission("run-2", |s| s.tasks = 1));
     w.scheduler.on_timer(at(1.02));
-    w.scheduler.written(&start_watermarks[0], 8);
+    w.scheduler.apply_written(&start_watermarks[0], 8);
     for write in w.scheduler.pending_watermark_writes() {
         w.note(&format!("to be written: {:?}", write.kind));
     }
@@ -555,7 +556,7 @@
 fn unreached_machines() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     w.scheduler.place(at(1.0));
     w.record_fleet();
     w.bound().direct(|_| DirectResult::Unreached);
@@ -582,7 +583,7 @@
     }
     for n in 1..=9 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(10.0);
             s.ram_gb = decimal(100.0);
         }));
@@ -637,7 +638,7 @@
     let mut n = 0;
     while !w.scheduler.is_full(false) {
         n += 1;
-        w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+        w.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
     }
     w.note(&format!("full after {n} small jobs"));
     w.scheduler.forget_job("run-1");
@@ -650,7 +651,7 @@
     }
     let full = w.scheduler.is_full(true);
     w.note(&format!("a tenth less: full {full}"));
-    w.job(submission("run-999", |s| s.pieces = 100_000));
+    w.job(submission("run-999", |s| s.tasks = 100_000));
     let full = w.scheduler.is_full(false);
     w.note(&format!("one of 100,000 tasks more: full {full}"));
     for n in 1..=3 {
@@ -685,10 +686,10 @@
         let t = f64::from(second);
         w.now = at(t);
         w.job(submission(&format!("run-{}", 1000 + second), |s| {
-            s.pieces = 4;
-            s.rank = Priority::High;
-            s.guess_s = decimal(3.0);
-            s.due_s = Some(decimal(20.0));
+            s.tasks = 4;
+            s.priority = Priority::High;
+            s.estimate_s = decimal(3.0);
+            s.deadline_s = Some(decimal(20.0));
             s.accepted_us = (t * 1e6) as u64;
         }));
         w.serve(worker, t, &|_| 3.0, begun);
@@ -697,11 +698,11 @@
 
 fn patient(w: &mut World) {
     w.note("the patient ones:");
-    w.job(submission("run-1", |s| s.pieces = 5000));
-    w.job(submission("run-2", |s| s.rank = Priority::Low));
-    w.job(submission("run-3", |s| s.due_s = Some(decimal(1.0))));
+    w.job(submission("run-1", |s| s.tasks = 5000));
+    w.job(submission("run-2", |s| s.priority = Priority::Low));
+    w.job(submission("run-3", |s| s.deadline_s = Some(decimal(1.0))));
     w.job(submission("run-4", |s| s.cpus = decimal(32.0)));
-    w.job(submission("run-5", |s| s.crew = "b".into()));
+    w.job(submission("run-5", |s| s.team = "b".into()));
 }
 
 /// Waiting wins: a largest job, a low rank, a late job, a task that fills a machine and a small
@@ -731,7 +732,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("small-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.pieces = 2;
+        s.tasks = 2;
         s.cpus = decimal(8.0);
     }));
     w.at(3.0).heartbeat("small-east-1", &[]);
@@ -739,16 +740,16 @@
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     for n in 2..60 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(8.0);
-            s.rank = Priority::High;
+            s.priority = Priority::High;
         }));
     }
     w.at(9.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     w.at(12.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 stopped"]);
-    let begun = |w: &World| w.scheduler.jobs.get("run-1").unwrap().begun();
+    let begun = |w: &World| w.scheduler.jobs.get("run-1").unwrap().has_begun();
     let early = begun(&w);
     w.note(&format!("run-1 has begun: {early}"));
     w.at(95.0)
@@ -772,7 +773,7 @@
     let mut begun = BTreeMap::new();
     w.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
     // Accepted 85 s ago by the time of day.
-    let old = submission("run-1", |s| s.pieces = 5000);
+    let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
     w.scheduler.add_job(&old, 50, at(0.0), wall);
     crowded(&mut w, &mut worker, &mut begun, 1..40);
@@ -787,7 +788,7 @@
     let mut w = World::new(2, one_team());
     w.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     w.on_timer(1.0);
     w.direct(|_| DirectResult::Unknown).bound();
     // Its lease runs out, and each session looks healthy.
@@ -819,7 +820,7 @@
 fn starts_that_never_show() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 1));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]).bound();
     w.at(6.0).heartbeat("big-east-1", &[]).bound();
     w.heartbeat("big-east-2", &[]).bound();
@@ -834,7 +835,7 @@
 fn late_copies() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).on_timer(1.0);
     let idle = w.report("big-east-1", 2, 1, &[]);
     w.at(3.0).send(&idle);
@@ -862,7 +863,7 @@
 fn a_copy_comes_first() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -100.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
     let copy = w.report(
         "big-east-1",
         4,
@@ -883,7 +884,7 @@
 #[test]
 fn repeats() {
     let mut w = World::new(4, one_team());
-    let first = submission("run-1", |s| s.pieces = 1);
+    let first = submission("run-1", |s| s.tasks = 1);
     w.at(1.0).list(&[]).job(first.clone()).job(first.clone());
     w.rentals();
     let rented = || RentalResult::Rented(vec!["big-east-7".into()]);
@@ -892,8 +893,8 @@
     w.at(2.0).rentals();
     w.at(9.0).heartbeat("big-east-7", &[]);
     w.at(10.0).heartbeat("big-east-7", &["run-1/0#4.1 running"]);
-    w.scheduler.ask_cancel("run-1", w.now);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     let writes = w.scheduler.pending_final_writes(12);
     w.round(true).view("run-1");
     // The same transaction again fails on its revision; what is read back changes nothing.
@@ -901,7 +902,7 @@
         state: Some(aspenreel::jobs::Outcome::Cancelled),
         set: String::new(),
     };
-    w.scheduler.load_done("run-1", 0, &record, 105);
+    w.scheduler.apply_done_record("run-1", 0, &record, 105);
     w.note(&format!("{} final state written once", writes.len()));
     w.view("run-1").job(first).view("run-1");
     w.at(11.0)
@@ -922,22 +923,28 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     for n in 1..=40 {
-        w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+        w.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
         let id = w.scheduler.jobs.find(&format!("run-{n}")).unwrap();
         w.scheduler.jobs.table.get_mut(&id).unwrap().settle(0);
     }
-    w.job(submission("run-99", |s| s.pieces = 1));
+    w.job(submission("run-99", |s| s.tasks = 1));
     w.scheduler.on_timer(at(1.0));
     let mut left = 12;
-    let mut writes = affordable(w.scheduler.pending_watermark_writes(), &mut left);
-    writes.extend(affordable(w.scheduler.pending_final_writes(12), &mut left));
+    let mut writes = take_affordable(w.scheduler.pending_watermark_writes(), &mut left);
+    writes.extend(take_affordable(
+        w.scheduler.pending_final_writes(12),
+        &mut left,
+    ));
     let changes: usize = writes.iter().map(|x| x.changes.len()).sum();
-    assert!(matches!(writes[0].kind, WriteKind::Claims(_)));
+    assert!(matches!(
+        writes[0].kind,
+        PendingWriteKind::StartWatermarks(_)
+    ));
     assert_eq!((writes.len(), changes, left), (6, 11, 1));
     // A large write that must wait isn't passed by later, smaller ones.
-    w.scheduler.ask_cancel("run-99", w.now);
+    w.scheduler.request_cancellation("run-99", w.now);
     let due = w.scheduler.pending_final_writes(12);
-    assert_eq!(affordable(due, &mut 1).len(), 0);
+    assert_eq!(take_affordable(due, &mut 1).len(), 0);
 }
 
 /// A final state exists from the moment its transaction is applied, which may be before its writer
@@ -947,25 +954,25 @@
 fn a_final_state_on_its_way_is_not_talked_over() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.view("run-1");
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     let writes = w.scheduler.pending_final_writes(12);
-    w.scheduler.sending(&writes);
+    w.scheduler.mark_sent(&writes);
     w.note("the cancellation is sent").view("run-1");
-    w.scheduler.not_written(&writes);
+    w.scheduler.mark_not_written(&writes);
     w.at(6.1).note("it was surely refused").view("run-1");
-    w.scheduler.sending(&writes);
-    w.scheduler.unanswered(&writes);
+    w.scheduler.mark_sent(&writes);
+    w.scheduler.mark_unanswered(&writes);
     w.at(6.2).note("sent again, it got no answer").view("run-1");
-    w.scheduler.sending(&writes);
-    w.scheduler.not_written(&writes);
+    w.scheduler.mark_sent(&writes);
+    w.scheduler.mark_not_written(&writes);
     w.at(6.3)
         .note("sent once more, that one was refused")
         .view("run-1");
-    w.scheduler.written(&writes[0], 200);
+    w.scheduler.apply_written(&writes[0], 200);
     w.at(6.4).note("the fourth was written").view("run-1");
     assert_snapshot!(w.log);
 }
@@ -977,7 +984,7 @@
 fn a_copy_of_an_earlier_session_frees_nothing() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(0.5).heartbeat("big-east-2", &[]);
     let copy = w.report("big-east-1", 4, 1, &[]);
     let next_session = w.report("big-east-1", 4, 2, &[]);
@@ -998,7 +1005,7 @@
     w.recorded("big-east-1", -60.0);
     w.on_timer(21.0);
     w.record_fleet();
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     let due = |w: &World| w.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
         let report = w.report("big-east-1", 5, 2, &[]);
@@ -1021,13 +1028,13 @@
 fn a_mute_machine_gets_no_work() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(4.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.at(9.9);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
-    w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
+    w.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     w.on_timer(10.5).direct(|_| DirectResult::Unknown).bound();
     w.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(w.log);
@@ -1039,9 +1046,10 @@
 fn limits_count_what_unseen_machines_can_hold() {
     let mut w = World::new(5, vec![team("a", 40.0, 40.0)]);
     w.recorded("small-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 3));
-    w.scheduler.load_done("run-1", 0, &done_record("0-1"), 50);
-    w.job(submission("run-2", |s| s.pieces = 10));
+    w.old_job(submission("run-1", |s| s.tasks = 3));
+    w.scheduler
+        .apply_done_record("run-1", 0, &done_record("0-1"), 50);
+    w.job(submission("run-2", |s| s.tasks = 10));
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).heartbeat("big-east-1", &[]).bound();
     let old = w.report("small-east-9", 4, 1, &[]);
@@ -1068,8 +1076,8 @@
     for (id, one_zone) in [("run-1", true), ("run-2", false)] {
         w.accepted(
             submission(id, |s| {
-                s.pieces = 6;
-                s.same_place = one_zone;
+                s.tasks = 6;
+                s.same_zone = one_zone;
                 s.spread = !one_zone;
             }),
             2,
@@ -1089,11 +1097,11 @@
 fn a_cancellation_waits_for_starts_under_way() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 2));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 2));
     w.on_timer(1.0);
     let call = w.scheduler.next_direct(at(1.0)).unwrap();
     w.note("a direct call with its starts is under way");
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(1.1).round(true);
     let report = w.report(
         "big-east-1",
@@ -1109,8 +1117,8 @@
         DirectResult::Answered(w.report("big-east-1", 2, 1, &stopped))
     });
     w.at(2.0).round(true);
-    w.job(submission("run-2", |s| s.pieces = 1));
-    w.scheduler.ask_cancel("run-2", w.now);
+    w.job(submission("run-2", |s| s.tasks = 1));
+    w.scheduler.request_cancellation("run-2", w.now);
     w.note("run-2 is cancelled before anything of it starts")
         .round(true);
     assert_snapshot!(w.log);
@@ -1123,9 +1131,9 @@
 fn an_undelivered_start_has_an_end() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
@@ -1140,7 +1148,7 @@
 /// late one would undo it, and nobody would accept anything for as long as this leader leads.
 #[test]
 fn the_mark_of_being_full_is_never_in_doubt_for_long() {
-    let mut mark = aspenreel::jobs::edge::Fullness::default();
+    let mut mark = aspenreel::jobs::AdmissionGate::default();
     assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
     mark.unconfirmed = Some(true);
     assert_eq!(mark.next(false), Some(true));
@@ -1161,7 +1169,7 @@
         w.heartbeat(name, &[]);
     }
     w.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.spread = true;
     }));
     w.on_timer(1.0).bound();
@@ -1177,8 +1185,8 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 2;
+        s.kind = JobKind::Standing;
+        s.tasks = 2;
     }));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
@@ -1197,7 +1205,7 @@
     w.at(69.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(70.0).round(true).view("run-1");
     assert_snapshot!(w.log);
 }
@@ -1209,15 +1217,15 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -50.0);
     let standing = |s: &mut Submission| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     };
     // The roster's page has revision 101, the jobs the next ones.
     w.scheduler.prior_term.older_version_led_at = 103;
     w.accepted(submission("run-1", standing), 0);
     w.accepted(submission("run-2", standing), 0);
     w.accepted(submission("run-3", standing), 0);
-    w.accepted(submission("run-4", |s| s.pieces = 1), 0);
+    w.accepted(submission("run-4", |s| s.tasks = 1), 0);
     w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.2).bound();
     let back = ["run-3/0#5.1 running", "run-4/0#5.2 running"];
     w.at(20.0).heartbeat("big-east-1", &back).bound();
@@ -1256,10 +1264,10 @@
     w.at(6.0).rentals();
     for n in 1..4 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.shape = Shape::Standing;
-            s.lane = "portal".into();
-            s.loaners = false;
-            s.pieces = 1;
+            s.kind = JobKind::Standing;
+            s.class = "portal".into();
+            s.spot = false;
+            s.tasks = 1;
         }));
     }
     w.on_timer(7.0).bound().rentals();
@@ -1296,10 +1304,10 @@
     };
     all_but(&mut w, &[]);
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
-    w.job(submission("run-2", |s| s.pieces = 12));
+    w.job(submission("run-2", |s| s.tasks = 12));
     w.on_timer(1.0).bound();
     let holds = |w: &World, job: &str| -> Vec<String> {
         let id = w.scheduler.jobs.find(job).unwrap();
@@ -1358,18 +1366,18 @@
         w.heartbeat(name, &[]);
     }
     // Each machine has a task that can't be stopped for it, and one that could.
-    w.job(submission("run-1", |s| s.rank = Priority::High));
+    w.job(submission("run-1", |s| s.priority = Priority::High));
     w.at(1.0).heartbeat("small-east-1", &[]);
     w.heartbeat("small-east-2", &[]);
-    w.job(submission("run-2", |s| s.rank = Priority::Low));
+    w.job(submission("run-2", |s| s.priority = Priority::Low));
     w.at(2.0)
         .heartbeat("small-east-1", &["run-1/1#2.2 running"]);
     w.heartbeat("small-east-2", &["run-1/0#2.1 running"]);
     w.at(2.1).bound();
     w.job(submission("run-3", |s| {
-        s.pieces = 1;
+        s.tasks = 1;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     w.on_timer(3.0).bound();
     let both = [
@@ -1395,12 +1403,12 @@
 fn replicas_that_fail_everywhere_back_off() {
     let mut w = World::new(2, one_team());
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
     let wait = |w: &World| {
         let job = w.scheduler.jobs.get("run-1").unwrap();
-        (job.retry_at - w.now).as_secs_f64()
+        (job.retry_after - w.now).as_secs_f64()
     };
     let mut waits = Vec::new();
     for k in 1..6u32 {
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -70,7 +70,7 @@
     w.raises_tokens = tokens == Tokens::Raised;
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut w, 0.0, &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown);
     let held = HeldOrder {
         fencing_token: 2,
@@ -86,7 +86,7 @@
 fn a_held_start_is_revoked_before_its_cancellation_must_be_complete() {
     let (mut w, mut worker, held) = a_start_in_doubt(Tokens::Raised);
     w.at(2.0);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true);
     for second in (3..=72).step_by(3) {
         worker.heartbeat(&mut w, f64::from(second), &[]);
@@ -130,7 +130,7 @@
 fn a_start_that_cannot_be_fenced_off_ends_with_its_session() {
     let (mut w, mut worker, held) = a_start_in_doubt(Tokens::Refused);
     w.at(2.0);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true);
     for second in (6..=54).step_by(4) {
         let second = f64::from(second);
@@ -149,7 +149,7 @@
     let mut w = World::new(2, vec![team("a", 64.0, 64.0)]);
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut w, 0.0, &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0);
     let call = w.scheduler.next_direct(w.now).unwrap();
     assert_eq!(call.fencing_token, 2);
@@ -175,14 +175,14 @@
         w.heartbeat(name, &[]);
     }
     w.at(0.5).job(submission("run-1", |s| {
-        s.pieces = u64::from(MACHINES);
+        s.tasks = u64::from(MACHINES);
         s.cpus = trace_cpus();
     }));
     w.on_timer(1.0);
     while w.scheduler.fencing.unconfirmed_machines() < MACHINES as usize {
         w.direct(|_| DirectResult::Unknown);
     }
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.raises_tokens = true;
     for name in &names {
         w.at(2.0).heartbeat(name, &[]);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,10 +2,10 @@
 //! written by this one just so; and this one's new records wait until nobody of the old one can lead.
 
 use aspenreel::http::cbor::{decode, encode, json_len};
-use aspenreel::jobs::doneset::TaskSet;
-use aspenreel::jobs::rounds::{Write, WriteKind, pack, page_write};
-use aspenreel::jobs::spec::{Shape, Submission};
+use aspenreel::jobs::TaskSet;
 use aspenreel::jobs::{DoneRecord, FinalRecord, JobView, Outcome, ViewState};
+use aspenreel::jobs::{JobKind, Submission};
+use aspenreel::jobs::{PendingWrite, PendingWriteKind, pack_transactions, page_write};
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::leadership::level::{FORMAT, Level};
 use aspenreel::leadership::peer::{PeerReply, PeerRequest};
@@ -128,8 +128,8 @@
     let job: Submission = decode(&bytes("jobs")).unwrap();
     assert_eq!(job.spec().id, "run-000412");
     assert_eq!(
-        (job.shape, job.accepted_us, job.pieces),
-        (Shape::Array, 1_764_651_600_000_000, 16)
+        (job.kind, job.accepted_us, job.tasks),
+        (JobKind::Array, 1_764_651_600_000_000, 16)
     );
     let done: DoneRecord = decode(&bytes("done")).unwrap();
     let ended: DoneRecord = decode(&bytes("done, final")).unwrap();
@@ -249,8 +249,8 @@
         .map(|i| u8::from_str_radix(&job[i..i + 2], 16).unwrap())
         .collect();
     let kept: Submission = decode(&bytes).unwrap();
-    assert_eq!((kept.shape, kept.pieces), (Shape::Standing, 3));
-    assert!(kept.spec().standing && !kept.spec().spot);
+    assert_eq!((kept.kind, kept.tasks), (JobKind::Standing, 3));
+    assert!(kept.spec().is_standing() && !kept.spec().spot);
     assert_eq!(hex(&encode(&to_value(&kept))), job);
 
     // 2: that version sets it without a fence, and accepts standing jobs from then on.
@@ -390,13 +390,13 @@
     for i in 0..2000 {
         pages.put(&format!("run-{i:040}"), 100_000);
     }
-    let writes: Vec<Write> = pages
+    let writes: Vec<PendingWrite> = pages
         .due(false)
         .into_iter()
-        .map(|image| page_write("claims/", image, WriteKind::Claims))
+        .map(|image| page_write("claims/", image, PendingWriteKind::StartWatermarks))
         .collect();
     let count = writes.len();
-    let packs = pack(writes, 24, 60 * 1024);
+    let packs = pack_transactions(writes, 24, 60 * 1024);
     assert_eq!(packs.iter().map(Vec::len).sum::<usize>(), count);
     assert!(packs.len() > 1, "they don't fit into one");
     for pack in &packs {
