--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -4,7 +4,7 @@
 use crate::cuts::End;
 use crate::sched::{Time, secs};
 use crate::world::{LEASE_S, REPORT_S, State, World};
-use aspenreel::http::cbor::{Decimal, decode, encode};
+use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
@@ -94,7 +94,7 @@
             fencing_token: self.fencing_token,
             preemption_notice_s: self
                 .preempted_at
-                .map(|at| Decimal(at.saturating_sub(now) as f64 / 1e6)),
+                .map(|at| Number(at.saturating_sub(now) as f64 / 1e6)),
             tasks: self
                 .tasks
                 .iter()
@@ -352,7 +352,9 @@
             path: "/checkin".into(),
             body: encode(report),
         };
-        let response = node.at_once(request).unwrap_or_else(|_| panic!("it waits"));
+        let response = node
+            .handle_without_blocking(request)
+            .unwrap_or_else(|_| panic!("it waits"));
         let late = response.valid_until.is_some_and(|t| node.os.now() >= t);
         Ok((if late { 503 } else { response.status }, response.body))
     }
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,6 +1,6 @@
 //! What a user submits, checked; and the record of it that is kept.
 
-use crate::http::cbor::{Decimal, decode};
+use crate::http::cbor::{Number, decode};
 use crate::placement::Resources;
 use crate::settings::TeamSettings;
 use crate::time::{Micros, WallTime};
@@ -33,14 +33,14 @@
     pub priority: Priority,
     #[serde(rename = "pieces")]
     pub tasks: u64,
-    pub cpus: Decimal,
-    pub gpus: Decimal,
+    pub cpus: Number,
+    pub gpus: Number,
     #[serde(rename = "ramGb")]
-    pub ram_gb: Decimal,
+    pub ram_gb: Number,
     #[serde(rename = "bundle")]
     pub image: String,
     #[serde(rename = "imageGb")]
-    pub image_gb: Decimal,
+    pub image_gb: Number,
     #[serde(rename = "builds", default)]
     pub machine_types: Option<Vec<String>>,
     #[serde(rename = "yard", default)]
@@ -51,13 +51,13 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "guessS")]
-    pub estimate_s: Decimal,
+    pub estimate_s: Number,
     #[serde(rename = "bookmarkS")]
-    pub checkpoint_interval_s: Decimal,
+    pub checkpoint_interval_s: Number,
     #[serde(rename = "stashS")]
-    pub checkpoint_duration_s: Decimal,
+    pub checkpoint_duration_s: Number,
     #[serde(rename = "dueS", default)]
-    pub deadline_s: Option<Decimal>,
+    pub deadline_s: Option<Number>,
     /// Ours, in the kept record: when it was accepted, by the accepting node's time of day.
     #[serde(rename = "acceptedUs", default)]
     pub accepted_us: u64,
@@ -134,7 +134,7 @@
         if !(1..=MAX_TASKS).contains(&self.tasks) {
             return bad("pieces");
         }
-        let amount = |d: Decimal| (0.0..=1e9).contains(&d.0);
+        let amount = |d: Number| (0.0..=1e9).contains(&d.0);
         for (field, value) in [
             ("cpus", self.cpus),
             ("gpus", self.gpus),
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -218,7 +218,7 @@
         for name in answered {
             let alive = self.machines.get(name).is_some_and(|m| !m.lost);
             if alive && self.has_overdue_doubt(name, now, longest) {
-                invariants::violated(
+                invariants::report_violation(
                     Invariant::CancelledStartNotRevoked,
                     format_args!("term={} machine={name}", self.term),
                 );
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,6 +1,6 @@
 //! The workers' messages as they stand on the wire.
 
-use crate::http::cbor::Decimal;
+use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -22,7 +22,7 @@
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
     #[serde(rename = "recallS", default)]
-    pub preemption_notice_s: Option<Decimal>,
+    pub preemption_notice_s: Option<Number>,
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<ReportedTask>,
 }
