--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -1,12 +1,12 @@
 //! Jobs that enter the leader's state, and when no more of them may.
 
-use super::spec::Submission;
-use super::{JobId, new_job};
+use super::{Job, JobId, JobSpec, Submission};
 use crate::scheduler::{MOST_CLASSES, SchedulerState};
 use crate::time::{Moment, WallTime};
 
 impl SchedulerState {
-    /// Adds an accepted job. What an earlier term claimed of it is known from the pages.
+    /// Adds an accepted job, unless it is known already. Which of its tasks may have started under an
+    /// earlier term is known from the pages of start watermarks.
     pub fn add_job(
         &mut self,
         submission: &Submission,
@@ -24,29 +24,30 @@
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
         let age = wall.0.saturating_sub(spec.accepted_at.0);
         let accepted_at = Moment(now.0.saturating_sub(age));
-        self.placement.due = true;
-        let mut start_watermark = self
-            .jobs
-            .start_watermarks
-            .get(&spec.id)
-            .copied()
-            .unwrap_or(0);
-        if self.prior_term.watermarks_lost
-            || (spec.is_standing() && revision <= self.prior_term.older_version_led_at)
-        {
-            // Any of its tasks may have started, whatever the pages say.
-            start_watermark = spec.tasks;
-        }
-        let mut job = new_job(spec, team, revision, accepted_at, start_watermark);
+        let start_watermark = self.earlier_start_watermark(&spec, revision);
+        let mut job = Job::new(spec, team, revision, accepted_at, start_watermark);
         if self.prior_term.released {
-            job.release();
+            job.end_reconciliation();
         }
+        self.placement.due = true;
         self.jobs.insert(job)
     }
 
-    /// True while no more jobs may be accepted; once full, until a tenth of the room is free.
-    pub fn is_full(&self, was: bool) -> bool {
-        let most = self.config.job_bytes;
-        self.jobs.memory_bytes() > if was { most / 10 * 9 } else { most }
+    /// Below which number the job's tasks may have started under an earlier term.
+    fn earlier_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
+        let dropped_by_older_version =
+            spec.is_standing() && revision <= self.prior_term.older_version_led_at;
+        if self.prior_term.watermarks_lost || dropped_by_older_version {
+            // Any of its tasks may have started, whatever the pages say.
+            return spec.tasks;
+        }
+        let recorded = self.jobs.start_watermarks.get(&spec.id);
+        recorded.copied().unwrap_or(0)
+    }
+
+    /// True while no more jobs may be accepted. Once full (`was_full`), it stays so until a tenth of the
+    /// memory for jobs is free.
+    pub fn is_full(&self, was_full: bool) -> bool {
+        self.jobs.is_full(self.config.job_bytes, was_full)
     }
 }
--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -1,4 +1,5 @@
-//! Jobs that end: recorded final states, cancellations, and what is stopped then.
+//! Jobs that end: what the store says of done tasks and final states, cancellations, and what is stopped
+//! then.
 
 use super::{DoneRecord, FinalWrite, JobId, Outcome};
 use crate::scheduler::SchedulerState;
@@ -6,7 +7,7 @@
 use crate::workers::DesiredState;
 
 impl SchedulerState {
-    /// Takes in a done set's key, read at takeover or after a conflict.
+    /// Takes in a chunk of a done set as it was read, when this leader's term began or after a conflict.
     pub fn apply_done_record(&mut self, id: &str, chunk: u32, record: &DoneRecord, revision: u64) {
         let Some(job_id) = self.jobs.find(id) else {
             return;
@@ -18,18 +19,18 @@
             return;
         };
         if *known != revision && chunk == 0 {
-            // What got no answer was guarded by the revision before: it can't be applied any more.
+            // A write without an answer depended on the revision before: it can't be applied any more.
             job.final_write = FinalWrite::Idle;
         }
         *known = revision;
         let mut set = job.recorded.clone();
-        if set.add_chunk(chunk, &record.set).is_none() {
-            log::error!("done set of {id}: malformed chunk {chunk}");
+        if let Err(error) = set.add_chunk(chunk, &record.set) {
+            log::error!(job = id, chunk, error:%; "malformed done set");
             return;
         }
         job.recorded = set;
         for task in job.recorded.iter().collect::<Vec<_>>() {
-            job.settle(task);
+            job.mark_done(task);
         }
         if let Some(outcome) = record.state {
             self.apply_outcome(job_id, outcome);
@@ -46,28 +47,26 @@
         }
         job.outcome = Some(outcome);
         job.final_write = FinalWrite::Idle;
+        let first_placed_s = job.placed_at.map(|at| (at - job.accepted_at).as_secs_f64());
         log::debug!(
-            "{} of {}: {outcome:?}, {} tasks, first all placed {:?} s after acceptance",
-            job.spec.id,
-            job.spec.class,
-            job.spec.tasks,
-            job.placed_at.map(|t| (t - job.accepted_at).as_secs_f64())
+            job = job.spec.id, class = job.spec.class, outcome:?, tasks = job.spec.tasks, first_placed_s:?;
+            "job over"
         );
         self.stop_attempts_of(id);
     }
 
     /// From here on nothing of the job starts, and what runs is stopped: its user has no use for it,
-    /// whatever becomes of the record. It is cancelled once that is written.
+    /// whatever becomes of the record. It is cancelled once that is written. False if the job isn't known.
     pub fn request_cancellation(&mut self, id: &str, now: Moment) -> bool {
         let Some(job_id) = self.jobs.find(id) else {
             return false;
         };
         if let Some(job) = self.jobs.table.get_mut(&job_id)
             && job.outcome.is_none()
-            && !job.complete()
+            && !job.is_complete()
         {
-            let first = job.cancel_asked_at.is_none();
-            job.cancel_asked_at.get_or_insert(now);
+            let first = job.cancel_requested_at.is_none();
+            job.cancel_requested_at.get_or_insert(now);
             self.writes_due = true;
             if first {
                 self.stop_attempts_of(job_id);
@@ -76,20 +75,20 @@
         true
     }
 
-    /// Stops whatever there is of a job. Not even time to save: nobody has a use for what it does.
+    /// Stops all attempts of a job, without time for a checkpoint: nobody has a use for what they do.
     fn stop_attempts_of(&mut self, id: JobId) {
-        for m in self.machines.values_mut() {
+        for machine in self.machines.values_mut() {
             let own = (id, 0, 0)..=(id, u32::MAX, u64::MAX);
             let mut any = false;
-            for (_, attempt) in m.attempts.range_mut(own) {
+            for (_, attempt) in machine.attempts.range_mut(own) {
                 any = true;
                 attempt.desired = DesiredState::Stop {
                     grace_period: Micros::ZERO,
                 };
             }
             if any {
-                m.rooms.set(None);
-                self.commands.due.insert(m.name.clone());
+                machine.rooms.set(None);
+                self.commands.due.insert(machine.name.clone());
             }
         }
         self.placement.due = true;
--- /dev/null
+++ b/src/jobs/retirement.rs
@@ -0,0 +1,152 @@
+//! Retirement of final jobs: only `final/<ref>` stays of them, so that a new leader reads no more than
+//! what still matters.
+
+use super::records::{done_key, final_key, job_key};
+use super::{FinalRecord, Job, JobId, Outcome, PendingWrite, PendingWriteKind};
+use crate::invariants::{self, Invariant};
+use crate::scheduler::SchedulerState;
+use crate::state_store::{Change, Guard, to_value};
+use crate::workers::DeliveryStatus;
+
+/// Changes of a retirement beside its done set's chunks: the final record and the job's own.
+const CHANGES_BESIDE_CHUNKS: usize = 2;
+
+impl SchedulerState {
+    /// Retirements of final jobs of which nothing is left on any machine, with at most so many changes in
+    /// all and in one transaction.
+    pub fn pending_retirements(
+        &self,
+        max_changes: usize,
+        max_transaction_changes: usize,
+    ) -> Vec<PendingWrite> {
+        let mut writes = Vec::new();
+        let mut changes = 0;
+        for (id, job) in &self.jobs.table {
+            let Some(outcome) = job.outcome else { continue };
+            if !self.is_retirable(*id, job) {
+                continue;
+            }
+            let write = retirement(*id, job, outcome, max_transaction_changes)
+                .unwrap_or_else(|| chunk_deletion(*id, job, max_transaction_changes));
+            changes += write.changes.len();
+            if changes > max_changes {
+                break;
+            }
+            writes.push(write);
+        }
+        writes
+    }
+
+    /// True if nothing of the job can be on any machine, or arrive there.
+    pub(super) fn is_retirable(&self, id: JobId, job: &Job) -> bool {
+        // A machine that is not reconciled may still run its tasks: its team's quota counts them.
+        job.unreconciled_below == 0 && !job.is_bound() && !self.has_undelivered_start(id)
+    }
+
+    /// True while a start without an answer may still arrive: its attempt must not be cleared, so its job
+    /// stays known.
+    fn has_undelivered_start(&self, id: JobId) -> bool {
+        self.has_attempt(id, DeliveryStatus::may_arrive)
+    }
+
+    /// True while a call that carries a start of the job is under way.
+    pub(super) fn has_start_in_flight(&self, id: JobId) -> bool {
+        self.has_attempt(id, |delivery| delivery == DeliveryStatus::InFlight)
+    }
+
+    fn has_attempt(&self, id: JobId, matches: impl Fn(DeliveryStatus) -> bool) -> bool {
+        self.machines
+            .values()
+            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .any(|(_, attempt)| matches(attempt.delivery))
+    }
+
+    /// Takes a retired job out of memory. What workers still report of it are exited attempts: they
+    /// are told to clear them.
+    pub fn forget_job(&mut self, id: JobId) {
+        let Some(job) = self.jobs.table.get(&id) else {
+            return;
+        };
+        let name = &job.spec.id;
+        if self.has_undelivered_start(id) {
+            invariants::report_violation(
+                Invariant::ReleasedWithoutProof,
+                format_args!("job={name} reason=retired"),
+            );
+        }
+        log::debug!(job = name, term = self.term; "job retired");
+        self.jobs.remove(id);
+        self.commands.awaiting_watermark.remove(&id);
+        for machine in self.machines.values_mut() {
+            let before = machine.attempts.len();
+            machine.attempts.retain(|key, _| key.0 != id);
+            if machine.attempts.len() < before {
+                machine.rooms.set(None);
+            }
+        }
+    }
+}
+
+/// The transaction after which only `final/<ref>` is left; `None` if the done set has too many chunks.
+pub(super) fn retirement(
+    id: JobId,
+    job: &Job,
+    outcome: Outcome,
+    max_changes: usize,
+) -> Option<PendingWrite> {
+    let chunks: Vec<u32> = stored_chunks(job).collect();
+    if chunks.len() + CHANGES_BESIDE_CHUNKS > max_changes {
+        return None;
+    }
+    let (mut guards, mut changes) = deletions(job, chunks);
+    let name = &job.spec.id;
+    if job.revisions[0] == 0 {
+        // Else a cancellation of this leader that got no answer could stand beside this.
+        guards.push(Guard::new(done_key(name, 0), 0));
+    }
+    guards.push(Guard::new(job_key(name), job.job_revision));
+    let record = FinalRecord {
+        state: outcome,
+        tasks: job.spec.tasks,
+    };
+    changes.push(Change::write(final_key(name), to_value(&record)));
+    changes.push(Change::delete(job_key(name)));
+    Some(PendingWrite {
+        kind: PendingWriteKind::Retirement(id, outcome),
+        guards,
+        changes,
+    })
+}
+
+/// Deletes the higher chunks of a done set that has too many for one transaction; the final state, in
+/// chunk 0, goes last.
+fn chunk_deletion(id: JobId, job: &Job, max_changes: usize) -> PendingWrite {
+    let chunks = stored_chunks(job).filter(|chunk| *chunk > 0);
+    let (guards, changes) = deletions(job, chunks.take(max_changes));
+    PendingWrite {
+        kind: PendingWriteKind::DoneSet {
+            job: id,
+            chunk: 0,
+            text: String::new(),
+        },
+        guards,
+        changes,
+    }
+}
+
+/// Deletes these chunks of a done set, on condition of their revisions.
+fn deletions(job: &Job, chunks: impl IntoIterator<Item = u32>) -> (Vec<Guard>, Vec<Change>) {
+    let deletion = |chunk: u32| {
+        let key = done_key(&job.spec.id, chunk);
+        let guard = Guard::new(key.clone(), job.revisions[chunk as usize]);
+        (guard, Change::delete(key))
+    };
+    chunks.into_iter().map(deletion).unzip()
+}
+
+/// Chunks of the done set that have a key, the highest first.
+fn stored_chunks(job: &Job) -> impl Iterator<Item = u32> + '_ {
+    (0..job.done.chunks())
+        .rev()
+        .filter(|chunk| job.revisions[*chunk as usize] > 0)
+}
--- /dev/null
+++ b/src/jobs/write_results.rs
@@ -0,0 +1,150 @@
+//! What became of writes that were sent.
+
+use super::records::parse_done_key;
+use super::{FinalWrite, JobId, Outcome, PendingWrite, PendingWriteKind};
+use crate::scheduler::SchedulerState;
+use crate::state_store::Change;
+use crate::state_store::pages::PageImage;
+
+impl SchedulerState {
+    /// These writes are about to be sent.
+    pub fn mark_sent(&mut self, writes: &[PendingWrite]) {
+        self.update_final_writes(writes, |state| match state {
+            FinalWrite::Idle => FinalWrite::Sent,
+            other => other,
+        });
+    }
+
+    /// These writes were surely not carried out.
+    pub fn mark_not_written(&mut self, writes: &[PendingWrite]) {
+        self.update_final_writes(writes, |state| match state {
+            FinalWrite::Sent => FinalWrite::Idle,
+            other => other,
+        });
+    }
+
+    /// These writes got no answer: they may have been carried out, or may yet be.
+    pub fn mark_unanswered(&mut self, writes: &[PendingWrite]) {
+        self.update_final_writes(writes, |_| FinalWrite::Unknown);
+    }
+
+    fn update_final_writes(
+        &mut self,
+        writes: &[PendingWrite],
+        next: impl Fn(FinalWrite) -> FinalWrite,
+    ) {
+        for write in writes {
+            if let PendingWriteKind::FinalState(id, _) | PendingWriteKind::Retirement(id, _) =
+                &write.kind
+                && let Some(job) = self.jobs.table.get_mut(id)
+            {
+                job.final_write = next(job.final_write);
+            }
+        }
+    }
+
+    /// A write was committed at this revision.
+    pub fn apply_written(&mut self, write: &PendingWrite, revision: u64) {
+        match &write.kind {
+            PendingWriteKind::FinalState(job, outcome) => {
+                self.apply_final_state(*job, *outcome, revision);
+            }
+            PendingWriteKind::DoneSet { job, chunk, text } => {
+                self.apply_done_set(*job, *chunk, text, &write.changes, revision);
+            }
+            PendingWriteKind::Retirement(job, outcome) => {
+                self.apply_outcome(*job, *outcome);
+                self.forget_job(*job);
+            }
+            PendingWriteKind::StartWatermarks(image) => {
+                self.apply_start_watermarks(image, revision);
+            }
+            PendingWriteKind::MachineRegistry(image) => {
+                self.apply_machine_registry(image, revision);
+            }
+        }
+    }
+
+    fn apply_final_state(&mut self, id: JobId, outcome: Outcome, revision: u64) {
+        let Some(job) = self.jobs.table.get_mut(&id) else {
+            return;
+        };
+        job.revisions[0] = revision;
+        if outcome == Outcome::Done {
+            job.recorded = job.done.clone();
+        }
+        self.apply_outcome(id, outcome);
+    }
+
+    /// A chunk of a done set was written, or higher chunks of one that is retired were deleted.
+    fn apply_done_set(
+        &mut self,
+        id: JobId,
+        chunk: u32,
+        text: &str,
+        changes: &[Change],
+        revision: u64,
+    ) {
+        let Some(job) = self.jobs.table.get_mut(&id) else {
+            return;
+        };
+        for change in changes {
+            match change {
+                Change::Delete { delete } => {
+                    if let Some((_, chunk)) = parse_done_key(delete) {
+                        job.revisions[chunk as usize] = 0;
+                    }
+                }
+                Change::Write { .. } => {
+                    job.revisions[chunk as usize] = revision;
+                    // The text is this leader's own, so it isn't malformed.
+                    let _ = job.recorded.add_chunk(chunk, text);
+                }
+            }
+        }
+    }
+
+    /// Tasks below the start watermarks may start now: commands that waited for this become due.
+    fn apply_start_watermarks(&mut self, image: &PageImage<u32>, revision: u64) {
+        self.jobs
+            .start_watermarks
+            .written(image.number, image.version, revision);
+        for (name, watermark) in &image.entries {
+            let Some(id) = self.jobs.find(name) else {
+                continue;
+            };
+            if let Some(job) = self.jobs.table.get_mut(&id)
+                && job.start_watermark < *watermark
+            {
+                job.start_watermark = *watermark;
+                let waiting = self.commands.awaiting_watermark.remove(&id);
+                self.commands.due.extend(waiting.into_iter().flatten());
+            }
+        }
+    }
+
+    /// Tasks may be placed on the page's machines now.
+    fn apply_machine_registry(&mut self, image: &PageImage<u64>, revision: u64) {
+        self.provisioning
+            .registry
+            .written(image.number, image.version, revision);
+        for (name, _) in &image.entries {
+            if let Some(machine) = self.machines.get_mut(name)
+                && !machine.recorded
+            {
+                machine.recorded = true;
+                self.placement.due = true;
+            }
+        }
+    }
+
+    /// A done set's key turned out to be absent.
+    pub(super) fn note_done_key_absent(&mut self, id: &str, chunk: u32) {
+        if let Some(job_id) = self.jobs.find(id)
+            && let Some(job) = self.jobs.table.get_mut(&job_id)
+            && let Some(revision) = job.revisions.get_mut(chunk as usize)
+        {
+            *revision = 0;
+        }
+    }
+}
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -2,14 +2,11 @@
 
 use super::{ElectionOutcome, HINT_KEY, LEADER_KEY, LeaderLease, LeaderRecord, lease_until, take};
 use crate::controller::Controller;
-use crate::jobs::Submission;
 use crate::os::random_pause;
 use crate::state_store::{Change, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-const PAGE: usize = 100;
-
 impl Controller {
     pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
         random_pause(&*self.os, low_ms, high_ms);
@@ -235,95 +232,4 @@
             }
         }
     }
-
-    /// Watches for jobs that other nodes accept.
-    pub fn job_watch_loop(&self) {
-        loop {
-            let (term, since) = {
-                let state = self.state();
-                match (&state.lead, &state.scheduler) {
-                    (Some(lead), Some(_)) => (lead.term, state.jobs_revision),
-                    _ => {
-                        self.await_change(state, Duration::from_millis(500));
-                        continue;
-                    }
-                }
-            };
-            match self.store.changes("jobs/", since, Micros::from_secs(10)) {
-                Ok(changes) => {
-                    let (now, wall) = (self.now(), self.os.wall());
-                    let mut state = self.state();
-                    let state = &mut *state;
-                    let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
-                        continue;
-                    };
-                    if lead.term != term {
-                        continue;
-                    }
-                    state.jobs_revision = changes.revision.max(since);
-                    for event in &changes.log {
-                        let (Some(_), Some(data)) = (&event.write, &event.data) else {
-                            continue;
-                        };
-                        let Some(s) = from_value::<Submission>(data) else {
-                            log::error!("malformed job in the watch");
-                            continue;
-                        };
-                        // A job that is retired already must not come back by a late event.
-                        if state.terminal_states.get(&s.id).is_none() {
-                            scheduler.add_job(&s, event.revision, now, wall);
-                        }
-                    }
-                    if now < lead.valid_until {
-                        scheduler.place_soon(now);
-                        self.wake(scheduler);
-                    }
-                }
-                Err(StoreError::TooOld) => {
-                    log::info!("the watch on jobs is too old: reading again");
-                    self.reread_jobs(term);
-                }
-                Err(e) => {
-                    log::debug!("watch on jobs: {e}");
-                    self.pause(200, 500);
-                }
-            }
-        }
-    }
-
-    fn reread_jobs(&self, term: u64) {
-        let mut since: Option<String> = None;
-        let mut revision = None;
-        loop {
-            let Ok(page) = self
-                .store
-                .range("jobs/", since.as_deref(), PAGE, Urgency::Normal)
-            else {
-                self.pause(200, 500);
-                return;
-            };
-            revision.get_or_insert(page.revision);
-            let (now, wall) = (self.now(), self.os.wall());
-            let mut state = self.state();
-            let state = &mut *state;
-            let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
-                return;
-            };
-            if lead.term != term {
-                return;
-            }
-            for row in &page.rows {
-                since = Some(row.key.clone());
-                if let Some(s) = from_value::<Submission>(&row.data)
-                    && state.terminal_states.get(&s.id).is_none()
-                {
-                    scheduler.add_job(&s, row.revision, now, wall);
-                }
-            }
-            if !page.more {
-                state.jobs_revision = revision.unwrap_or(state.jobs_revision);
-                return;
-            }
-        }
-    }
 }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -46,7 +46,7 @@
             .jobs
             .table
             .iter()
-            .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_asked() && !j.complete())
+            .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_requested() && !j.is_complete())
             .collect();
         by_age.sort_by_key(|(id, j)| (j.accepted_at, **id));
         let mut start_watermark = vec![Resources::default(); self.config.teams.len()];
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -165,7 +165,7 @@
         self.prior_term.released = true;
         self.placement.due = true;
         for job in self.jobs.table.values_mut() {
-            job.release();
+            job.end_reconciliation();
         }
     }
 
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -192,7 +192,7 @@
 
 /// A task shows up for the first time: not of a job whose cancellation must be complete.
 fn check_start(job: &Job, task: &ReportedTask, machine: &str, cancel: Micros, now: Moment) {
-    let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
+    let is_late = job.cancel_requested_at.is_some_and(|at| now - at > cancel);
     if is_late && task.status != TaskStatus::Exited {
         invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -68,11 +68,11 @@
 ) -> ExitEffect {
     match exit.exit_reason {
         ExitReason::Done => {
-            let is_first = job.settle(exit.key.1);
+            let is_first = job.mark_done(exit.key.1);
             job.failed_on.clear();
             machine.error_streak.clear();
             ExitEffect {
-                completes_job: is_first && job.complete(),
+                completes_job: is_first && job.is_complete(),
                 ran: since.map(|t| exit.at - t),
             }
         }
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -202,7 +202,7 @@
             .filter(|(_, attempt)| attempt.status.is_none());
         unconfirmed.any(|(key, _)| {
             let job = self.jobs.table.get(&key.0);
-            let asked = job.and_then(|job| job.cancel_asked_at);
+            let asked = job.and_then(|job| job.cancel_requested_at);
             asked.is_some_and(|at| now - at >= span)
         })
     }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -143,6 +143,6 @@
     }
     assert_eq!(small.chunk_text(0), "0-2,7,9-10");
     for rubbish in ["5-", "x1g", "30", "2-99", "a"] {
-        assert_eq!(TaskSet::new(20).add_chunk(0, rubbish), None, "{rubbish}");
+        assert!(TaskSet::new(20).add_chunk(0, rubbish).is_err(), "{rubbish}");
     }
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -405,7 +405,7 @@
     w.job(submission("run-1", |s| s.tasks = 100_000));
     let id = w.scheduler.jobs.find("run-1").unwrap();
     for task in (0..100_000).filter(|t| t % 7 != 3) {
-        w.scheduler.jobs.table.get_mut(&id).unwrap().settle(task);
+        w.scheduler.jobs.table.get_mut(&id).unwrap().mark_done(task);
     }
     let writes = w.scheduler.pending_done_sets(1000);
     let longest = writes
@@ -641,13 +641,17 @@
         w.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
     }
     w.note(&format!("full after {n} small jobs"));
-    w.scheduler.forget_job("run-1");
+    let retire = |w: &mut World, id: &str| {
+        let job = w.scheduler.jobs.find(id).unwrap();
+        w.scheduler.forget_job(job);
+    };
+    retire(&mut w, "run-1");
     let states = (w.scheduler.is_full(false), w.scheduler.is_full(true));
     w.note(&format!(
         "one less: full {states:?} if it was not, if it was"
     ));
     for n in 2..=8 {
-        w.scheduler.forget_job(&format!("run-{n}"));
+        retire(&mut w, &format!("run-{n}"));
     }
     let full = w.scheduler.is_full(true);
     w.note(&format!("a tenth less: full {full}"));
@@ -925,7 +929,7 @@
     for n in 1..=40 {
         w.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
         let id = w.scheduler.jobs.find(&format!("run-{n}")).unwrap();
-        w.scheduler.jobs.table.get_mut(&id).unwrap().settle(0);
+        w.scheduler.jobs.table.get_mut(&id).unwrap().mark_done(0);
     }
     w.job(submission("run-99", |s| s.tasks = 1));
     w.scheduler.on_timer(at(1.0));
@@ -1149,15 +1153,21 @@
 #[test]
 fn the_mark_of_being_full_is_never_in_doubt_for_long() {
     let mut mark = aspenreel::jobs::AdmissionGate::default();
-    assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
+    assert_eq!(
+        (mark.next_write(false), mark.next_write(true)),
+        (None, Some(true))
+    );
     mark.unconfirmed = Some(true);
-    assert_eq!(mark.next(false), Some(true));
-    mark.known(true, 7);
-    assert_eq!((mark.next(true), mark.next(false)), (None, Some(false)));
+    assert_eq!(mark.next_write(false), Some(true));
+    mark.confirm(true, 7);
+    assert_eq!(
+        (mark.next_write(true), mark.next_write(false)),
+        (None, Some(false))
+    );
     mark.unconfirmed = Some(false);
-    assert_eq!(mark.next(true), Some(false));
-    mark.known(false, 0);
-    assert_eq!((mark.next(false), mark.revision), (None, 0));
+    assert_eq!(mark.next_write(true), Some(false));
+    mark.confirm(false, 0);
+    assert_eq!((mark.next_write(false), mark.revision), (None, 0));
 }
 
 /// A job that is spread, or bound to one zone, has no use for room elsewhere: a machine is rented where
