--- /dev/null
+++ b/src/jobs/api/for_peers.rs
@@ -0,0 +1,36 @@
+//! Answers to what peers ask on behalf of their users.
+
+use super::peers::PEER_TIME;
+use super::submit::AcceptResult;
+use crate::controller::Controller;
+use crate::jobs::{LocalStatus, Submission};
+use crate::leadership::peer::PeerReply;
+
+impl Controller {
+    /// A peer asks this controller to accept a submission that it has checked.
+    pub fn accept_for_peer(&self, body: &[u8]) -> PeerReply {
+        let Ok(submission) = Submission::decode(body) else {
+            return PeerReply::Busy;
+        };
+        if !self.may_record(&submission) {
+            return PeerReply::Busy;
+        }
+        match self.record(submission) {
+            AcceptResult::Accepted => PeerReply::Accepted,
+            AcceptResult::Known(view) => PeerReply::Job(view),
+            AcceptResult::NotRecorded | AcceptResult::Full => PeerReply::Busy,
+        }
+    }
+
+    /// A peer that the store refuses asks this controller to read a job's status.
+    pub fn read_for_peer(&self, id: &str) -> PeerReply {
+        if let LocalStatus::View(view) = self.local_status(id) {
+            return PeerReply::Job(view);
+        }
+        match self.stored_status(id, self.now() + PEER_TIME) {
+            Ok(Some(view)) => PeerReply::Job(view),
+            Ok(None) => PeerReply::Absent,
+            Err(_) => PeerReply::Busy,
+        }
+    }
+}
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -2,6 +2,7 @@
 //! behalf of their users.
 
 mod cancel;
+mod for_peers;
 mod health;
 mod messages;
 mod peers;
--- a/src/jobs/api/peers.rs
+++ b/src/jobs/api/peers.rs
@@ -1,8 +1,6 @@
-//! Questions to peers on behalf of users, and answers to theirs.
+//! Questions to peers on behalf of users.
 
 use crate::controller::Controller;
-use crate::jobs::api::submit::AcceptResult;
-use crate::jobs::{LocalStatus, Submission};
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::os::time_left;
 use crate::time::{Micros, Moment};
@@ -37,31 +35,4 @@
             }
         }
     }
-
-    /// A peer asks this controller to accept a submission that it has checked.
-    pub fn accept_for_peer(&self, body: &[u8]) -> PeerReply {
-        let Ok(submission) = Submission::decode(body) else {
-            return PeerReply::Busy;
-        };
-        if !self.may_record(&submission) {
-            return PeerReply::Busy;
-        }
-        match self.record(submission) {
-            AcceptResult::Accepted => PeerReply::Accepted,
-            AcceptResult::Known(view) => PeerReply::Job(view),
-            AcceptResult::NotRecorded | AcceptResult::Full => PeerReply::Busy,
-        }
-    }
-
-    /// A peer that the store refuses asks this controller to read a job's status.
-    pub fn read_for_peer(&self, id: &str) -> PeerReply {
-        if let LocalStatus::View(view) = self.local_status(id) {
-            return PeerReply::Job(view);
-        }
-        match self.stored_status(id, self.now() + PEER_TIME) {
-            Ok(Some(view)) => PeerReply::Job(view),
-            Ok(None) => PeerReply::Absent,
-            Err(_) => PeerReply::Busy,
-        }
-    }
 }
--- a/src/jobs/job_watch_loop.rs
+++ b/src/jobs/job_watch_loop.rs
@@ -17,20 +17,27 @@
 /// Records that one request asks for.
 const PAGE_ROWS: usize = 100;
 
+/// When records were read, by both of this controller's clocks.
+#[derive(Clone, Copy)]
+struct ReadTime {
+    now: Moment,
+    wall: WallTime,
+}
+
 /// Adds a job that was read from the store, unless it is over. False if its record is malformed.
 fn add_recorded_job(
     scheduler: &mut SchedulerState,
     terminal_states: &TerminalStates,
     record: &Value,
     revision: u64,
-    (now, wall): (Moment, WallTime),
+    read: ReadTime,
 ) -> bool {
     let Some(submission) = from_value::<Submission>(record) else {
         return false;
     };
     // A job that is retired already must not come back by a late event.
     if terminal_states.get(&submission.id).is_none() {
-        scheduler.add_job(&submission, revision, now, wall);
+        scheduler.add_job(&submission, revision, read.now, read.wall);
     }
     true
 }
@@ -63,7 +70,7 @@
 
     /// Takes in what the watch tells of jobs after the revision `since`.
     fn add_changed_jobs(&self, term: u64, since: u64, changes: &Changes) {
-        let times = (self.now(), self.os.wall());
+        let read = self.read_time();
         let mut state = self.state();
         let state = &mut *state;
         let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
@@ -78,13 +85,12 @@
                 continue;
             };
             let over = &state.terminal_states;
-            if !add_recorded_job(scheduler, over, record, event.revision, times) {
+            if !add_recorded_job(scheduler, over, record, event.revision, read) {
                 log::error!(revision = event.revision; "malformed job in the watch");
             }
         }
-        let (now, _) = times;
-        if now < lead.valid_until {
-            scheduler.place_soon(now);
+        if read.now < lead.valid_until {
+            scheduler.place_soon(read.now);
             self.wake(scheduler);
         }
     }
@@ -113,7 +119,7 @@
     /// Takes in a page of jobs; false if the term is over. After the last page the watch goes on at
     /// `revision`.
     fn add_page_of_jobs(&self, term: u64, page: &Page, revision: u64) -> bool {
-        let times = (self.now(), self.os.wall());
+        let read = self.read_time();
         let mut state = self.state();
         let state = &mut *state;
         let (Some(lead), Some(scheduler)) = (&state.lead, &mut state.scheduler) else {
@@ -124,7 +130,7 @@
         }
         for row in &page.rows {
             let over = &state.terminal_states;
-            add_recorded_job(scheduler, over, &row.data, row.revision, times);
+            add_recorded_job(scheduler, over, &row.data, row.revision, read);
         }
         if !page.more {
             state.jobs_revision = revision;
@@ -132,6 +138,13 @@
         true
     }
 
+    fn read_time(&self) -> ReadTime {
+        ReadTime {
+            now: self.now(),
+            wall: self.os.wall(),
+        }
+    }
+
     fn pause_before_retry(&self) {
         let (low, high) = RETRY_PAUSE_MS;
         self.pause(low, high);
