--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -19,9 +19,8 @@
 }
 
 /// Whether a job ends by itself.
-// Refused bodies are answered with this description of the expected value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase", expecting = "enum Shape")]
+#[serde(rename_all = "lowercase")]
 pub enum JobKind {
     /// A job array: independent tasks, each of which runs to its end.
     Array,
