--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -7,8 +7,8 @@
 use crate::http::server::Response;
 use crate::jobs::LocalStatus;
 use crate::jobs::wire::is_job_id;
-use crate::leadership::peer::{PeerReply, PeerRequest};
 use crate::os::time_left;
+use crate::peer::{PeerReply, PeerRequest};
 use crate::time::Micros;
 
 /// A cancellation is answered once it is recorded, or else refused after this.
@@ -53,19 +53,22 @@
             return PeerReply::Job(view);
         }
         let now = self.now();
-        let Some((_, scheduler)) = state.acting(now) else {
+        let Some((_, scheduler)) = state.acting_leader(now) else {
             return PeerReply::NotLeading;
         };
         if !scheduler.request_cancellation(id, now) {
             return PeerReply::Unknown;
         }
-        self.changed.notify_all();
+        self.state_changed.notify_all();
         loop {
             if let Some(view) = state.terminal_states.get(id) {
                 return PeerReply::Job(view);
             }
             let now = self.now();
-            match state.acting(now).map(|(_, scheduler)| scheduler.view(id)) {
+            match state
+                .acting_leader(now)
+                .map(|(_, scheduler)| scheduler.view(id))
+            {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
@@ -73,7 +76,7 @@
             let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
-            self.await_change(state, left);
+            self.wait_for_change(state, left);
             state = self.state();
         }
     }
--- a/src/jobs/api/for_peers.rs
+++ b/src/jobs/api/for_peers.rs
@@ -4,7 +4,7 @@
 use super::submit::AcceptResult;
 use crate::controller::Controller;
 use crate::jobs::{LocalStatus, Submission};
-use crate::leadership::peer::PeerReply;
+use crate::peer::PeerReply;
 
 impl Controller {
     /// A peer asks this controller to accept a submission that it has checked.
--- a/src/jobs/api/health.rs
+++ b/src/jobs/api/health.rs
@@ -3,7 +3,7 @@
 use super::messages::retry_soon;
 use crate::controller::Controller;
 use crate::http::server::Response;
-use crate::leadership::peer::PeerClient;
+use crate::peer::PeerClient;
 use crate::time::Micros;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -39,11 +39,11 @@
     }
 
     fn hears_store(&self) -> bool {
-        self.now() - self.store.last_answer() < STORE_SILENCE
+        self.now() - self.store.last_answered_at() < STORE_SILENCE
     }
 
     fn hears_peer(&self) -> bool {
-        let answers = |peer: &PeerClient| peer.answers(PROBE_TIME);
+        let answers = |peer: &PeerClient| peer.is_reachable(PROBE_TIME);
         self.peers.values().any(answers)
     }
 }
--- a/src/jobs/api/peers.rs
+++ b/src/jobs/api/peers.rs
@@ -1,8 +1,8 @@
 //! Questions to peers on behalf of users.
 
 use crate::controller::Controller;
-use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::os::time_left;
+use crate::peer::{PeerClient, PeerReply, PeerRequest};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -7,9 +7,9 @@
 use crate::jobs::records::{done_key, final_key, job_key};
 use crate::jobs::wire::is_job_id;
 use crate::jobs::{DoneRecord, FinalRecord, JobView, LocalStatus, Outcome, Submission};
-use crate::leadership::peer::{PeerReply, PeerRequest};
 use crate::os::time_left;
-use crate::state_store::{Row, StoreError, Urgency, from_value};
+use crate::peer::{PeerReply, PeerRequest};
+use crate::store::{KeyValue, Rejection, StoreError, StorePriority, from_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
 
     fn local_status_in(&self, state: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
-        match (state.terminal_states.get(id), state.acting(now)) {
+        match (state.terminal_states.get(id), state.acting_leader(now)) {
             (Some(view), _) => LocalStatus::View(view),
             (None, Some((_, scheduler))) => scheduler.view(id),
             (None, None) => LocalStatus::Nothing,
@@ -75,7 +75,7 @@
             let status = self.local_status_in(&mut state, id);
             match time_left(&*self.os, deadline) {
                 Some(left) if status == LocalStatus::FinalWriteInFlight => {
-                    self.await_change(state, left);
+                    self.wait_for_change(state, left);
                 }
                 _ => return status,
             }
@@ -104,7 +104,7 @@
         if let Some(PeerReply::Job(view)) = self.ask_leader(&request, PEER_TIME.duration()) {
             return StatusLookup::Job(view);
         }
-        if self.store.answers(self.now()) {
+        if self.store.is_answering(self.now()) {
             match self.stored_status(id, deadline) {
                 Ok(Some(view)) => return StatusLookup::Job(view),
                 Ok(None) => return StatusLookup::Absent,
@@ -139,8 +139,10 @@
         let Some(row) = self.read_for_user(&final_key(id), deadline)? else {
             return Ok(None);
         };
-        let record: FinalRecord = from_value(&row.data)
-            .ok_or_else(|| StoreError::Unknown("malformed final record".into()))?;
+        let record: FinalRecord =
+            from_value(&row.data).ok_or_else(|| StoreError::MalformedValue {
+                key: row.key.clone(),
+            })?;
         Ok(Some(JobView::of_final(record.state, record.tasks)))
     }
 
@@ -153,11 +155,14 @@
         Ok(record.state)
     }
 
-    fn read_for_user(&self, key: &str, deadline: Moment) -> Result<Option<Row>, StoreError> {
+    fn read_for_user(&self, key: &str, deadline: Moment) -> Result<Option<KeyValue>, StoreError> {
         let Some(left) = time_left(&*self.os, deadline) else {
-            return Err(StoreError::Refused("no time left".into()));
+            return Err(StoreError::NotExecuted {
+                request: format!("GET /store/{key}"),
+                source: Rejection::DeadlinePassed,
+            });
         };
         self.store
-            .get_within(key, Urgency::Normal, READ_TIME.min(left))
+            .get_within(key, StorePriority::Normal, READ_TIME.min(left))
     }
 }
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -10,8 +10,8 @@
 use crate::jobs::{
     FULL_KEY, Infeasible, JobKind, JobView, LocalStatus, MalformedSubmission, Submission,
 };
-use crate::leadership::peer::{PeerReply, PeerRequest};
-use crate::state_store::{Change, Commit, Guard, Urgency, to_value};
+use crate::peer::{PeerReply, PeerRequest};
+use crate::store::{Change, Precondition, StorePriority, TransactionOutcome, to_value};
 use crate::time::WallTime;
 
 /// Why a submission is refused for good. Users are told the text.
@@ -81,7 +81,7 @@
 
     /// A standing job is recorded once all controllers know what it is.
     pub(super) fn may_record(&self, submission: &Submission) -> bool {
-        submission.kind == JobKind::Array || self.level().has_standing_jobs()
+        submission.kind == JobKind::Array || self.feature_level().has_standing_jobs()
     }
 
     /// The id of an accepted job never gets a refusal, whatever body comes again.
@@ -98,7 +98,7 @@
     /// of tokens or because the store refuses it alone, another one may. It is asked first while the store
     /// is silent here, since waiting for the store takes longer than users want to.
     fn accept(&self, submission: Submission) -> Response {
-        let silent = !self.store.answers(self.now());
+        let silent = !self.store.is_answering(self.now());
         if silent && let Some(response) = self.accept_by_peer(&submission) {
             return response;
         }
@@ -141,13 +141,18 @@
         let guards = self.acceptance_guards(&submission);
         let changes = [Change::write(job_key(id), data)];
         let term = leading_term(&self.state());
-        match self.store.transact(&guards, &changes, Urgency::Granted) {
-            Ok(Commit::Done { revision }) => {
+        match self
+            .store
+            .transact(&guards, &changes, StorePriority::Admitted)
+        {
+            Ok(TransactionOutcome::Committed { revision }) => {
                 self.add_accepted_job(&submission, revision, wall, term);
                 AcceptResult::Accepted
             }
-            Ok(Commit::Conflict { failed }) if failed == [FULL_KEY] => AcceptResult::Full,
-            Ok(Commit::Conflict { .. }) => match self.look_up(id) {
+            Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
+                AcceptResult::Full
+            }
+            Ok(TransactionOutcome::Conflict { .. }) => match self.look_up(id) {
                 StatusLookup::Job(view) => AcceptResult::Known(view),
                 _ => AcceptResult::NotRecorded,
             },
@@ -160,20 +165,20 @@
 
     fn take_submit_token(&self) -> bool {
         let now = self.now();
-        let tokens = self.submit_tokens.lock();
+        let tokens = self.submission_bucket.lock();
         tokens.unwrap_or_else(|e| e.into_inner()).take(1.0, now)
     }
 
     /// The preconditions of an acceptance: the job is neither accepted nor over, and the leader isn't full.
-    fn acceptance_guards(&self, submission: &Submission) -> Vec<Guard> {
+    fn acceptance_guards(&self, submission: &Submission) -> Vec<Precondition> {
         let mut guards = vec![
-            Guard::new(job_key(&submission.id), 0),
-            Guard::new(final_key(&submission.id), 0),
-            Guard::new(FULL_KEY, 0),
+            Precondition::new(job_key(&submission.id), 0),
+            Precondition::new(final_key(&submission.id), 0),
+            Precondition::new(FULL_KEY, 0),
         ];
         if submission.kind == JobKind::Standing {
             // What was known when this process looked may have been taken back since.
-            guards.push(self.level().guard());
+            guards.push(self.feature_level().precondition());
         }
         guards
     }
@@ -192,7 +197,7 @@
         // another leader: what was read when the term began tells.
         if state.terminal_states.get(&submission.id).is_none()
             && leading_term(&state) == term
-            && let Some((_, scheduler)) = state.acting(now)
+            && let Some((_, scheduler)) = state.acting_leader(now)
         {
             scheduler.add_job(submission, revision, now, wall);
             scheduler.place_soon(now);
@@ -202,5 +207,5 @@
 }
 
 fn leading_term(state: &ControllerState) -> Option<u64> {
-    state.lead.as_ref().map(|lead| lead.term)
+    state.leader_lease.as_ref().map(|lead| lead.term)
 }
--- a/src/jobs/leader_term.rs
+++ b/src/jobs/leader_term.rs
@@ -24,10 +24,10 @@
     }
 
     /// The precondition that this controller leads in that term failed: another one leads by now.
-    pub(crate) fn lose_lead(&self, term: u64) {
+    pub(crate) fn lose_leadership(&self, term: u64) {
         self.with_state_of(term, |state| {
             log::info!(term, reason = "another_leads"; "standing down");
-            state.step_down = true;
+            state.step_down_requested = true;
         });
     }
 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! Domain types are in `spec`, `wire`, `records` and `status`; state is in `job`, `table`, `task_set`
 //! and `admission_gate`. Decisions are in `admission`, `feasibility`, `completion`, `pending_writes`,
-//! `retirement` and `write_results`. The record writer, the job watch and the request handlers of
-//! `api` call them and do all input and output.
+//! `retirement` and `write_results`. The record writer and the request handlers of `api` call them
+//! and do all input and output; so does the job watch, in the slice of leadership.
 
 #![warn(missing_docs)]
 
@@ -17,7 +17,6 @@
 mod completion;
 mod feasibility;
 mod job;
-mod job_watch_loop;
 mod leader_term;
 mod pending_write;
 mod pending_writes;
--- a/src/jobs/pending_write.rs
+++ b/src/jobs/pending_write.rs
@@ -2,8 +2,8 @@
 
 use super::{JobId, Outcome};
 use crate::http::cbor::json_len;
-use crate::state_store::pages::PageImage;
-use crate::state_store::{Change, Guard, to_value};
+use crate::store::paged_map::PageImage;
+use crate::store::{Change, Precondition, to_value};
 use serde::Serialize;
 
 /// One write: its changes belong together, and so do their preconditions.
@@ -12,7 +12,7 @@
     /// What it records, for whoever applies its result.
     pub kind: PendingWriteKind,
     /// The preconditions of the write.
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     /// What it changes.
     pub changes: Vec<Change>,
 }
@@ -59,7 +59,7 @@
 ) -> PendingWrite {
     let key = format!("{prefix}{}", image.number);
     PendingWrite {
-        guards: vec![Guard::new(key.clone(), image.revision)],
+        guards: vec![Precondition::new(key.clone(), image.revision)],
         changes: vec![Change::write(key, to_value(&image.entries))],
         kind: kind(image),
     }
--- a/src/jobs/pending_writes.rs
+++ b/src/jobs/pending_writes.rs
@@ -6,7 +6,7 @@
     DoneRecord, Job, JobId, Outcome, PendingWrite, PendingWriteKind, WATERMARKS_PREFIX, page_write,
 };
 use crate::scheduler::SchedulerState;
-use crate::state_store::{Change, Guard, to_value};
+use crate::store::{Change, Precondition, to_value};
 use std::cmp::Reverse;
 
 /// Bytes that a done set's record takes beside the set.
@@ -22,7 +22,7 @@
 
     /// Pages of start watermarks for which starts wait.
     pub fn pending_watermark_writes(&self) -> Vec<PendingWrite> {
-        let due = self.jobs.start_watermarks.due(false).into_iter();
+        let due = self.jobs.start_watermarks.pages_due(false).into_iter();
         due.map(|image| page_write(WATERMARKS_PREFIX, image, PendingWriteKind::StartWatermarks))
             .collect()
     }
@@ -63,7 +63,7 @@
             kind: PendingWriteKind::FinalState(id, outcome),
             // The revision keeps done and cancelled apart even if an unanswered transaction of this
             // leader is applied late.
-            guards: vec![Guard::new(key.clone(), job.revisions[0])],
+            guards: vec![Precondition::new(key.clone(), job.revisions[0])],
             changes: vec![Change::write(key, to_value(&record))],
         }
     }
@@ -115,7 +115,10 @@
                 chunk,
                 text,
             },
-            guards: vec![Guard::new(key.clone(), job.revisions[chunk as usize])],
+            guards: vec![Precondition::new(
+                key.clone(),
+                job.revisions[chunk as usize],
+            )],
             changes: vec![Change::write(key, to_value(&record))],
         })
     }
--- a/src/jobs/read_back.rs
+++ b/src/jobs/read_back.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
-use crate::state_store::{Urgency, from_value};
+use crate::store::{StorePriority, from_value};
 
 impl Controller {
     /// Reads the keys back whose preconditions failed.
@@ -29,11 +29,11 @@
                 self.read_back_job(term, key);
             }
         }
-        self.changed.notify_all();
+        self.state_changed.notify_all();
     }
 
     fn read_back_done_set(&self, term: u64, key: &str, id: &str, chunk: u32) {
-        match self.store.get(key, Urgency::Normal) {
+        match self.store.get(key, StorePriority::Normal) {
             Ok(Some(row)) => {
                 let record: DoneRecord = from_value(&row.data).unwrap_or_default();
                 self.with_scheduler(term, |scheduler| {
@@ -57,7 +57,7 @@
         number: &str,
         set_revision: impl FnOnce(&mut SchedulerState, u32, u64),
     ) {
-        let revision = match self.store.get(key, Urgency::Normal) {
+        let revision = match self.store.get(key, StorePriority::Normal) {
             Ok(row) => row.map_or(0, |row| row.revision),
             Err(error) => {
                 log::debug!(key, error:%; "not read back");
@@ -74,10 +74,10 @@
         let Some(id) = key.strip_prefix(JOBS_PREFIX) else {
             return;
         };
-        let Ok(None) = self.store.get(key, Urgency::Normal) else {
+        let Ok(None) = self.store.get(key, StorePriority::Normal) else {
             return;
         };
-        let Ok(Some(row)) = self.store.get(&final_key(id), Urgency::Normal) else {
+        let Ok(Some(row)) = self.store.get(&final_key(id), StorePriority::Normal) else {
             return;
         };
         let Some(record) = from_value::<FinalRecord>(&row.data) else {
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -5,8 +5,8 @@
 use crate::controller::{Controller, ControllerState};
 use crate::leadership::LeaderLease;
 use crate::scheduler::SchedulerState;
-use crate::state_store::bucket::TokenBucket;
-use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, to_value};
+use crate::store::token_bucket::TokenBucket;
+use crate::store::{Change, Precondition, StoreError, StorePriority, TransactionOutcome, to_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -58,17 +58,17 @@
 struct Leading {
     term: u64,
     /// The leader's lease in the store.
-    lease: u64,
+    lease_id: u64,
     /// The precondition that this controller leads.
-    guard: Guard,
+    guard: Precondition,
 }
 
 impl Leading {
     fn of(lead: &LeaderLease) -> Leading {
         Leading {
             term: lead.term,
-            lease: lead.lease,
-            guard: lead.guard(),
+            lease_id: lead.lease_id,
+            guard: lead.precondition(),
         }
     }
 }
@@ -118,7 +118,7 @@
         let now = controller.now();
         let mut state = controller.state();
         match self.next_step(&mut state, now) {
-            Step::Wait(time) => controller.await_change(state, time),
+            Step::Wait(time) => controller.wait_for_change(state, time),
             Step::RaiseFencingToken(lead) => {
                 drop(state);
                 self.tokens.force(1.0, now);
@@ -136,7 +136,7 @@
     }
 
     fn next_step(&mut self, state: &mut ControllerState, now: Moment) -> Step {
-        let Some((lead, scheduler)) = state.acting(now) else {
+        let Some((lead, scheduler)) = state.acting_leader(now) else {
             return Step::Wait(STANDBY_TIME);
         };
         if !scheduler.permissions().record {
@@ -225,10 +225,14 @@
         for unsent in transactions {
             self.mark_not_written(lead, &unsent);
         }
-        self.controller.changed.notify_all();
+        self.controller.state_changed.notify_all();
     }
 
-    fn send(&mut self, lead: &Leading, writes: &[PendingWrite]) -> Result<Commit, StoreError> {
+    fn send(
+        &mut self,
+        lead: &Leading,
+        writes: &[PendingWrite],
+    ) -> Result<TransactionOutcome, StoreError> {
         let mut guards = vec![lead.guard.clone()];
         guards.extend(writes.iter().flat_map(|w| w.guards.iter().cloned()));
         let changes: Vec<_> = writes.iter().flat_map(|w| w.changes.clone()).collect();
@@ -236,7 +240,7 @@
         self.tokens.force(changes.len() as f64, controller.now());
         controller
             .store
-            .transact(&guards, &changes, Urgency::Granted)
+            .transact(&guards, &changes, StorePriority::Admitted)
     }
 
     /// Takes in what came of one transaction; an error if the store refused it or gave no answer.
@@ -244,19 +248,19 @@
         &mut self,
         lead: &Leading,
         writes: &[PendingWrite],
-        result: Result<Commit, StoreError>,
+        result: Result<TransactionOutcome, StoreError>,
     ) -> Result<(), StoreError> {
         let controller = self.controller;
         match result {
-            Ok(Commit::Done { revision }) => {
+            Ok(TransactionOutcome::Committed { revision }) => {
                 controller.note_written(lead.term, writes, revision);
                 Ok(())
             }
-            Ok(Commit::Conflict { failed }) if failed.contains(&lead.guard.key) => {
-                controller.lose_lead(lead.term);
+            Ok(TransactionOutcome::Conflict { failed }) if failed.contains(&lead.guard.key) => {
+                controller.lose_leadership(lead.term);
                 Ok(())
             }
-            Ok(Commit::Conflict { failed }) => {
+            Ok(TransactionOutcome::Conflict { failed }) => {
                 controller.read_back(lead.term, &failed);
                 self.mark_not_written(lead, writes);
                 Ok(())
@@ -272,7 +276,7 @@
     /// After an error nothing is written for a while.
     fn pause_after(&mut self, error: &StoreError, lead: &Leading, writes: &[PendingWrite]) {
         let now = self.controller.now();
-        if matches!(error, StoreError::Refused(_)) {
+        if matches!(error, StoreError::NotExecuted { .. }) {
             self.not_before = now + REFUSED_PAUSE;
             self.mark_not_written(lead, writes);
         } else {
@@ -290,28 +294,27 @@
     /// Writes that no more jobs are to be accepted (`closed`), or that they are again.
     fn write_gate(&mut self, lead: &Leading, closed: bool) {
         let change = match closed {
-            true => Change::Write {
-                write: FULL_KEY.into(),
-                data: to_value(&true),
-                lease: Some(lead.lease),
-            },
+            true => Change::write_with_lease(FULL_KEY, to_value(&true), lead.lease_id),
             false => Change::delete(FULL_KEY),
         };
-        let guards = [lead.guard.clone(), Guard::new(FULL_KEY, self.gate.revision)];
+        let guards = [
+            lead.guard.clone(),
+            Precondition::new(FULL_KEY, self.gate.revision),
+        ];
         let store = &self.controller.store;
-        match store.transact(&guards, &[change], Urgency::Granted) {
-            Ok(Commit::Done { revision }) => {
+        match store.transact(&guards, &[change], StorePriority::Admitted) {
+            Ok(TransactionOutcome::Committed { revision }) => {
                 let revision = if closed { revision } else { 0 };
                 self.gate.confirm(closed, revision);
             }
-            Ok(Commit::Conflict { failed }) if failed == [FULL_KEY] => {
+            Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
                 // An earlier write without an answer was carried out.
-                if let Ok(row) = store.get(FULL_KEY, Urgency::Normal) {
+                if let Ok(row) = store.get(FULL_KEY, StorePriority::Normal) {
                     let revision = row.as_ref().map_or(0, |row| row.revision);
                     self.gate.confirm(row.is_some(), revision);
                 }
             }
-            Ok(Commit::Conflict { .. }) | Err(StoreError::Refused(_)) => {}
+            Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted { .. }) => {}
             Err(error) => {
                 log::debug!(term = lead.term, error:%; "admission gate not written");
                 self.gate.unconfirmed = Some(closed);
@@ -326,7 +329,7 @@
         self.with_state_of(term, |state| {
             self.apply_all_written(state, writes, revision);
         });
-        self.changed.notify_all();
+        self.state_changed.notify_all();
     }
 
     fn apply_all_written(
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -5,7 +5,7 @@
 use super::{FinalRecord, Job, JobId, Outcome, PendingWrite, PendingWriteKind};
 use crate::invariants::{self, Invariant};
 use crate::scheduler::SchedulerState;
-use crate::state_store::{Change, Guard, to_value};
+use crate::store::{Change, Precondition, to_value};
 use crate::workers::DeliveryStatus;
 
 /// Changes of a retirement beside its done set's chunks: the final record and the job's own.
@@ -102,9 +102,9 @@
     let name = &job.spec.id;
     if job.revisions[0] == 0 {
         // Else a cancellation of this leader that got no answer could stand beside this.
-        guards.push(Guard::new(done_key(name, 0), 0));
+        guards.push(Precondition::new(done_key(name, 0), 0));
     }
-    guards.push(Guard::new(job_key(name), job.job_revision));
+    guards.push(Precondition::new(job_key(name), job.job_revision));
     let record = FinalRecord {
         state: outcome,
         tasks: job.spec.tasks,
@@ -135,10 +135,10 @@
 }
 
 /// Deletes these chunks of a done set, on condition of their revisions.
-fn deletions(job: &Job, chunks: impl IntoIterator<Item = u32>) -> (Vec<Guard>, Vec<Change>) {
+fn deletions(job: &Job, chunks: impl IntoIterator<Item = u32>) -> (Vec<Precondition>, Vec<Change>) {
     let deletion = |chunk: u32| {
         let key = done_key(&job.spec.id, chunk);
-        let guard = Guard::new(key.clone(), job.revisions[chunk as usize]);
+        let guard = Precondition::new(key.clone(), job.revisions[chunk as usize]);
         (guard, Change::delete(key))
     };
     chunks.into_iter().map(deletion).unzip()
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -1,7 +1,7 @@
 //! The jobs that the leader knows.
 
 use super::{Job, JobId};
-use crate::state_store::pages::Pages;
+use crate::store::paged_map::PagedMap;
 use std::collections::{BTreeMap, HashMap};
 
 /// Once full, the table counts as full until its jobs take less than this many tenths of the limit.
@@ -12,7 +12,7 @@
 pub struct JobTable {
     next: u32,
     /// Of each job, below which number its tasks may have started.
-    pub start_watermarks: Pages<u32>,
+    pub start_watermarks: PagedMap<u32>,
     /// The sum of the jobs' [`Job::memory_bytes`].
     memory_bytes: usize,
     /// All jobs, in the order in which this leader learned of them.
@@ -25,7 +25,7 @@
     pub fn new(value_bytes: usize) -> JobTable {
         JobTable {
             next: 0,
-            start_watermarks: Pages::new(value_bytes),
+            start_watermarks: PagedMap::new(value_bytes),
             memory_bytes: 0,
             table: BTreeMap::new(),
             numbers: HashMap::new(),
--- a/src/jobs/write_results.rs
+++ b/src/jobs/write_results.rs
@@ -3,8 +3,8 @@
 use super::records::parse_done_key;
 use super::{FinalWrite, JobId, Outcome, PendingWrite, PendingWriteKind};
 use crate::scheduler::SchedulerState;
-use crate::state_store::Change;
-use crate::state_store::pages::PageImage;
+use crate::store::Change;
+use crate::store::paged_map::PageImage;
 
 impl SchedulerState {
     /// These writes are about to be sent.
@@ -108,7 +108,7 @@
     fn apply_start_watermarks(&mut self, image: &PageImage<u32>, revision: u64) {
         self.jobs
             .start_watermarks
-            .written(image.number, image.version, revision);
+            .mark_written(image.number, image.version, revision);
         for (name, watermark) in &image.entries {
             let Some(id) = self.jobs.find(name) else {
                 continue;
@@ -127,7 +127,7 @@
     fn apply_machine_registry(&mut self, image: &PageImage<u64>, revision: u64) {
         self.provisioning
             .registry
-            .written(image.number, image.version, revision);
+            .mark_written(image.number, image.version, revision);
         for (name, _) in &image.entries {
             if let Some(machine) = self.machines.get_mut(name)
                 && !machine.recorded
--- /dev/null
+++ b/src/leadership/failover.rs
@@ -0,0 +1,109 @@
+//! Failover: a new leader reads the stored state.
+
+use super::leader_lease::LeaderLease;
+use super::leader_term::{LeaseRenewal, LeaseStatus};
+use super::record_loader::{ReadingTime, RecordLoader};
+use crate::controller::Controller;
+use crate::jobs::WATERMARKS_PREFIX;
+use crate::jobs::{DONE_PREFIX, JOBS_PREFIX};
+use crate::provisioning::REGISTRY_PREFIX;
+use crate::scheduler::SchedulerState;
+use crate::store::{RangePage, StorePriority};
+use crate::time::{Micros, Moment};
+
+/// Keys that one request asks for.
+const PAGE_SIZE: usize = 100;
+
+/// The prefixes in the order in which they are read. The machine registry and the start watermarks come first: they
+/// tell which tasks of a job may have started.
+const PREFIXES: [&str; 4] = [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX];
+
+impl Controller {
+    /// Reads all that a leader needs from the store, however long that takes, and renews the lease meanwhile.
+    /// `None` if the lease is lost.
+    pub(super) fn read_stored_state(
+        &self,
+        leader_lease: &LeaderLease,
+        elected_at: Moment,
+        renewal: &mut LeaseRenewal,
+    ) -> Option<SchedulerState> {
+        let mut scheduler = self.initial_state(leader_lease, elected_at);
+        let mut jobs_revision = None;
+        for prefix in PREFIXES {
+            let first_revision = self.read_prefix(prefix, &mut scheduler, renewal)?;
+            if prefix == JOBS_PREFIX {
+                jobs_revision = Some(first_revision);
+            }
+        }
+        scheduler.jobs.drop_stale_watermarks();
+        self.state().jobs_revision = jobs_revision.unwrap_or(leader_lease.revision);
+        Some(scheduler)
+    }
+
+    /// The state of a leader that has read nothing yet.
+    fn initial_state(&self, leader_lease: &LeaderLease, elected_at: Moment) -> SchedulerState {
+        let seed = fastrand::u64(..);
+        let config = self.scheduler_config();
+        let mut scheduler = SchedulerState::new(config, leader_lease.term, elected_at, seed);
+        if let Some(catalog) = self.catalog() {
+            scheduler.provisioning.catalog = catalog.to_vec();
+        }
+        scheduler.wall_at_start = self.os.wall();
+        scheduler.prior_term.older_version_led_at = leader_lease.older_version_led_at;
+        scheduler
+    }
+
+    /// Reads all keys of a prefix. Returns the revision of the first page: a watch since then misses nothing.
+    fn read_prefix(
+        &self,
+        prefix: &str,
+        scheduler: &mut SchedulerState,
+        renewal: &mut LeaseRenewal,
+    ) -> Option<u64> {
+        // Each of two clocks may be off by the allowed skew.
+        let wall_skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
+        let mut first_revision = None;
+        let mut after: Option<String> = None;
+        loop {
+            let page = self.read_page(prefix, after.as_deref(), renewal)?;
+            let first_revision = *first_revision.get_or_insert(page.revision);
+            let time = ReadingTime {
+                now: self.now(),
+                wall: self.os.wall(),
+                wall_skew,
+            };
+            let mut loader = RecordLoader { scheduler, time };
+            for stored in &page.rows {
+                loader.load(prefix, stored);
+            }
+            after = page.rows.last().map(|last| last.key.clone()).or(after);
+            if !page.more {
+                return Some(first_revision);
+            }
+        }
+    }
+
+    /// Reads one page, with as many tries as that takes. `None` if the lease is lost.
+    fn read_page(
+        &self,
+        prefix: &str,
+        after: Option<&str>,
+        renewal: &mut LeaseRenewal,
+    ) -> Option<RangePage> {
+        loop {
+            if self.renew_if_due(renewal) == LeaseStatus::Lost {
+                return None;
+            }
+            let result = self
+                .store
+                .range(prefix, after, PAGE_SIZE, StorePriority::Leadership);
+            match result {
+                Ok(page) => return Some(page),
+                Err(error) => {
+                    log::debug!(prefix, error:%; "stored state not read");
+                    self.pause(100, 300);
+                }
+            }
+        }
+    }
+}
