--- a/src/leadership/record_loader.rs
+++ b/src/leadership/record_loader.rs
@@ -1,7 +1,7 @@
 //! Adding stored records to the state of a new leader.
 
-use crate::jobs::rounds::WATERMARKS_PREFIX;
-use crate::jobs::spec::Submission;
+use crate::jobs::Submission;
+use crate::jobs::WATERMARKS_PREFIX;
 use crate::jobs::{DoneRecord, JOBS_PREFIX};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
@@ -88,7 +88,7 @@
         };
         let record: DoneRecord = decode(stored)?;
         self.scheduler
-            .load_done(id, chunk, &record, stored.revision);
+            .apply_done_record(id, chunk, &record, stored.revision);
         Ok(())
     }
 }
--- a/src/leadership/version_rollback.rs
+++ b/src/leadership/version_rollback.rs
@@ -7,7 +7,7 @@
 use super::leader_record::{LEADER_KEY, LeaderRecord};
 use super::term_counter::{TERM_KEY, TermCounter};
 use crate::jobs::JOBS_PREFIX;
-use crate::jobs::spec::{Shape, Submission};
+use crate::jobs::{JobKind, Submission};
 use crate::store::{
     Change, KeyValue, Precondition, Store, StoreError, StorePriority, TransactionOutcome,
     from_value,
@@ -88,7 +88,7 @@
             .rows
             .iter()
             .filter_map(|stored| from_value::<Submission>(&stored.data));
-        if let Some(job) = submissions.find(|job| job.shape == Shape::Standing) {
+        if let Some(job) = submissions.find(|job| job.kind == JobKind::Standing) {
             return Err(RollbackError::StandingJob(job.id));
         }
         after = page.rows.last().map(|last| last.key.clone());
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -13,20 +13,24 @@
     let mut n = 0;
     while !w.scheduler.is_full(false) {
         n += 1;
-        w.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+        w.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
     }
     w.note(&format!("full after {n} small jobs"));
-    w.scheduler.forget_job("run-1");
+    let retire = |w: &mut World, id: &str| {
+        let job = w.scheduler.jobs.find(id).unwrap();
+        w.scheduler.forget_job(job);
+    };
+    retire(&mut w, "run-1");
     let states = (w.scheduler.is_full(false), w.scheduler.is_full(true));
     w.note(&format!(
         "one less: full {states:?} if it was not, if it was"
     ));
     for n in 2..=8 {
-        w.scheduler.forget_job(&format!("run-{n}"));
+        retire(&mut w, &format!("run-{n}"));
     }
     let full = w.scheduler.is_full(true);
     w.note(&format!("a tenth less: full {full}"));
-    w.job(submission("run-999", |s| s.pieces = 100_000));
+    w.job(submission("run-999", |s| s.tasks = 100_000));
     let full = w.scheduler.is_full(false);
     w.note(&format!("one of 100,000 tasks more: full {full}"));
     for n in 1..=3 {
@@ -53,14 +57,20 @@
 /// late one would undo it, and nobody would accept anything for as long as this leader leads.
 #[test]
 fn the_mark_of_being_full_is_never_in_doubt_for_long() {
-    let mut mark = aspenreel::jobs::edge::Fullness::default();
-    assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
+    let mut mark = aspenreel::jobs::AdmissionGate::default();
+    assert_eq!(
+        (mark.next_write(false), mark.next_write(true)),
+        (None, Some(true))
+    );
     mark.unconfirmed = Some(true);
-    assert_eq!(mark.next(false), Some(true));
-    mark.known(true, 7);
-    assert_eq!((mark.next(true), mark.next(false)), (None, Some(false)));
+    assert_eq!(mark.next_write(false), Some(true));
+    mark.confirm(true, 7);
+    assert_eq!(
+        (mark.next_write(true), mark.next_write(false)),
+        (None, Some(false))
+    );
     mark.unconfirmed = Some(false);
-    assert_eq!(mark.next(true), Some(false));
-    mark.known(false, 0);
-    assert_eq!((mark.next(false), mark.revision), (None, 0));
+    assert_eq!(mark.next_write(true), Some(false));
+    mark.confirm(false, 0);
+    assert_eq!((mark.next_write(false), mark.revision), (None, 0));
 }
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -1,7 +1,7 @@
 //! Machines are rented and returned.
 
 use crate::trace::{World, at, decimal, one_team, submission};
-use aspenreel::jobs::spec::Shape;
+use aspenreel::jobs::JobKind;
 use aspenreel::provisioning::RentalResult;
 use aspenreel::settings::Objective;
 use insta::assert_snapshot;
@@ -34,9 +34,9 @@
 fn renting() {
     let mut w = World::new(4, one_team());
     w.job(submission("run-1", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.yard = Some("west".into());
+        s.zone = Some("west".into());
     }));
     w.rentals();
     w.at(1.0).list(&[]).rentals();
@@ -48,8 +48,8 @@
     w.at(2.0).rentals();
     w.at(3.0).job(submission("run-2", |s| {
         s.cpus = decimal(8.0);
-        s.pieces = 1;
-        s.loaners = false;
+        s.tasks = 1;
+        s.spot = false;
     }));
     w.rentals();
     w.scheduler
@@ -90,7 +90,7 @@
         w.heartbeat(name, &[]);
     }
     w.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.spread = true;
     }));
     w.on_timer(1.0).bound();
@@ -130,10 +130,10 @@
     w.at(6.0).rentals();
     for n in 1..4 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.shape = Shape::Standing;
-            s.lane = "portal".into();
-            s.loaners = false;
-            s.pieces = 1;
+            s.kind = JobKind::Standing;
+            s.class = "portal".into();
+            s.spot = false;
+            s.tasks = 1;
         }));
     }
     w.on_timer(7.0).bound().rentals();
