--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -17,3 +17,5 @@
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// The largest accepted number of header fields in a head.
 const MAX_HEADER_FIELDS: usize = 48;
+/// Stack size, in bytes, of a thread that answers requests. Only the pages that are touched cost memory.
+pub const THREAD_STACK_BYTES: usize = 256 * 1024;
--- a/src/http/server/acceptor.rs
+++ b/src/http/server/acceptor.rs
@@ -1,8 +1,7 @@
 //! Takes new connections from the listening socket's backlog.
 
-use super::connection::ConnectionId;
 use super::connection_table::ConnectionTable;
-use super::poll_sets::FIRST_CONNECTION_ID;
+use super::poll_sets::{ConnectionId, FIRST_CONNECTION_ID};
 use std::io::{ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- a/src/http/server/connection.rs
+++ b/src/http/server/connection.rs
@@ -3,16 +3,12 @@
 //! At any time a connection's state has one owner: the [connection table](super::connection_table) while
 //! the connection is parked, or the thread that works on it, as an [`ActiveConnection`].
 
-use super::poll_sets::Interest;
+use super::poll_sets::{ConnectionId, Interest};
 use crate::http::handler::RequestPriority;
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Identifies a connection for as long as the server runs; ids are not used again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct ConnectionId(pub(super) u64);
-
 /// Buffers and deadlines of a connection.
 #[derive(Default)]
 pub(super) struct ConnectionState {
--- a/src/http/server/connection_table.rs
+++ b/src/http/server/connection_table.rs
@@ -1,8 +1,9 @@
 //! All open connections of a server: which are parked, what they buffer, and when they expire.
 
-use super::connection::{ActiveConnection, Connection, ConnectionId, ConnectionState};
-use super::poll_sets::{Interest, PollSets};
-use super::{ServerLimits, lock};
+use super::connection::{ActiveConnection, Connection, ConnectionState};
+use super::limits::ServerLimits;
+use super::mutex::lock;
+use super::poll_sets::{ConnectionId, Interest, PollSets};
 use crate::http::handler::RequestPriority;
 use rustix::io::Errno;
 use std::collections::HashMap;
--- a/src/http/server/event_loop.rs
+++ b/src/http/server/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: polls both sets, serves what is ready, and closes expired connections.
 
-use super::Server;
 use super::acceptor::Acceptor;
+use super::exchange::Server;
 use super::poll_sets::{EventSource, connection_of};
 use crate::http::handler::RequestPriority;
 use rustix::event::Timespec;
--- a/src/http/server/exchange.rs
+++ b/src/http/server/exchange.rs
@@ -3,12 +3,15 @@
 //! Methods that return an `Option<ActiveConnection>` return the connection if the caller goes on with it,
 //! and `None` if it was parked, closed or passed to the thread pool.
 
-use super::Server;
-use super::connection::{ActiveConnection, ConnectionId};
+use super::connection::ActiveConnection;
+use super::connection_table::ConnectionTable;
+use super::poll_sets::ConnectionId;
 use super::response_encoder::encode_response;
+use super::thread_pool::{QueuedRequest, ThreadPool};
+use crate::http::handler::Handler;
 use crate::http::message::{Request, Response};
 use crate::http::request_parser::{ParseOutcome, ParsedRequest, next_request};
-use crate::os::Os;
+use crate::os::{Os, System};
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 use std::panic::AssertUnwindSafe;
@@ -22,15 +25,23 @@
 
 /// Runs a handler; `None` if it panicked. A fault in the code of one request must not end a thread that
 /// serves all connections.
-pub(super) fn catch_panic<T>(handle: impl FnOnce() -> T) -> Option<T> {
+fn catch_panic<T>(handle: impl FnOnce() -> T) -> Option<T> {
     std::panic::catch_unwind(AssertUnwindSafe(handle)).ok()
 }
 
 /// The response where the server can't give the handler's.
-pub(super) fn unavailable() -> Response {
+fn unavailable() -> Response {
     Response::busy(RETRY_AFTER_S)
 }
 
+/// What the event loop and the thread pool share.
+pub(super) struct Server {
+    pub(super) handler: Arc<dyn Handler>,
+    pub(super) os: Arc<System>,
+    pub(super) connections: ConnectionTable,
+    pub(super) pool: ThreadPool,
+}
+
 impl Server {
     /// Goes on with a connection whose socket is ready.
     pub(super) fn serve_ready(self: &Arc<Self>, id: ConnectionId) {
@@ -67,7 +78,7 @@
     }
 
     /// Answers the complete requests of the read buffer, one after the other, and parks the connection.
-    pub(super) fn process_requests(self: &Arc<Self>, mut connection: ActiveConnection) {
+    fn process_requests(self: &Arc<Self>, mut connection: ActiveConnection) {
         loop {
             let processed = match next_request(&mut connection.state.read_buffer) {
                 ParseOutcome::Incomplete => return self.connections.park(connection),
@@ -100,7 +111,14 @@
         let response = match catch_panic(|| self.handler.handle_without_blocking(request)) {
             Some(Ok(response)) => response,
             Some(Err(request)) => {
-                connection = self.enqueue(connection, request, close)?;
+                let queued = QueuedRequest {
+                    connection,
+                    request,
+                    close,
+                };
+                let server = self.clone();
+                let run_thread = move || server.run_pool_thread();
+                connection = self.pool.enqueue(queued, run_thread)?;
                 unavailable()
             }
             None => unavailable(),
@@ -108,6 +126,22 @@
         self.send_response(connection, response, close)
     }
 
+    /// Answers queued requests until the thread was idle for long enough.
+    fn run_pool_thread(self: &Arc<Self>) {
+        while let Some(queued) = self.pool.next_request() {
+            let QueuedRequest {
+                connection,
+                request,
+                close,
+            } = queued;
+            let handled = catch_panic(|| self.handler.handle(request));
+            let response = handled.unwrap_or_else(unavailable);
+            if let Some(connection) = self.send_response(connection, response, close) {
+                self.process_requests(connection);
+            }
+        }
+    }
+
     fn update_priority(&self, connection: &mut ActiveConnection, request: &Request) {
         let priority = self.handler.priority(request);
         if priority != connection.priority {
@@ -118,7 +152,7 @@
 
     /// Encodes a response and sends as much of it as the socket accepts. A response that is not valid any
     /// more is replaced by status 503.
-    pub(super) fn send_response(
+    fn send_response(
         &self,
         mut connection: ActiveConnection,
         response: Response,
--- a/src/http/server/mod.rs
+++ b/src/http/server/mod.rs
@@ -21,7 +21,8 @@
 //! | `poll_sets` | the two epoll sets |
 //! | `exchange` | reads requests and writes responses on one connection |
 //! | `response_encoder` | the bytes of a response |
-//! | `thread_pool` | threads for requests that may block |
+//! | `thread_pool` | threads for requests that may block, and their queue |
+//! | `limits`, `mutex` | what the others share |
 
 #![warn(missing_docs)]
 
@@ -30,45 +31,26 @@
 mod connection_table;
 mod event_loop;
 mod exchange;
+mod limits;
+mod mutex;
 mod poll_sets;
 mod response_encoder;
 mod thread_pool;
 
 pub use super::handler::{Handler, RequestPriority};
 pub use super::message::{Request, Response};
+pub use limits::ServerLimits;
 
 use crate::os::System;
 use connection_table::ConnectionTable;
 use event_loop::EventLoop;
+use exchange::Server;
 use poll_sets::PollSets;
 use std::net::TcpListener;
+use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
-use std::sync::{Arc, Mutex, MutexGuard};
 use thread_pool::ThreadPool;
 
-/// Stack size, in bytes, of a thread that answers requests. Only the pages that are touched cost memory.
-pub const THREAD_STACK_BYTES: usize = 256 * 1024;
-
-/// Bounds on what a server holds at the same time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerLimits {
-    /// Open connections. Further ones get status 503 and are closed.
-    pub max_connections: usize,
-    /// Threads of the thread pool, which may block in place of the event loop.
-    pub max_pool_threads: usize,
-    /// Bytes of incomplete requests and of unsent responses; separately, of the bodies of requests
-    /// that wait for a pool thread.
-    pub max_buffered_bytes: usize,
-}
-
-/// What the event loop and the thread pool share.
-struct Server {
-    handler: Arc<dyn Handler>,
-    os: Arc<System>,
-    connections: ConnectionTable,
-    pool: ThreadPool,
-}
-
 /// Serves `listener` until polling fails; otherwise it never returns.
 ///
 /// The calling thread becomes the event loop. Connections beyond the limit get status 503 with a
@@ -96,11 +78,3 @@
     };
     EventLoop::new(Arc::new(server), listener).run()
 }
-
-/// Locks `mutex`, also after another thread panicked while holding it: no holder leaves the guarded
-/// value half changed.
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex
-        .lock()
-        .unwrap_or_else(|poisoned| poisoned.into_inner())
-}
--- a/src/http/server/poll_sets.rs
+++ b/src/http/server/poll_sets.rs
@@ -1,6 +1,5 @@
 //! The two epoll sets of a server: one for connections of normal priority, one for low priority.
 
-use super::connection::ConnectionId;
 use crate::http::handler::RequestPriority;
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -15,6 +14,10 @@
 /// Event data from here on are ids of connections.
 pub(super) const FIRST_CONNECTION_ID: ConnectionId = ConnectionId(2);
 
+/// Identifies a connection for as long as the server runs; ids are not used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct ConnectionId(pub(super) u64);
+
 /// What a connection waits for in its poll set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interest {
--- a/src/http/server/thread_pool.rs
+++ b/src/http/server/thread_pool.rs
@@ -4,11 +4,12 @@
 //! [`THREAD_IDLE_TIMEOUT`]. The queue is bounded in requests and in bytes.
 
 use super::connection::ActiveConnection;
-use super::exchange::{catch_panic, unavailable};
-use super::{Server, ServerLimits, THREAD_STACK_BYTES, lock};
+use super::limits::ServerLimits;
+use super::mutex::lock;
+use crate::http::THREAD_STACK_BYTES;
 use crate::http::message::Request;
 use std::collections::VecDeque;
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
 /// A pool thread without a request ends after this time.
@@ -19,11 +20,11 @@
 const THREAD_NAME: &str = "http-pool";
 
 /// A request that waits for a thread, with the connection that it came on.
-struct QueuedRequest {
-    connection: ActiveConnection,
-    request: Request,
+pub(super) struct QueuedRequest {
+    pub(super) connection: ActiveConnection,
+    pub(super) request: Request,
     /// The connection is closed after the response.
-    close: bool,
+    pub(super) close: bool,
 }
 
 /// What the pool's lock guards.
@@ -66,6 +67,30 @@
         }
     }
 
+    /// Queues a request. A new thread that does `run_thread` is started if no idle one is there and the
+    /// limit allows it. Returns the connection if the queue is full or the pool has no thread.
+    pub(super) fn enqueue(
+        &self,
+        queued: QueuedRequest,
+        run_thread: impl FnOnce() + Send + 'static,
+    ) -> Option<ActiveConnection> {
+        {
+            let mut state = lock(&self.state);
+            if !self.has_space(&state, queued.request.body.len()) {
+                return Some(queued.connection);
+            }
+            if self.needs_thread(&state) {
+                start_thread(&mut state, run_thread);
+            }
+            if state.threads == 0 {
+                return Some(queued.connection);
+            }
+            state.push(queued);
+        }
+        self.request_queued.notify_one();
+        None
+    }
+
     /// Whether a request with a body of `body_bytes` may join the queue. The first one always fits in
     /// bytes.
     fn has_space(&self, state: &PoolState, body_bytes: usize) -> bool {
@@ -82,7 +107,7 @@
 
     /// Waits for a request. `None` if none came within the idle timeout: the thread, which is no longer
     /// counted, must end.
-    fn next_request(&self) -> Option<QueuedRequest> {
+    pub(super) fn next_request(&self) -> Option<QueuedRequest> {
         let mut state = lock(&self.state);
         loop {
             if let Some(queued) = state.pop() {
@@ -111,61 +136,13 @@
     }
 }
 
-impl Server {
-    /// Queues a request for the thread pool. Returns the connection if the queue is full or no thread
-    /// can be started.
-    pub(super) fn enqueue(
-        self: &Arc<Self>,
-        connection: ActiveConnection,
-        request: Request,
-        close: bool,
-    ) -> Option<ActiveConnection> {
-        {
-            let mut state = lock(&self.pool.state);
-            if !self.pool.has_space(&state, request.body.len()) {
-                return Some(connection);
-            }
-            if self.pool.needs_thread(&state) {
-                self.start_pool_thread(&mut state);
-            }
-            if state.threads == 0 {
-                return Some(connection);
-            }
-            state.push(QueuedRequest {
-                connection,
-                request,
-                close,
-            });
-        }
-        self.pool.request_queued.notify_one();
-        None
-    }
-
-    fn start_pool_thread(self: &Arc<Self>, state: &mut PoolState) {
-        let server = self.clone();
-        let thread = std::thread::Builder::new()
-            .name(THREAD_NAME.to_string())
-            .stack_size(THREAD_STACK_BYTES)
-            .spawn(move || server.run_pool_thread());
-        match thread {
-            Ok(_) => state.threads += 1,
-            Err(error) => log::info!(error:%; "pool thread not started"),
-        }
-    }
-
-    /// Answers queued requests until the thread was idle for long enough.
-    fn run_pool_thread(self: &Arc<Self>) {
-        while let Some(queued) = self.pool.next_request() {
-            let QueuedRequest {
-                connection,
-                request,
-                close,
-            } = queued;
-            let handled = catch_panic(|| self.handler.handle(request));
-            let response = handled.unwrap_or_else(unavailable);
-            if let Some(connection) = self.send_response(connection, response, close) {
-                self.process_requests(connection);
-            }
-        }
+fn start_thread(state: &mut PoolState, run_thread: impl FnOnce() + Send + 'static) {
+    let thread = std::thread::Builder::new()
+        .name(THREAD_NAME.to_string())
+        .stack_size(THREAD_STACK_BYTES)
+        .spawn(run_thread);
+    match thread {
+        Ok(_) => state.threads += 1,
+        Err(error) => log::info!(error:%; "pool thread not started"),
     }
 }
--- a/src/leadership/peer.rs
+++ b/src/leadership/peer.rs
@@ -273,7 +273,7 @@
         open.fetch_add(1, Ordering::Relaxed);
         let (answer, count) = (answer.clone(), open.clone());
         let spawned = std::thread::Builder::new()
-            .stack_size(crate::http::server::THREAD_STACK_BYTES)
+            .stack_size(crate::http::THREAD_STACK_BYTES)
             .spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(120)));
