--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -1,8 +1,8 @@
 //! Handing leadership over: the record, the transaction, and what candidates read of it.
 
 use crate::controller::Controller;
-use crate::leadership::{HINT_KEY, LEADER_KEY, LeaderLease};
-use crate::state_store::{Change, Urgency, from_value, to_value};
+use crate::leadership::{LEADER_KEY, LeaderLease, PREFERRED_ZONE_KEY};
+use crate::store::{Change, StorePriority, from_value, to_value};
 use crate::time::Micros;
 use aspenreel_link_health::election::Candidate;
 use aspenreel_link_health::handover::{HandoverPlanner, HandoverReason, HandoverRecord};
@@ -19,14 +19,17 @@
 impl Controller {
     /// The last handover on record; `None` also if it can't be read.
     fn last_handover(&self) -> Option<HandoverRecord> {
-        let row = self.store.get(HANDOVER_KEY, Urgency::LeaderLease).ok()??;
+        let row = self
+            .store
+            .get(HANDOVER_KEY, StorePriority::Leadership)
+            .ok()??;
         from_value(&row.data)
     }
 
     /// A planner for a term that begins, where links are watched.
     pub fn new_handover_planner(&self) -> Option<HandoverPlanner> {
         self.link_health.as_ref()?;
-        let last = match self.store.get(HANDOVER_KEY, Urgency::LeaderLease) {
+        let last = match self.store.get(HANDOVER_KEY, StorePriority::Leadership) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
             // Assume that the last one was just now, so that the pause is surely kept.
             Err(_) => Some(HandoverRecord {
@@ -74,10 +77,10 @@
             Change::delete(LEADER_KEY),
         ];
         // Controllers that don't watch their links read only the preferred zone.
-        changes.extend(silent_zone.map(|zone| Change::write(HINT_KEY, to_value(&zone))));
+        changes.extend(silent_zone.map(|zone| Change::write(PREFERRED_ZONE_KEY, to_value(&zone))));
         match self
             .store
-            .transact(&[lease.guard()], &changes, Urgency::LeaderLease)
+            .transact(&[lease.precondition()], &changes, StorePriority::Leadership)
         {
             Ok(_) => log::info!(term = lease.term; "handover recorded"),
             Err(error) => log::info!(term = lease.term, error:%; "handover not recorded"),
--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -15,8 +15,6 @@
 
 /// The time between two drains of the observations.
 const INTERVAL: Micros = Micros::from_millis(250);
-/// For how long a leader that handed over doesn't campaign.
-const ABSTAIN: Micros = Micros::from_secs(40);
 
 impl Controller {
     /// Keeps the states of the links and acts on them for as long as the process lives.
@@ -43,14 +41,14 @@
         };
         self.begin_handover_if_due(link_health, &mut state, reachability, now);
         let report = link_health.report(&mut state, now);
-        let stepping_down = state.step_down;
+        let stepping_down = state.step_down_requested;
         drop(state);
         link_health.publish(report);
         for change in changes {
             log_change(&change);
         }
         if reopened || stepping_down {
-            self.changed.notify_all();
+            self.state_changed.notify_all();
         }
     }
 
@@ -72,8 +70,7 @@
             "handover begins"
         );
         state.handover = Some(record);
-        state.step_down = true;
-        state.abstain_until = now + ABSTAIN;
+        state.step_down_for_others(now);
     }
 
     /// The record of the handover that is due now, if this controller leads and one is.
@@ -84,7 +81,7 @@
         reachability: Reachability,
         now: Moment,
     ) -> Option<HandoverRecord> {
-        let (lease, scheduler) = state.acting(now)?;
+        let (lease, scheduler) = state.acting_leader(now)?;
         let (term, wall) = (lease.term, self.os.wall());
         let silent_near_unreached =
             link_health.silent_near_unreached(&scheduler.silent_by_zone(now));
@@ -116,7 +113,7 @@
     refused_workers: u32,
     now: Moment,
 ) -> Reachability {
-    match state.acting(now) {
+    match state.acting_leader(now) {
         Some((_, scheduler)) => scheduler.reachability_both_ways(now),
         None => Reachability {
             reachable: refused_workers,
@@ -155,7 +152,7 @@
     }
 
     fn report(&self, state: &mut ControllerState, now: Moment) -> LinkReport {
-        let leads = state.acting(now).is_some();
+        let leads = state.acting_leader(now).is_some();
         let leader = state.known_leader.as_ref();
         let tracker = lock(&self.tracker);
         let peer_views = lock(&self.peer_views);
