--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -3,10 +3,10 @@
 use crate::html::{Block, Page, Table};
 use crate::plot::{GroupedBars, PlotError};
 use crate::statistics::{Distribution, figure};
-use aspenreel_simulation::cuts::{End, Way};
-use aspenreel_simulation::plans::{cancel_soon, every_other, jobs};
-use aspenreel_simulation::play::play_seeds;
-use aspenreel_simulation::world::{Setup, Summary, World};
+use aspenreel_simulation::directions::{End, Way};
+use aspenreel_simulation::run::play_seeds;
+use aspenreel_simulation::simulation::{Setup, Summary, World};
+use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
 use std::sync::Arc;
 
 /// The trouble begins then, and lasts for so long.
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,7 +1,7 @@
 //! The protocol's rules, as somebody sees them who only knows what users were told and what is on
 //! machines. It knows nothing of what controllers hold in memory or on record.
 
-use crate::sched::{Time, secs};
+use crate::scheduler::{Time, secs};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a user submits, as far as the rules and the machines need it.
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,8 +1,8 @@
 //! The cloud, as the protocol's page tells of it: its catalog, rentals, returns and lists.
 
-use crate::machines::{LISTED_AFTER_DEATH_S, Machine};
-use crate::sched::{Time, secs};
-use crate::world::{CLOUD_RPS, World};
+use crate::scheduler::{Time, secs};
+use crate::simulation::{CLOUD_RPS, World};
+use crate::worker_agents::{LISTED_AFTER_DEATH_S, Machine};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::Request;
 use ciborium::{Value, cbor};
--- a/crates/simulation/src/held.rs
+++ b/crates/simulation/src/delayed_commands.rs
@@ -1,7 +1,7 @@
 //! Direct commands that the network holds back for long, while heartbeats go their way.
 
-use crate::sched::{Time, secs};
-use crate::world::World;
+use crate::scheduler::{Time, secs};
+use crate::simulation::World;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/simulation/src/cuts.rs
+++ b/crates/simulation/src/directions.rs
@@ -1,7 +1,7 @@
 //! Directed cuts: what one end sends doesn't reach the other, while the way back may be open.
 
-use crate::sched::{Time, secs};
-use crate::world::{State, World};
+use crate::scheduler::{Time, secs};
+use crate::simulation::{State, World};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/simulation/src/trouble.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -1,7 +1,7 @@
 //! Days of troubles drawn by a seed.
 
 use crate::checker::JobPlan;
-use crate::world::World;
+use crate::simulation::World;
 use std::sync::Arc;
 
 /// How long jobs come and troubles begin, in seconds.
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,6 +1,6 @@
 //! What the controllers of the model log, with simulated time, when `MODEL_LOG` asks for it.
 
-use crate::sched::Sched;
+use crate::scheduler::Sched;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::sync::{Arc, Mutex, Weak};
 
@@ -14,7 +14,9 @@
     }
 
     fn log(&self, record: &Record) {
-        let now = crate::sched::lock(&self.0).upgrade().map_or(0, |s| s.now());
+        let now = crate::scheduler::lock(&self.0)
+            .upgrade()
+            .map_or(0, |s| s.now());
         let text = aspenreel::logging::Event(record);
         eprintln!("{:>9.3} {text}", now as f64 / 1e6);
     }
@@ -33,5 +35,5 @@
         LevelFilter::Info
     });
     let _ = log::set_logger(&LINES);
-    *crate::sched::lock(&LINES.0) = Arc::downgrade(sched);
+    *crate::scheduler::lock(&LINES.0) = Arc::downgrade(sched);
 }
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/network.rs
@@ -1,10 +1,10 @@
 //! What a controller of the model takes for its operating system, and the ways between all of them.
 
-use crate::cuts::End;
-use crate::keys::Watch;
-use crate::sched::{Time, lock};
+use crate::directions::End;
+use crate::fake_store::Watch;
+use crate::scheduler::{Time, lock};
+use crate::simulation::World;
 use crate::transcript::Channel;
-use crate::world::World;
 use aspenreel::http::client::{CallError, ClientResponse, ResponseError};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
--- a/crates/simulation/src/older.rs
+++ b/crates/simulation/src/older_version.rs
@@ -2,9 +2,9 @@
 //! it: it raises the term in the form that it knows, drops the claims of jobs that it can't read, and writes
 //! pages as large as values may be before the limits are lowered.
 
-use crate::keys::Keys;
-use crate::sched::secs;
-use crate::world::World;
+use crate::fake_store::Keys;
+use crate::scheduler::secs;
+use crate::simulation::World;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::state_store::pages::PAGE_ENTRIES;
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/run.rs
@@ -1,7 +1,7 @@
 //! Plays a plan on many seeds at once.
 
-use crate::sched;
-use crate::world::{Setup, Summary, World};
+use crate::scheduler;
+use crate::simulation::{Setup, Summary, World};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
@@ -14,7 +14,7 @@
 impl Permit {
     fn wait() -> Permit {
         let most = std::thread::available_parallelism().map_or(2, |n| n.get());
-        let mut played = sched::lock(&PERMITS_TAKEN);
+        let mut played = scheduler::lock(&PERMITS_TAKEN);
         while *played >= most {
             played = PERMIT_RETURNED
                 .wait(played)
@@ -27,7 +27,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        *sched::lock(&PERMITS_TAKEN) -= 1;
+        *scheduler::lock(&PERMITS_TAKEN) -= 1;
         PERMIT_RETURNED.notify_one();
     }
 }
@@ -71,12 +71,12 @@
                     let w = World::new(*seed, setup.clone());
                     plan(&w, &mut fastrand::Rng::with_seed(*seed));
                     let end = w.finish();
-                    sched::lock(&ends).push((*seed, end));
+                    scheduler::lock(&ends).push((*seed, end));
                 }
             });
         }
     });
-    let mut ends = std::mem::take(&mut *sched::lock(&ends));
+    let mut ends = std::mem::take(&mut *scheduler::lock(&ends));
     ends.sort_by_key(|(seed, _)| *seed);
     ends.into_iter().map(|(_, end)| end).collect()
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/simulation.rs
@@ -2,14 +2,14 @@
 
 use crate::checker::{Checker, JobPlan};
 use crate::cloud::Cloud;
-use crate::cuts::Cuts;
-use crate::held::HeldCommands;
-use crate::keys::Keys;
-use crate::machines::Machine;
-use crate::net::SimOs;
-use crate::sched::{Sched, Time, lock, secs};
+use crate::delayed_commands::HeldCommands;
+use crate::directions::Cuts;
+use crate::fake_store::Keys;
+use crate::network::SimOs;
+use crate::scheduler::{Sched, Time, lock, secs};
 use crate::transcript::{Channel, Transcript};
 use crate::users::UserJob;
+use crate::worker_agents::Machine;
 use aspenreel::cli::{Cli, Command};
 use aspenreel::controller::Controller;
 use aspenreel::http::cbor::encode;
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -3,8 +3,8 @@
 //! Written from the published protocol, as small as the tests allow.
 
 use crate::cloud::page_of;
-use crate::keys::{Answer, Keys, Watch};
-use crate::worker::{Ground, Worker, WorkerWays};
+use crate::fake_store::{Answer, Keys, Watch};
+use crate::stand_ins::worker::{Ground, Worker, WorkerWays};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::{Handler, Request, Response, ServerLimits, serve};
 use ciborium::{Value, cbor};
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -3,11 +3,11 @@
 //! The checker of the model watches the rules from what users are told and what workers do.
 
 use crate::checker::{Checker, Question, Told};
-use crate::cuts::{End, Way};
-use crate::processes::{Addresses, CANCEL_S, Nodes, Site, leader};
-use crate::relay::{Relay, Traffic};
-use crate::servers::{Cloud, State};
-use crate::worker::History;
+use crate::directions::{End, Way};
+use crate::stand_ins::cloud_server::{Cloud, State};
+use crate::stand_ins::processes::{Addresses, CANCEL_S, Nodes, Site, leader};
+use crate::stand_ins::relay::{Relay, Traffic};
+use crate::stand_ins::worker::History;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/simulation/src/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -1,8 +1,8 @@
 //! Users of controllers on loopback.
 
 use crate::checker::{Checker, JobPlan, Question};
-use crate::loopback::{LoopbackCluster, NODES, TASK_MS};
-use crate::processes::job;
+use crate::stand_ins::loopback_cluster::{LoopbackCluster, NODES, TASK_MS};
+use crate::stand_ins::processes::job;
 use std::time::{Duration, Instant};
 
 /// What users want done at once.
--- /dev/null
+++ b/crates/simulation/src/stand_ins/mod.rs
@@ -0,0 +1,8 @@
+//! Stand-ins for real processes: what real controllers on loopback talk to, and the processes themselves.
+
+pub mod cloud_server;
+pub mod loopback_cluster;
+pub mod loopback_users;
+pub mod processes;
+pub mod relay;
+pub mod worker;
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/stand_ins/processes.rs
@@ -1,6 +1,6 @@
 //! Real controller processes on loopback.
 
-use crate::servers::State;
+use crate::stand_ins::cloud_server::State;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::state_store::from_value;
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -1,8 +1,8 @@
 //! A worker on loopback, as the protocol's page tells of it, and what all workers share.
 
 use crate::checker::{Checker, Place};
-use crate::machines::foreman_of;
-use crate::processes::LEASE_S;
+use crate::stand_ins::processes::LEASE_S;
+use crate::worker_agents::foreman_of;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,8 +1,8 @@
 //! Users: they submit, ask, cancel and repeat themselves, at any node.
 
 use crate::checker::{JobPlan, Question, Told};
-use crate::sched::{Time, secs};
-use crate::world::World;
+use crate::scheduler::{Time, secs};
+use crate::simulation::World;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::Request;
 use ciborium::cbor;
@@ -80,7 +80,7 @@
         let (first, id) = (then.clone(), id.to_string());
         let late = id.clone();
         self.ask_node(n, request, move |w, response| {
-            let Some(then) = crate::sched::lock(&first).take() else {
+            let Some(then) = crate::scheduler::lock(&first).take() else {
                 return;
             };
             let Some(response) = response else {
@@ -111,7 +111,7 @@
             then(w, Some(told));
         });
         self.after(patience, move |w| {
-            if let Some(then) = crate::sched::lock(&then).take() {
+            if let Some(then) = crate::scheduler::lock(&then).take() {
                 w.state().checker.in_vain(&late, question, sent, w.now());
                 then(w, None);
             }
--- a/crates/simulation/src/machines.rs
+++ b/crates/simulation/src/worker_agents.rs
@@ -1,9 +1,9 @@
 //! Machines and their workers, as the protocol's page tells of them.
 
 use crate::checker::{JobPlan, Place};
-use crate::cuts::End;
-use crate::sched::{Time, secs};
-use crate::world::{LEASE_S, REPORT_S, State, World};
+use crate::directions::End;
+use crate::scheduler::{Time, secs};
+use crate::simulation::{LEASE_S, REPORT_S, State, World};
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
 use aspenreel::workers::wire::{
--- a/crates/simulation/src/plans.rs
+++ b/crates/simulation/src/workloads.rs
@@ -1,7 +1,7 @@
 //! What the plans of many tests share: jobs, and users that look closely or cancel.
 
 use crate::checker::{JobPlan, Told};
-use crate::world::{Setup, World};
+use crate::simulation::{Setup, World};
 use std::sync::Arc;
 
 pub const SEEDS: u64 = 8;
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,7 +1,7 @@
 //! Each rule of the checker has a case in which it fires.
 
 use aspenreel_simulation::checker::*;
-use aspenreel_simulation::sched::secs;
+use aspenreel_simulation::scheduler::secs;
 
 fn place(machine: &str, zone: &str) -> Place {
     Place {
--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -1,6 +1,6 @@
 //! The controllers' processes: killed, paused and started again, none left behind.
 
-use aspenreel_simulation::processes::spawn_with;
+use aspenreel_simulation::stand_ins::processes::spawn_with;
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
 use std::io::Read;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -2,11 +2,11 @@
 
 use crate::controllers::{self, Controllers, Launch};
 use crate::schedule::{Planned, Schedule, Target, Trouble};
-use aspenreel_simulation::cuts::Way;
-use aspenreel_simulation::loopback::{LoopbackCluster, NODES};
-use aspenreel_simulation::loopback_users::{Demand, Users};
-use aspenreel_simulation::processes::{CANCEL_S, Site};
-use aspenreel_simulation::relay::Traffic;
+use aspenreel_simulation::directions::Way;
+use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
+use aspenreel_simulation::stand_ins::loopback_users::{Demand, Users};
+use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Site};
+use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,6 +1,6 @@
 //! Which troubles come when, drawn by a seed.
 
-use aspenreel_simulation::relay::Traffic;
+use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::fmt;
 use std::time::Duration;
 
--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -1,8 +1,8 @@
 //! Controllers of the program under test.
 
-use aspenreel_simulation::processes::spawn_with;
-pub use aspenreel_simulation::processes::{Addresses, Answer, Nodes, Site, job, leader};
-use aspenreel_simulation::servers::{Cloud, State};
+use aspenreel_simulation::stand_ins::cloud_server::{Cloud, State};
+use aspenreel_simulation::stand_ins::processes::spawn_with;
+pub use aspenreel_simulation::stand_ins::processes::{Addresses, Answer, Nodes, Site, job, leader};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Stdio};
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -4,10 +4,10 @@
 //! A change of behavior changes them too. Then the kept file is written anew, in the commit that says what else
 //! the controllers do now.
 
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::trouble;
-use aspenreel_simulation::world::{CANCEL_S, Setup, Summary};
+use aspenreel_simulation::drawn_faults;
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{CANCEL_S, Setup, Summary};
+use aspenreel_simulation::workloads::*;
 use std::fmt::Write;
 
 const SEEDS_OF_EACH: u64 = 3;
@@ -28,7 +28,7 @@
 }
 
 fn drawn_troubles() -> String {
-    let ends = play(SEEDS_OF_EACH, &setup(), trouble::draw);
+    let ends = play(SEEDS_OF_EACH, &setup(), drawn_faults::draw);
     lines("drawn troubles", &ends)
 }
 
@@ -38,7 +38,7 @@
         flags: |_| &["--half-cut-links"],
         ..setup()
     };
-    let ends = play(SEEDS_OF_EACH, &site, trouble::draw);
+    let ends = play(SEEDS_OF_EACH, &site, drawn_faults::draw);
     lines("drawn troubles with watched links", &ends)
 }
 
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -1,8 +1,8 @@
 //! A site with more than four thousand machines.
 
 use aspenreel_simulation::checker::JobPlan;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::{Setup, World};
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{Setup, World};
 use std::sync::Arc;
 
 const MACHINES_IN_ZONE: usize = 2100;
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -2,10 +2,10 @@
 //! and then, in clusters whose controllers watch their links.
 
 use aspenreel_simulation::checker::{JobPlan, Question};
-use aspenreel_simulation::cuts::{End, Way};
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::{LEASE_S, Setup, Summary, World};
+use aspenreel_simulation::directions::{End, Way};
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{LEASE_S, Setup, Summary, World};
+use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
 const WATCHING: fn(usize) -> &'static [&'static str] = |_| &["--half-cut-links"];
@@ -473,7 +473,7 @@
 fn any_troubles_and_directed_cuts() {
     for nodes in [3, 5] {
         let ends = play(30, &watching(nodes), |w, rng| {
-            aspenreel_simulation::trouble::draw(w, rng);
+            aspenreel_simulation::drawn_faults::draw(w, rng);
             let mut at = 15.0;
             while at < 120.0 {
                 let number = rng.usize(..);
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -8,9 +8,9 @@
 mod services;
 mod upgrades;
 
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::Setup;
-use aspenreel_simulation::{checker, trouble};
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::Setup;
+use aspenreel_simulation::{checker, drawn_faults};
 
 /// Without any trouble every job runs to its end, each task once.
 #[test]
@@ -29,7 +29,7 @@
 /// Whatever the seed draws: troubles that meet by chance.
 #[test]
 fn any_troubles() {
-    for end in play(24, &Setup::default(), trouble::draw) {
+    for end in play(24, &Setup::default(), drawn_faults::draw) {
         assert!(end.done + end.cancelled > 30, "{end:?}");
     }
 }
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -1,9 +1,9 @@
 //! Each meeting that the operators name, brought about on purpose, its times drawn by seeds.
 
 use aspenreel_simulation::checker::{JobPlan, Question};
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::{CANCEL_S, LEASE_S, Setup, World};
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{CANCEL_S, LEASE_S, Setup, World};
+use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
 /// Users ask at all nodes, again and again within milliseconds, and repeat the submission, right
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -1,9 +1,9 @@
 //! Direct commands that are held on their way for longer than a cancellation may take, while heartbeats
 //! renew the workers' sessions.
 
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::{CANCEL_S, Setup};
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{CANCEL_S, Setup};
+use aspenreel_simulation::workloads::*;
 
 /// Jobs are cancelled while their starts are on the way. Whatever arrives late starts nothing.
 #[test]
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -1,10 +1,10 @@
 //! Standing services: what happens to them when machines and leaders are lost.
 
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::sched::lock;
-use aspenreel_simulation::trouble;
-use aspenreel_simulation::world::{Setup, World};
+use aspenreel_simulation::drawn_faults;
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::scheduler::lock;
+use aspenreel_simulation::simulation::{Setup, World};
+use aspenreel_simulation::workloads::*;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
@@ -193,6 +193,6 @@
 fn standing_jobs_under_any_troubles() {
     play(2 * SEEDS, &setup(), |w, rng| {
         standing_jobs(w, rng);
-        trouble::draw(w, rng);
+        drawn_faults::draw(w, rng);
     });
 }
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -3,11 +3,11 @@
 use crate::services::standing_jobs;
 use aspenreel::http::cbor::json_len;
 use aspenreel_simulation::checker::{JobPlan, Question};
-use aspenreel_simulation::keys::Limits;
-use aspenreel_simulation::older;
-use aspenreel_simulation::plans::*;
-use aspenreel_simulation::play::play;
-use aspenreel_simulation::world::{Setup, World};
+use aspenreel_simulation::fake_store::Limits;
+use aspenreel_simulation::older_version;
+use aspenreel_simulation::run::play;
+use aspenreel_simulation::simulation::{Setup, World};
+use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
 /// What the state service takes once its limits are lowered.
@@ -82,7 +82,7 @@
         let at = 24.0 + rng.f64() * 6.0;
         w.at(at, |w| {
             let leader = w.leader_or_any();
-            older::leads(w, leader, 2.0);
+            older_version::leads(w, leader, 2.0);
             w.after(11_000_000, |w| {
                 let mut state = w.state();
                 let keys = &mut state.keys;
@@ -163,7 +163,7 @@
         w.at(at + rng.f64(), move |w| {
             let leader = w.leader_or_any();
             w.crash(leader, 0.3);
-            older::leads(w, (leader + 1) % 3, lead);
+            older_version::leads(w, (leader + 1) % 3, lead);
         });
     });
     let led = ends.iter().filter(|end| end.leaders >= 3).count();
@@ -189,7 +189,7 @@
         w.at(before, move |w| {
             let leader = w.leader_or_any();
             let terms = w.state().terms.len();
-            older::leads(w, leader, 3.0);
+            older_version::leads(w, leader, 3.0);
             w.after(16_000_000, move |w| {
                 let state = w.state();
                 let older_led = state.terms[terms..].iter().any(|t| t.2 == leader);
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -18,7 +18,7 @@
 use aspenreel::os::System;
 use aspenreel::state_store::{Change, Commit, Store, Urgency, to_value};
 use aspenreel::time::Micros;
-use aspenreel_simulation::servers::{Cloud, Door, State};
+use aspenreel_simulation::stand_ins::cloud_server::{Cloud, Door, State};
 use ciborium::{Value, cbor};
 use nodes::{Answer, Nodes, job, leader, serving, spawn};
 use std::sync::Arc;
@@ -305,7 +305,7 @@
     let (_state, state_addr) = State::start();
     let (_cloud, cloud_addr) = Cloud::start();
     let silent = Arc::new(Silent::default());
-    let silent_addr = aspenreel_simulation::servers::listen(silent.clone());
+    let silent_addr = aspenreel_simulation::stand_ins::cloud_server::listen(silent.clone());
     let states = [silent_addr, state_addr, state_addr];
     let nodes = nodes::start_with(states, cloud_addr, "silent");
     for node in 0..3 {
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -5,11 +5,11 @@
 //! other moments: `LINKS_ROUNDS=20 cargo test --test service half_cut_links` (`docs/half-cut-links.md`).
 
 use crate::nodes::spawn_watching;
-use aspenreel_simulation::cuts::Way;
-use aspenreel_simulation::loopback::{LoopbackCluster, NODES};
-use aspenreel_simulation::loopback_users::Users;
-use aspenreel_simulation::processes::Site;
-use aspenreel_simulation::relay::Traffic;
+use aspenreel_simulation::directions::Way;
+use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
+use aspenreel_simulation::stand_ins::loopback_users::Users;
+use aspenreel_simulation::stand_ins::processes::Site;
+use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::time::{Duration, Instant};
 
 /// Longer than the workers' lease, and than the leader's.
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -2,10 +2,10 @@
 
 use crate::nodes::spawn;
 use aspenreel_simulation::checker::Checker;
-use aspenreel_simulation::loopback::LoopbackCluster;
-use aspenreel_simulation::loopback_users::Users;
-use aspenreel_simulation::processes::{CANCEL_S, Site};
-use aspenreel_simulation::relay::Traffic;
+use aspenreel_simulation::stand_ins::loopback_cluster::LoopbackCluster;
+use aspenreel_simulation::stand_ins::loopback_users::Users;
+use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Site};
+use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::time::Duration;
 
 /// Orders that are held arrive this much later than a cancellation may take.
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -33,7 +33,12 @@
     (output.status.code().unwrap(), answers)
 }
 
-fn watching(tag: &str) -> (std::sync::Arc<aspenreel_simulation::servers::State>, Nodes) {
+fn watching(
+    tag: &str,
+) -> (
+    std::sync::Arc<aspenreel_simulation::stand_ins::cloud_server::State>,
+    Nodes,
+) {
     let (state, _, mut nodes) = serving(tag);
     for n in 0..3 {
         nodes.children[n].kill().unwrap();
--- a/tests/service/side_by_side.rs
+++ b/tests/service/side_by_side.rs
@@ -5,7 +5,7 @@
 use crate::nodes::{Answer, Nodes, job, leader, newest, spawn, spawn_as, spawn_watching};
 use aspenreel::http::cbor::encode;
 use aspenreel::state_store::to_value;
-use aspenreel_simulation::servers::{Cloud, Door, State};
+use aspenreel_simulation::stand_ins::cloud_server::{Cloud, Door, State};
 use ciborium::cbor;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
