--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -3,9 +3,9 @@
 use crate::html::{Block, Page, Table};
 use crate::plot::{GroupedBars, PlotError};
 use crate::statistics::{Distribution, figure};
-use aspenreel_simulation::directions::{End, Way};
-use aspenreel_simulation::run::play_seeds;
-use aspenreel_simulation::simulation::{Setup, Summary, World};
+use aspenreel_simulation::directions::{Direction, Endpoint};
+use aspenreel_simulation::run::run_seeds;
+use aspenreel_simulation::simulation::{Setup, Simulation, Summary};
 use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 
 /// What is done to the leader's links.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// Reports of workers don't arrive.
     NoReports,
     /// Answers and orders don't reach workers.
@@ -38,19 +38,19 @@
 }
 
 /// A trouble with the name that it has in tables and plots.
-pub const TROUBLES: [(&str, Trouble); 12] = [
-    ("no reports", Trouble::NoReports),
-    ("no answers", Trouble::NoAnswers),
-    ("no workers", Trouble::NoWorkers),
-    ("only state", Trouble::OnlyState),
-    ("no writes", Trouble::WritesRefused),
-    ("no state", Trouble::NoState),
-    ("workers 2 s", Trouble::WorkersFlap(2.0)),
-    ("workers 10 s", Trouble::WorkersFlap(10.0)),
-    ("workers 36 s", Trouble::WorkersFlap(36.0)),
-    ("state 2 s", Trouble::StateFlaps(2.0)),
-    ("state 10 s", Trouble::StateFlaps(10.0)),
-    ("state 36 s", Trouble::StateFlaps(36.0)),
+pub const TROUBLES: [(&str, Fault); 12] = [
+    ("no reports", Fault::NoReports),
+    ("no answers", Fault::NoAnswers),
+    ("no workers", Fault::NoWorkers),
+    ("only state", Fault::OnlyState),
+    ("no writes", Fault::WritesRefused),
+    ("no state", Fault::NoState),
+    ("workers 2 s", Fault::WorkersFlap(2.0)),
+    ("workers 10 s", Fault::WorkersFlap(10.0)),
+    ("workers 36 s", Fault::WorkersFlap(36.0)),
+    ("state 2 s", Fault::StateFlaps(2.0)),
+    ("state 10 s", Fault::StateFlaps(10.0)),
+    ("state 36 s", Fault::StateFlaps(36.0)),
 ];
 
 const WITHOUT: fn(usize) -> &'static [&'static str] = |_| &[];
@@ -66,7 +66,7 @@
     /// Leaders a minute while the trouble lasted.
     pub leaders_per_minute: Distribution,
     /// Users' questions that got no useful answer, in each run.
-    pub in_vain: Distribution,
+    pub unanswered: Distribution,
     /// How long jobs took.
     pub turnaround: Distribution,
     /// Jobs that took longer than [`LATE_S`], in each run.
@@ -75,41 +75,51 @@
     pub broken: Vec<String>,
 }
 
-impl Trouble {
-    fn begin(self, w: &Arc<World>) {
-        let leader = w.leader_or_any();
-        let own = End::Node(leader);
-        let both = |other| vec![Way::new(own, other), Way::new(other, own)];
-        let cut = |ways: Vec<Way>| ways.into_iter().for_each(|way| w.cut_way(way, LASTS_S));
+impl Fault {
+    fn begin(self, sim: &Arc<Simulation>) {
+        let leader = sim.leader_or_any();
+        let own = Endpoint::Node(leader);
+        let both = |other| vec![Direction::new(own, other), Direction::new(other, own)];
+        let cut = |directions: Vec<Direction>| {
+            directions
+                .into_iter()
+                .for_each(|direction| sim.cut_direction(direction, LASTS_S))
+        };
         match self {
-            Trouble::NoReports => cut(vec![Way::new(End::Workers, own)]),
-            Trouble::NoAnswers => cut(vec![Way::new(own, End::Workers)]),
-            Trouble::NoWorkers => cut(both(End::Workers)),
-            Trouble::NoState => cut(both(End::State)),
-            Trouble::WritesRefused => w.refuse_writes(leader, LASTS_S),
-            Trouble::WorkersFlap(period) => w.flap_ways(both(End::Workers), period, LASTS_S),
-            Trouble::StateFlaps(period) => w.flap_ways(both(End::State), period, LASTS_S),
-            Trouble::OnlyState => {
-                let state = |way: &Way| way.from == End::State || way.to == End::State;
-                let ways = Way::all_of(leader, w.setup.nodes).into_iter();
-                cut(ways.filter(|way| !state(way)).collect());
+            Fault::NoReports => cut(vec![Direction::new(Endpoint::Workers, own)]),
+            Fault::NoAnswers => cut(vec![Direction::new(own, Endpoint::Workers)]),
+            Fault::NoWorkers => cut(both(Endpoint::Workers)),
+            Fault::NoState => cut(both(Endpoint::Store)),
+            Fault::WritesRefused => sim.refuse_writes(leader, LASTS_S),
+            Fault::WorkersFlap(period) => {
+                sim.flap_directions(both(Endpoint::Workers), period, LASTS_S)
+            }
+            Fault::StateFlaps(period) => {
+                sim.flap_directions(both(Endpoint::Store), period, LASTS_S)
+            }
+            Fault::OnlyState => {
+                let state = |direction: &Direction| {
+                    direction.from == Endpoint::Store || direction.to == Endpoint::Store
+                };
+                let directions = Direction::all_of(leader, sim.setup.nodes).into_iter();
+                cut(directions.filter(|direction| !state(direction)).collect());
             }
         }
     }
 }
 
 /// Plays a trouble with each seed.
-pub fn measure(trouble: Trouble, seeds: &[u64], watching: bool) -> Measured {
+pub fn measure(fault: Fault, seeds: &[u64], watching: bool) -> Measured {
     let setup = Setup {
         flags: if watching { WITH } else { WITHOUT },
         ..Setup::default()
     };
-    let ends = play_seeds(seeds, &setup, |w, rng| {
-        let ids = jobs(w, 4.0, 110.0, JOBS, |i, p| {
+    let ends = run_seeds(seeds, &setup, |sim, rng| {
+        let ids = jobs(sim, 4.0, 110.0, JOBS, |i, p| {
             p.run_s = 4.0 + f64::from(i % 5) * 4.0
         });
-        cancel_soon(w, &every_other(&ids, 6), 15.0, rng);
-        w.at(BEGINS_S, move |w| trouble.begin(w));
+        cancel_soon(sim, &every_other(&ids, 6), 15.0, rng);
+        sim.at(BEGINS_S, move |sim| fault.begin(sim));
     });
     let mut measured = Measured::default();
     for end in &ends {
@@ -142,7 +152,7 @@
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
         self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
-        self.in_vain.add(f64::from(end.questions_in_vain));
+        self.unanswered.add(f64::from(end.unanswered_questions));
         self.turnaround.extend(end.turnaround_s.iter().copied());
         let late = end.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
@@ -166,10 +176,10 @@
     let seeds: Vec<u64> = (1..=seeds).collect();
     TROUBLES
         .into_iter()
-        .map(|(name, trouble)| Comparison {
+        .map(|(name, fault)| Comparison {
             name,
-            without: measure(trouble, &seeds, false),
-            with: measure(trouble, &seeds, true),
+            without: measure(fault, &seeds, false),
+            with: measure(fault, &seeds, true),
         })
         .collect()
 }
@@ -192,7 +202,7 @@
         m.leaders_per_minute.mean()
     }),
     ("Questions in vain a run, mean", "questions", |m| {
-        m.in_vain.mean()
+        m.unanswered.mean()
     }),
     ("Time until done, 95th percentile", "seconds", |m| {
         m.turnaround.quantile(0.95)
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -1,6 +1,6 @@
 //! What reports are made of.
 
-use aspenreel_report::half_cut_links::{Trouble, measure};
+use aspenreel_report::half_cut_links::{Fault, measure};
 use aspenreel_report::html::{Block, Page, Table};
 use aspenreel_report::plot::GroupedBars;
 use aspenreel_report::statistics::{Distribution, figure};
@@ -70,7 +70,7 @@
 /// A short measurement: with the flag the lead changes, nothing breaks, and the next leader decides.
 #[test]
 fn a_leader_without_reports_is_measured() {
-    let measured = measure(Trouble::NoReports, &[1], true);
+    let measured = measure(Fault::NoReports, &[1], true);
     assert_eq!(measured.broken, Vec::<String>::new());
     assert_eq!(measured.leaders_per_minute.mean(), Some(1.0));
     let (last, next) = (measured.last_decision.max(), measured.next_decision.max());
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -64,7 +64,7 @@
 
 /// An answer that a user got in time.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Answer {
     pub question: Question,
     pub node: usize,
     pub sent: Time,
@@ -96,9 +96,9 @@
     /// Starts after a user knew that the job is cancelled, within the time for it.
     pub late_starts: Vec<String>,
     pub starts: u32,
-    pub told_cancelled: u32,
-    pub told_done: u32,
-    pub questions_in_vain: u32,
+    pub answered_cancelled: u32,
+    pub answered_done: u32,
+    pub unanswered_questions: u32,
     turnaround: Vec<Time>,
 }
 
@@ -137,8 +137,8 @@
     }
 
     /// No answer in time, or one that tells nothing.
-    pub fn in_vain(&mut self, id: &str, question: Question, sent: Time, now: Time) {
-        self.questions_in_vain += 1;
+    pub fn unanswered(&mut self, id: &str, question: Question, sent: Time, now: Time) {
+        self.unanswered_questions += 1;
         let Some(f) = self.jobs.get_mut(id) else {
             return;
         };
@@ -151,29 +151,29 @@
         }
     }
 
-    pub fn told(&mut self, id: &str, told: &Told) {
-        let now = told.got;
+    pub fn answered(&mut self, id: &str, answer: &Answer) {
+        let now = answer.got;
         let text = format!(
             "{id}: {:?} at node {} got {} {:?}, asked at {:.3}",
-            told.question,
-            told.node,
-            told.status,
-            told.state,
-            told.sent as f64 / 1e6
+            answer.question,
+            answer.node,
+            answer.status,
+            answer.state,
+            answer.sent as f64 / 1e6
         );
         let Some(f) = self.jobs.get_mut(id) else {
-            if matches!(told.status, 200 | 201) {
+            if matches!(answer.status, 200 | 201) {
                 self.note(now, "invented", text);
             }
             return;
         };
-        f.first_asked.get_or_insert(told.sent);
+        f.first_asked.get_or_insert(answer.sent);
         let mut rules = Vec::new();
-        let known = f.accepted.is_some_and(|t| t <= told.sent);
-        match (told.question, told.status) {
+        let known = f.accepted.is_some_and(|t| t <= answer.sent);
+        match (answer.question, answer.status) {
             (_, 200 | 201) => {
                 f.unanswered_since = None;
-                if f.accepted.is_none() && told.question != Question::BadSubmit {
+                if f.accepted.is_none() && answer.question != Question::BadSubmit {
                     f.accepted = Some(now);
                 }
             }
@@ -181,9 +181,9 @@
             (Question::Status | Question::Cancel, 404) if known => rules.push("forgotten"),
             _ => {}
         }
-        if let Some(state) = &told.state {
+        if let Some(state) = &answer.state {
             if let Some((ended, at)) = &f.ended
-                && *at <= told.sent
+                && *at <= answer.sent
                 && ended != state
             {
                 rules.push("went_back");
@@ -198,11 +198,11 @@
                 if f.ended.is_none() {
                     match state.as_str() {
                         "done" => {
-                            self.told_done += 1;
+                            self.answered_done += 1;
                             let asked = f.first_asked.unwrap_or(now);
                             self.turnaround.push(now - asked);
                         }
-                        _ => self.told_cancelled += 1,
+                        _ => self.answered_cancelled += 1,
                     }
                     f.ended = Some((state.clone(), now));
                 } else if f.ended.as_ref().is_some_and(|(s, _)| s != state)
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud, as the protocol's page tells of it: its catalog, rentals, returns and lists.
 
 use crate::scheduler::{Time, secs};
-use crate::simulation::{CLOUD_RPS, World};
+use crate::simulation::{CLOUD_RPS, Simulation};
 use crate::worker_agents::{LISTED_AFTER_DEATH_S, Machine};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::Request;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Machines on one page of the list, at most.
-const MOST_LISTED: usize = 500;
+const MAX_LISTED: usize = 500;
 
 /// Where a page of the machine list begins, and how many it may hold.
 pub fn page_of(path: &str) -> (String, usize) {
@@ -23,14 +23,14 @@
     let since = value("since").unwrap_or("").to_string();
     let most = value("most")
         .and_then(|m| m.parse().ok())
-        .unwrap_or(MOST_LISTED);
-    (since, most.min(MOST_LISTED))
+        .unwrap_or(MAX_LISTED);
+    (since, most.min(MAX_LISTED))
 }
 
 #[derive(Default)]
-pub struct Cloud {
+pub struct CloudState {
     pub(crate) made: u32,
-    hires: BTreeMap<String, Vec<String>>,
+    rentals: BTreeMap<String, Vec<String>>,
     /// Requests that count against the limit, and when that was worked out.
     requests: f64,
     counted_at: Time,
@@ -39,7 +39,7 @@
     pub quick_until: Time,
 }
 
-impl World {
+impl Simulation {
     /// The cloud's answer to a request.
     pub fn cloud_asked(self: &Arc<Self>, r: &Request) -> (u16, Vec<u8>) {
         let now = self.now();
@@ -130,7 +130,7 @@
             count: usize,
         }
         let rent: Rent = decode(body).unwrap();
-        let known = self.state().cloud.hires.get(&rent.hire).cloned();
+        let known = self.state().cloud.rentals.get(&rent.hire).cloned();
         let names = match known {
             Some(names) => names,
             None => {
@@ -152,7 +152,7 @@
                     })
                     .collect();
                 let mut state = self.state();
-                state.cloud.hires.insert(rent.hire, names.clone());
+                state.cloud.rentals.insert(rent.hire, names.clone());
                 names
             }
         };
--- a/crates/simulation/src/delayed_commands.rs
+++ b/crates/simulation/src/delayed_commands.rs
@@ -1,7 +1,7 @@
 //! Direct commands that the network holds back for long, while heartbeats go their way.
 
 use crate::scheduler::{Time, secs};
-use crate::simulation::World;
+use crate::simulation::Simulation;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -9,7 +9,7 @@
 
 /// Which direct commands are held back, and for how long.
 #[derive(Debug, Default)]
-pub struct HeldCommands {
+pub struct DelayedCommands {
     share: f64,
     delay: Range<Time>,
     until: Time,
@@ -17,35 +17,35 @@
     last: BTreeMap<(usize, SocketAddr), Time>,
 }
 
-impl World {
+impl Simulation {
     /// For `span` seconds that share of direct commands is held back, each for a time in the range, in
     /// order on each way, and delivered once. Nobody gets their answers. Heartbeats are not touched.
-    pub fn hold_commands(&self, share: f64, delay_s: Range<f64>, span: f64) {
+    pub fn delay_commands(&self, share: f64, delay_s: Range<f64>, span: f64) {
         let longest = delay_s.end;
-        self.state().held_commands = HeldCommands {
+        self.state().delayed_commands = DelayedCommands {
             share,
             delay: secs(delay_s.start)..secs(delay_s.end),
             until: self.now() + secs(span),
             last: BTreeMap::new(),
         };
-        self.trouble(span + longest);
+        self.note_fault(span + longest);
     }
 
     /// When a command that arrives now is let go; None if it isn't held back.
-    fn command_held_until(&self, node: usize, worker: SocketAddr) -> Option<Time> {
+    fn command_delayed_until(&self, node: usize, worker: SocketAddr) -> Option<Time> {
         let now = self.now();
         let mut state = self.state();
-        if state.held_commands.until <= now {
+        if state.delayed_commands.until <= now {
             return None;
         }
-        let share = state.held_commands.share;
+        let share = state.delayed_commands.share;
         if state.rng.f64() >= share {
             return None;
         }
-        let delay = state.held_commands.delay.clone();
+        let delay = state.delayed_commands.delay.clone();
         let drawn = now + state.rng.u64(delay);
-        let way = (node, worker);
-        let last = state.held_commands.last.entry(way).or_insert(0);
+        let route = (node, worker);
+        let last = state.delayed_commands.last.entry(route).or_insert(0);
         *last = drawn.max(*last + 1);
         Some(*last)
     }
@@ -56,11 +56,11 @@
         node: usize,
         worker: SocketAddr,
         body: Vec<u8>,
-        then: impl FnOnce(&Arc<World>, (u16, Vec<u8>)) + Send + 'static,
+        then: impl FnOnce(&Arc<Simulation>, (u16, Vec<u8>)) + Send + 'static,
     ) {
-        match self.command_held_until(node, worker) {
-            Some(later) => self.at_time(later, move |w| {
-                w.commands_arrive(node, worker, body, |_, _| {});
+        match self.command_delayed_until(node, worker) {
+            Some(later) => self.at_time(later, move |sim| {
+                sim.commands_arrive(node, worker, body, |_, _| {});
             }),
             None => self.commands_arrive(node, worker, body, then),
         }
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 #[derive(Default)]
-pub struct Keys {
+pub struct FakeStore {
     /// Data, revision, hold.
     pub rows: BTreeMap<String, (Value, u64, Option<u64>)>,
     log: Vec<(u64, String, Option<Value>)>,
     /// When each hold ends, and its life.
-    holds: BTreeMap<u64, (Duration, Duration)>,
-    next_hold: u64,
-    epoch: u64,
+    leases: BTreeMap<u64, (Duration, Duration)>,
+    next_lease: u64,
+    revision: u64,
     /// What the service takes, where that is limited.
     pub limits: Option<Limits>,
     /// Requests and changes since then.
@@ -25,7 +25,7 @@
     /// Transactions that were larger than that.
     pub refused: u32,
     /// Requests that were more than that, and all since then.
-    pub too_many: u32,
+    pub throttled: u32,
     pub counted: u32,
 }
 
@@ -62,9 +62,9 @@
     permit: Option<u64>,
 }
 
-pub type Answer = (u16, Vec<u8>);
+pub type StoreResponse = (u16, Vec<u8>);
 
-pub fn answer(status: u16, value: Result<Value, ciborium::value::Error>) -> Answer {
+pub fn answer(status: u16, value: Result<Value, ciborium::value::Error>) -> StoreResponse {
     (status, encode(&value.unwrap()))
 }
 
@@ -91,13 +91,13 @@
     }
 }
 
-impl Keys {
+impl FakeStore {
     pub fn data(&self, key: &str) -> Option<Value> {
         self.rows.get(key).map(|r| r.0.clone())
     }
 
-    fn end_hold(&mut self, permit: u64) -> bool {
-        let had = self.holds.remove(&permit).is_some();
+    fn end_lease(&mut self, permit: u64) -> bool {
+        let had = self.leases.remove(&permit).is_some();
         let keys: Vec<String> = self
             .rows
             .iter()
@@ -105,9 +105,9 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in keys {
-            self.epoch += 1;
+            self.revision += 1;
             self.rows.remove(&key);
-            self.log.push((self.epoch, key, None));
+            self.log.push((self.revision, key, None));
         }
         had
     }
@@ -115,37 +115,37 @@
     /// Ends the holds that have run out; true if there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
         let over: Vec<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, (end, _))| *end <= now)
             .map(|(p, _)| *p)
             .collect();
         for permit in &over {
-            self.end_hold(*permit);
+            self.end_lease(*permit);
         }
         !over.is_empty()
     }
 
     /// When the next hold runs out.
     pub fn next_end(&self) -> Option<Duration> {
-        self.holds.values().map(|(end, _)| *end).min()
+        self.leases.values().map(|(end, _)| *end).min()
     }
 
     /// After an outage every hold has its full time again.
     pub fn refresh(&mut self, now: Duration) {
-        for (end, life) in self.holds.values_mut() {
+        for (end, life) in self.leases.values_mut() {
             *end = now + *life;
         }
     }
 
-    pub fn multi(&mut self, body: &[u8]) -> Answer {
+    pub fn multi(&mut self, body: &[u8]) -> StoreResponse {
         let multi: Multi = decode(body).unwrap();
         if self.is_too_large(&multi, body) {
             self.refused += 1;
             return answer(400, cbor!({"error" => "too large"}));
         }
         for change in &multi.apply {
-            if change.permit.is_some_and(|p| !self.holds.contains_key(&p)) {
+            if change.permit.is_some_and(|p| !self.leases.contains_key(&p)) {
                 return answer(400, cbor!({"error" => "no such lease"}));
             }
         }
@@ -156,22 +156,22 @@
             .map(|g| g.key.as_str())
             .collect();
         if !failed.is_empty() {
-            return answer(409, cbor!({"failed" => failed, "epoch" => self.epoch}));
+            return answer(409, cbor!({"failed" => failed, "epoch" => self.revision}));
         }
-        self.epoch += 1;
-        let epoch = self.epoch;
+        self.revision += 1;
+        let revision = self.revision;
         for change in multi.apply {
             if let Some(key) = change.write {
                 let data = change.data.unwrap_or(Value::Null);
-                let row = (data.clone(), epoch, change.permit);
+                let row = (data.clone(), revision, change.permit);
                 self.rows.insert(key.clone(), row);
-                self.log.push((epoch, key, Some(data)));
+                self.log.push((revision, key, Some(data)));
             } else if let Some(key) = change.delete {
                 self.rows.remove(&key);
-                self.log.push((epoch, key, None));
+                self.log.push((revision, key, None));
             }
         }
-        answer(200, cbor!({"epoch" => epoch}))
+        answer(200, cbor!({"epoch" => revision}))
     }
 
     fn is_too_large(&self, multi: &Multi, body: &[u8]) -> bool {
@@ -205,12 +205,12 @@
         };
         self.counted += 1;
         let granted = requests.take(1.0, now) && changes.take(wanted as f64, now);
-        self.too_many += u32::from(!granted);
+        self.throttled += u32::from(!granted);
         !granted
     }
 
     /// What a watch is told now; None if there is nothing yet.
-    pub fn changes(&self, watch: &Watch) -> Option<Answer> {
+    pub fn changes(&self, watch: &Watch) -> Option<StoreResponse> {
         let seen = self.log.partition_point(|(e, _, _)| *e <= watch.since);
         let log: Vec<Value> = self.log[seen..]
             .iter()
@@ -220,16 +220,16 @@
                 None => cbor!({"delete" => key, "stamp" => e}).unwrap(),
             })
             .collect();
-        (!log.is_empty()).then(|| answer(200, cbor!({"epoch" => self.epoch, "log" => log})))
+        (!log.is_empty()).then(|| answer(200, cbor!({"epoch" => self.revision, "log" => log})))
     }
 
     /// What a watch is told when its time is over.
-    pub fn no_changes(&self) -> Answer {
+    pub fn no_changes(&self) -> StoreResponse {
         let log: [Value; 0] = [];
-        answer(200, cbor!({"epoch" => self.epoch, "log" => log}))
+        answer(200, cbor!({"epoch" => self.revision, "log" => log}))
     }
 
-    pub fn range(&self, path: &str) -> Answer {
+    pub fn range(&self, path: &str) -> StoreResponse {
         let q = query(path);
         let most: usize = q["most"].parse().unwrap();
         let found: Vec<_> = self
@@ -244,22 +244,28 @@
         let rows: Vec<_> = found.into_iter().take(most).collect();
         answer(
             200,
-            cbor!({"rows" => rows, "more" => more, "epoch" => self.epoch}),
+            cbor!({"rows" => rows, "more" => more, "epoch" => self.revision}),
         )
     }
 
-    pub fn get(&self, key: &str) -> Answer {
+    pub fn get(&self, key: &str) -> StoreResponse {
         match self.rows.get(key) {
             Some((data, stamp, permit)) => answer(
                 200,
                 cbor!({"key" => key, "data" => data, "stamp" => stamp, "permit" => permit}),
             ),
-            None => answer(404, cbor!({"epoch" => self.epoch})),
+            None => answer(404, cbor!({"epoch" => self.revision})),
         }
     }
 
-    /// `/holds`, and what follows that in the path.
-    pub fn holds(&mut self, method: &str, rest: &str, body: &[u8], now: Duration) -> Answer {
+    /// `/leases`, and what follows that in the path.
+    pub fn leases(
+        &mut self,
+        method: &str,
+        rest: &str,
+        body: &[u8],
+        now: Duration,
+    ) -> StoreResponse {
         if rest.is_empty() {
             #[derive(Deserialize)]
             struct Life {
@@ -268,16 +274,16 @@
             }
             let life: Life = decode(body).unwrap();
             let life = Duration::from_millis(life.life_ms);
-            self.next_hold += 1;
-            self.holds.insert(self.next_hold, (now + life, life));
-            return answer(200, cbor!({"permit" => self.next_hold}));
+            self.next_lease += 1;
+            self.leases.insert(self.next_lease, (now + life, life));
+            return answer(200, cbor!({"permit" => self.next_lease}));
         }
         let mut parts = rest.trim_start_matches('/').split('/');
         let permit: u64 = parts.next().unwrap().parse().unwrap();
         if method == "DELETE" {
-            return (if self.end_hold(permit) { 200 } else { 404 }, Vec::new());
+            return (if self.end_lease(permit) { 200 } else { 404 }, Vec::new());
         }
-        match self.holds.get_mut(&permit) {
+        match self.leases.get_mut(&permit) {
             Some((end, life)) => {
                 *end = now + *life;
                 (200, Vec::new())
@@ -287,7 +293,7 @@
     }
 
     /// Everything but watches.
-    pub fn call(&mut self, method: &str, path: &str, body: &[u8], now: Duration) -> Answer {
+    pub fn call(&mut self, method: &str, path: &str, body: &[u8], now: Duration) -> StoreResponse {
         self.expire(now);
         if self.is_too_much(path, body, now) {
             return answer(429, cbor!({"error" => "too many"}));
@@ -296,7 +302,7 @@
             "/multi" => self.multi(body),
             "/store" => self.range(path),
             plain => match plain.strip_prefix("/holds") {
-                Some(rest) => self.holds(method, rest, body, now),
+                Some(rest) => self.leases(method, rest, body, now),
                 None => self.get(plain.strip_prefix("/store/").unwrap()),
             },
         }
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,10 +1,10 @@
 //! What the controllers of the model log, with simulated time, when `MODEL_LOG` asks for it.
 
-use crate::scheduler::Sched;
+use crate::scheduler::DeterministicScheduler;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::sync::{Arc, Mutex, Weak};
 
-struct Lines(Mutex<Weak<Sched>>);
+struct Lines(Mutex<Weak<DeterministicScheduler>>);
 
 static LINES: Lines = Lines(Mutex::new(Weak::new()));
 
@@ -24,7 +24,7 @@
     fn flush(&self) {}
 }
 
-pub fn follow(sched: &Arc<Sched>) {
+pub fn follow(scheduler: &Arc<DeterministicScheduler>) {
     let Ok(level) = std::env::var("MODEL_LOG") else {
         return;
     };
@@ -35,5 +35,5 @@
         LevelFilter::Info
     });
     let _ = log::set_logger(&LINES);
-    *crate::scheduler::lock(&LINES.0) = Arc::downgrade(sched);
+    *crate::scheduler::lock(&LINES.0) = Arc::downgrade(scheduler);
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,9 +1,9 @@
 //! What a controller of the model takes for its operating system, and the ways between all of them.
 
-use crate::directions::End;
+use crate::directions::Endpoint;
 use crate::fake_store::Watch;
 use crate::scheduler::{Time, lock};
-use crate::simulation::World;
+use crate::simulation::Simulation;
 use crate::transcript::Channel;
 use aspenreel::http::client::{CallError, ClientResponse, ResponseError};
 use aspenreel::http::server::{Handler, Request, Response};
@@ -19,7 +19,7 @@
 const YEAR: u64 = 365 * 24 * 3600 * 1_000_000;
 
 pub struct SimOs {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     node: usize,
     started: Time,
     drift: f64,
@@ -27,11 +27,17 @@
 }
 
 impl SimOs {
-    pub fn new(world: &Arc<World>, node: usize, _process: u64, drift: f64, skew: i64) -> SimOs {
+    pub fn new(
+        simulation: &Arc<Simulation>,
+        node: usize,
+        _process: u64,
+        drift: f64,
+        skew: i64,
+    ) -> SimOs {
         SimOs {
-            world: world.clone(),
+            simulation: simulation.clone(),
             node,
-            started: world.now(),
+            started: simulation.now(),
             drift,
             skew,
         }
@@ -40,30 +46,30 @@
 
 impl Os for SimOs {
     fn now(&self) -> Moment {
-        let since = self.world.now() - self.started;
+        let since = self.simulation.now() - self.started;
         Moment((YEAR + since).saturating_add_signed((since as f64 * self.drift) as i64))
     }
 
     fn wall(&self) -> WallTime {
-        WallTime((50 * YEAR + self.world.now()).saturating_add_signed(self.skew))
+        WallTime((50 * YEAR + self.simulation.now()).saturating_add_signed(self.skew))
     }
 
     fn sleep(&self, time: Duration) {
-        let late = self.world.random(0..2_000);
-        let at = self.world.now() + time.as_micros() as Time + late;
-        self.world.sched.sleep_until(at);
+        let late = self.simulation.random(0..2_000);
+        let at = self.simulation.now() + time.as_micros() as Time + late;
+        self.simulation.scheduler.sleep_until(at);
     }
 
     fn event_count(&self) -> Arc<dyn EventCount> {
         Arc::new(SimSignal {
-            world: self.world.clone(),
+            simulation: self.simulation.clone(),
             state: Mutex::default(),
         })
     }
 
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         Arc::new(SimHttp {
-            world: self.world.clone(),
+            simulation: self.simulation.clone(),
             node: self.node,
             addr,
             connected: AtomicBool::new(false),
@@ -75,7 +81,7 @@
             panic!("peers have IPv4 addresses");
         };
         Arc::new(SimPeer {
-            world: self.world.clone(),
+            simulation: self.simulation.clone(),
             from: self.node,
             to: ip.octets()[3] as usize,
         })
@@ -84,7 +90,7 @@
 
 /// Counts notifications; who sleeps is woken by the scheduler.
 struct SimSignal {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     state: Mutex<(u64, Vec<(u64, u64)>)>,
 }
 
@@ -94,7 +100,7 @@
     }
 
     fn wait(&self, observed: ObservedCount, timeout: Duration) {
-        let sleeper = self.world.sched.sleeper();
+        let sleeper = self.simulation.scheduler.sleeper();
         {
             let mut state = lock(&self.state);
             if ObservedCount(state.0) != observed {
@@ -102,8 +108,8 @@
             }
             state.1.push(sleeper);
         }
-        let until = self.world.now() + timeout.as_micros() as Time;
-        self.world.sched.sleep_until(until);
+        let until = self.simulation.now() + timeout.as_micros() as Time;
+        self.simulation.scheduler.sleep_until(until);
         lock(&self.state).1.retain(|s| *s != sleeper);
     }
 
@@ -112,7 +118,9 @@
         state.0 += 1;
         if !state.1.is_empty() {
             let first = state.1.remove(0);
-            self.world.sched.wake(first, self.world.now() + 20);
+            self.simulation
+                .scheduler
+                .wake(first, self.simulation.now() + 20);
         }
     }
 
@@ -120,7 +128,9 @@
         let mut state = lock(&self.state);
         state.0 += 1;
         for sleeper in std::mem::take(&mut state.1) {
-            self.world.sched.wake(sleeper, self.world.now() + 20);
+            self.simulation
+                .scheduler
+                .wake(sleeper, self.simulation.now() + 20);
         }
     }
 }
@@ -132,31 +142,31 @@
 }
 
 impl<T: Send + 'static> Slot<T> {
-    fn new(world: &World) -> Arc<Slot<T>> {
+    fn new(simulation: &Simulation) -> Arc<Slot<T>> {
         Arc::new(Slot {
             answer: Mutex::new(None),
-            sleeper: world.sched.sleeper(),
+            sleeper: simulation.scheduler.sleeper(),
         })
     }
 
-    fn arrive(self: &Arc<Self>, world: &Arc<World>, after: Time, answer: T) {
+    fn arrive(self: &Arc<Self>, simulation: &Arc<Simulation>, after: Time, answer: T) {
         let slot = self.clone();
-        world.after(after, move |w| {
+        simulation.after(after, move |sim| {
             *lock(&slot.answer) = Some(answer);
-            w.sched.wake(slot.sleeper, w.now());
+            sim.scheduler.wake(slot.sleeper, sim.now());
         });
     }
 
     /// Sleeps until the answer is there, or for so long.
-    fn wait(&self, world: &World, timeout: Duration) -> Option<T> {
-        let until = world.now() + timeout.as_micros() as Time;
-        world.sched.sleep_until(until);
+    fn wait(&self, simulation: &Simulation, timeout: Duration) -> Option<T> {
+        let until = simulation.now() + timeout.as_micros() as Time;
+        simulation.scheduler.sleep_until(until);
         lock(&self.answer).take()
     }
 }
 
 struct SimHttp {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     node: usize,
     addr: SocketAddr,
     connected: AtomicBool,
@@ -177,27 +187,27 @@
         };
         let answer = match self.addr.port() {
             2379 if path.starts_with("/changes") => {
-                self.world
+                self.simulation
                     .watch(self.node, Watch::of(path), timeout.as_micros() as Time)
             }
             2379 => {
-                let slot = Slot::new(&self.world);
-                let there = self.world.latency();
+                let slot = Slot::new(&self.simulation);
+                let there = self.simulation.latency();
                 let (n, to) = (self.node, slot.clone());
-                self.world
-                    .after(there, move |w| w.state_asked(n, request, to));
-                slot.wait(&self.world, timeout)
+                self.simulation
+                    .after(there, move |sim| sim.store_receives(n, request, to));
+                slot.wait(&self.simulation, timeout)
             }
             8443 => {
-                let slot = Slot::new(&self.world);
-                let there = 20 * self.world.latency();
+                let slot = Slot::new(&self.simulation);
+                let there = 20 * self.simulation.latency();
                 let to = slot.clone();
-                self.world.after(there, move |w| {
-                    let answer = w.cloud_asked(&request);
-                    w.note_call(Channel::Cloud, &request, &answer);
-                    to.arrive(w, 20 * w.latency(), answer);
+                self.simulation.after(there, move |sim| {
+                    let answer = sim.cloud_asked(&request);
+                    sim.note_call(Channel::Cloud, &request, &answer);
+                    to.arrive(sim, 20 * sim.latency(), answer);
                 });
-                slot.wait(&self.world, timeout)
+                slot.wait(&self.simulation, timeout)
             }
             _ => return self.call_worker(&request.body, timeout),
         };
@@ -216,26 +226,26 @@
     }
 
     fn call_worker(&self, body: &[u8], timeout: Duration) -> Result<ClientResponse, CallError> {
-        let reached = self.world.reaches_worker(self.node, self.addr);
+        let reached = self.simulation.reaches_worker(self.node, self.addr);
         if !reached && !self.connected.load(Ordering::Relaxed) {
-            let until = self.world.now() + timeout.as_micros() as Time;
-            self.world.sched.sleep_until(until);
+            let until = self.simulation.now() + timeout.as_micros() as Time;
+            self.simulation.scheduler.sleep_until(until);
             return Err(CallError::Unreachable {
                 peer: self.addr,
                 source: ErrorKind::TimedOut.into(),
             });
         }
         self.connected.store(true, Ordering::Relaxed);
-        let slot = Slot::new(&self.world);
-        let there = self.world.latency();
+        let slot = Slot::new(&self.simulation);
+        let there = self.simulation.latency();
         let (to, n, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
-        self.world.after(there, move |w| {
-            w.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
-            w.commands_sent(n, addr, body, move |w, answer| {
-                to.arrive(w, w.latency(), answer);
+        self.simulation.after(there, move |sim| {
+            sim.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
+            sim.commands_sent(n, addr, body, move |sim, answer| {
+                to.arrive(sim, sim.latency(), answer);
             });
         });
-        let answer = slot.wait(&self.world, timeout);
+        let answer = slot.wait(&self.simulation, timeout);
         if answer.is_none() {
             self.connected.store(false, Ordering::Relaxed);
         }
@@ -243,24 +253,30 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A request of a node reaches the state service, or doesn't.
-    fn state_asked(self: &Arc<Self>, n: usize, request: Request, to: Arc<Slot<(u16, Vec<u8>)>>) {
+    fn store_receives(self: &Arc<Self>, n: usize, request: Request, to: Arc<Slot<(u16, Vec<u8>)>>) {
         let now = self.now();
         let (cut_until, refused, slow, asks_in_vain, answers_in_vain) = {
             let state = self.state();
             let node = &state.nodes[n];
             let writes_refused = request.path == "/multi" && state.cuts.refuses_writes(n, now);
-            let refused = state.state_out || node.refused_until > now || writes_refused;
-            let there = state.is_cut(End::Node(n), End::State, now);
-            let back = state.is_cut(End::State, End::Node(n), now);
-            (node.state_cut_until, refused, state.state_slow, there, back)
+            let refused = state.store_is_down || node.refused_until > now || writes_refused;
+            let there = state.is_cut(Endpoint::Node(n), Endpoint::Store, now);
+            let back = state.is_cut(Endpoint::Store, Endpoint::Node(n), now);
+            (
+                node.store_cut_until,
+                refused,
+                state.store_delay,
+                there,
+                back,
+            )
         };
         let back = self.latency() + slow;
         if cut_until > now {
             // Held back, and carried out once the way is free.
             let later = cut_until + self.latency();
-            return self.at_time(later, move |w| drop(w.carry_out(&request)));
+            return self.at_time(later, move |sim| drop(sim.carry_out(&request)));
         }
         if asks_in_vain {
             return;
@@ -283,9 +299,9 @@
             Some(late) if late.at_once => drop(self.carry_out(&request)),
             Some(_) => {
                 let later = self.random(2_000_000..12_000_000);
-                self.after(later, move |w| {
-                    if !w.state().state_out {
-                        drop(w.carry_out(&request));
+                self.after(later, move |sim| {
+                    if !sim.state().store_is_down {
+                        drop(sim.carry_out(&request));
                     }
                 });
             }
@@ -301,13 +317,13 @@
         let answer = {
             let mut state = self.state();
             let hidden = state.hidden.clone();
-            state.keys.rows.remove(&hidden);
-            let keys = &mut state.keys;
+            state.store.rows.remove(&hidden);
+            let keys = &mut state.store;
             keys.call(&request.method, &request.path, &request.body, now)
         };
         self.note_call(Channel::Store, request, &answer);
         if request.method != "GET" {
-            self.state_changed();
+            self.store_changed();
         }
         answer
     }
@@ -325,32 +341,32 @@
         let mut first = true;
         loop {
             let there = self.latency();
-            self.sched.sleep_until(self.now() + there);
+            self.scheduler.sleep_until(self.now() + there);
             let now = self.now();
             {
                 let mut state = self.state();
                 let node = &state.nodes[n];
-                let own = End::Node(n);
-                let one_way =
-                    state.is_cut(own, End::State, now) || state.is_cut(End::State, own, now);
-                let cut = node.state_cut_until > now || one_way;
-                let refused = state.state_out || node.refused_until > now;
+                let own = Endpoint::Node(n);
+                let one_way = state.is_cut(own, Endpoint::Store, now)
+                    || state.is_cut(Endpoint::Store, own, now);
+                let cut = node.store_cut_until > now || one_way;
+                let refused = state.store_is_down || node.refused_until > now;
                 if refused && first && !cut {
                     return Some((503, Vec::new()));
                 }
                 if !cut && !refused {
-                    if let Some(answer) = state.keys.changes(&watch) {
+                    if let Some(answer) = state.store.changes(&watch) {
                         return Some(answer);
                     }
                     if now >= deadline {
-                        return Some(state.keys.no_changes());
+                        return Some(state.store.no_changes());
                     }
                 }
                 first = false;
                 if now >= opened + timeout {
                     return None;
                 }
-                let sleeper = self.sched.sleeper();
+                let sleeper = self.scheduler.sleeper();
                 state.watchers.push(sleeper);
             }
             let until = if now < deadline {
@@ -358,7 +374,7 @@
             } else {
                 opened + timeout
             };
-            self.sched.sleep_until(until);
+            self.scheduler.sleep_until(until);
         }
     }
 
@@ -367,19 +383,19 @@
         self: &Arc<Self>,
         n: usize,
         request: Request,
-        then: impl FnOnce(&Arc<World>, Option<Response>) + Send + 'static,
+        then: impl FnOnce(&Arc<Simulation>, Option<Response>) + Send + 'static,
     ) {
         let there = self.latency();
-        self.after(there, move |w| {
+        self.after(there, move |sim| {
             let (process, node) = {
-                let state = w.state();
+                let state = sim.state();
                 (state.nodes[n].process, state.nodes[n].node.clone())
             };
             let (Some(process), Some(node)) = (process, node) else {
-                return then(w, None);
+                return then(sim, None);
             };
-            let seed = w.state().rng.u64(..);
-            let world = w.clone();
+            let seed = sim.state().rng.u64(..);
+            let simulation = sim.clone();
             let work = move || {
                 let os = node.os.clone();
                 let asked = Request {
@@ -393,68 +409,79 @@
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
-                world.note_call(Channel::Controller, &asked, &answer);
-                let back = world.latency();
-                world.after(back, move |w| then(w, Some(response)));
+                simulation.note_call(Channel::Controller, &asked, &answer);
+                let back = simulation.latency();
+                simulation.after(back, move |sim| then(sim, Some(response)));
             };
-            w.sched.spawn(process, seed, Box::new(work));
+            sim.scheduler.spawn(process, seed, Box::new(work));
         });
     }
 }
 
 struct SimPeer {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     from: usize,
     to: usize,
 }
 
 impl PeerLink for SimPeer {
     fn ask(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
-        let world = &self.world;
-        let now = world.now();
-        let zones = (world.zone_of_node(self.from), world.zone_of_node(self.to));
+        let simulation = &self.simulation;
+        let now = simulation.now();
+        let zones = (
+            simulation.zone_of_node(self.from),
+            simulation.zone_of_node(self.to),
+        );
         let cut = {
-            let joined = world.joined(zones.0, zones.1);
-            let state = world.state();
+            let joined = simulation.joined(zones.0, zones.1);
+            let state = simulation.state();
             let cut = |n: usize| state.nodes[n].peers_cut_until > now;
-            let ways = (End::Node(self.from), End::Node(self.to));
-            !joined || cut(self.from) || cut(self.to) || state.is_cut(ways.0, ways.1, now)
+            let directions = (Endpoint::Node(self.from), Endpoint::Node(self.to));
+            !joined
+                || cut(self.from)
+                || cut(self.to)
+                || state.is_cut(directions.0, directions.1, now)
         };
         if cut {
-            world.sched.sleep_until(now + timeout.as_micros() as Time);
+            simulation
+                .scheduler
+                .sleep_until(now + timeout.as_micros() as Time);
             return Err(ErrorKind::TimedOut.into());
         }
-        let slot = Slot::new(world);
+        let slot = Slot::new(simulation);
         let (from, to) = (self.from, self.to);
         let (answer, request) = (slot.clone(), request.clone());
-        let there = world.latency();
-        world.after(there, move |w| {
+        let there = simulation.latency();
+        simulation.after(there, move |sim| {
             let (process, node) = {
-                let state = w.state();
+                let state = sim.state();
                 (state.nodes[to].process, state.nodes[to].node.clone())
             };
             let (Some(process), Some(node)) = (process, node) else {
                 let refused = Err(std::io::Error::from(ErrorKind::ConnectionRefused));
-                return answer.arrive(w, w.latency(), refused);
+                return answer.arrive(sim, sim.latency(), refused);
             };
-            let seed = w.state().rng.u64(..);
-            let world = w.clone();
+            let seed = sim.state().rng.u64(..);
+            let simulation = sim.clone();
             let work = move || {
                 let asked = borsh::to_vec(&request).unwrap();
                 let reply = node.answer_peer(request);
                 let replied = borsh::to_vec(&reply).unwrap();
-                world.note_message(Channel::Peer, &[&[from as u8, to as u8], &asked, &replied]);
-                let back = world.latency();
-                let lost = world
-                    .state()
-                    .is_cut(End::Node(to), End::Node(from), world.now());
+                simulation
+                    .note_message(Channel::Peer, &[&[from as u8, to as u8], &asked, &replied]);
+                let back = simulation.latency();
+                let lost = simulation.state().is_cut(
+                    Endpoint::Node(to),
+                    Endpoint::Node(from),
+                    simulation.now(),
+                );
                 if !lost {
-                    answer.arrive(&world, back, Ok(reply));
+                    answer.arrive(&simulation, back, Ok(reply));
                 }
             };
-            w.sched.spawn(process, seed, Box::new(work));
+            sim.scheduler.spawn(process, seed, Box::new(work));
         });
         let timed_out = || Err(ErrorKind::TimedOut.into());
-        slot.wait(world, timeout).unwrap_or_else(timed_out)
+        slot.wait(simulation, timeout).unwrap_or_else(timed_out)
     }
 }
--- a/crates/simulation/src/older_version.rs
+++ b/crates/simulation/src/older_version.rs
@@ -2,9 +2,9 @@
 //! it: it raises the term in the form that it knows, drops the claims of jobs that it can't read, and writes
 //! pages as large as values may be before the limits are lowered.
 
-use crate::fake_store::Keys;
+use crate::fake_store::FakeStore;
 use crate::scheduler::secs;
-use crate::simulation::World;
+use crate::simulation::Simulation;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::state_store::pages::PAGE_ENTRIES;
@@ -32,24 +32,24 @@
 
 /// The node's process ends, and comes back as one of that version, which leads for so long as soon as it
 /// can; then the newer one is back.
-pub fn leads(w: &Arc<World>, n: usize, span: f64) {
-    w.crash(n, span + 20.0);
-    let give_up = w.now() + secs(18.0);
-    look(w, n, span, give_up);
+pub fn leads(sim: &Arc<Simulation>, n: usize, span: f64) {
+    sim.crash(n, span + 20.0);
+    let give_up = sim.now() + secs(18.0);
+    look(sim, n, span, give_up);
 }
 
-fn look(w: &Arc<World>, n: usize, span: f64, give_up: u64) {
-    if !take(w, n, span) && w.now() < give_up {
-        w.after(LOOK_EVERY, move |w| look(w, n, span, give_up));
+fn look(sim: &Arc<Simulation>, n: usize, span: f64, give_up: u64) {
+    if !take(sim, n, span) && sim.now() < give_up {
+        sim.after(LOOK_EVERY, move |sim| look(sim, n, span, give_up));
     }
 }
 
 /// Takes the lead, if it is free and the term can be read.
-fn take(w: &Arc<World>, n: usize, span: f64) -> bool {
-    let now = Duration::from_micros(w.now());
+fn take(sim: &Arc<Simulation>, n: usize, span: f64) -> bool {
+    let now = Duration::from_micros(sim.now());
     {
-        let mut state = w.state();
-        let keys = &mut state.keys;
+        let mut state = sim.state();
+        let keys = &mut state.store;
         let Some((data, revision, _)) = keys.rows.get("term").cloned() else {
             return false;
         };
@@ -83,12 +83,12 @@
         let (status, _) = keys.call("POST", "/multi", &body, now);
         assert_eq!(status, 200);
     }
-    w.state_changed();
+    sim.store_changed();
     true
 }
 
 /// All claims but those of jobs that the version in production can't read, on pages of 64 entries.
-fn claims_rewritten(keys: &Keys) -> Vec<Change> {
+fn claims_rewritten(keys: &FakeStore) -> Vec<Change> {
     let unknown = |id: &str| {
         let job = keys.data(&format!("jobs/{id}"));
         job.is_some_and(|data| shape_of(&data) != "array")
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,7 +1,7 @@
 //! Plays a plan on many seeds at once.
 
 use crate::scheduler;
-use crate::simulation::{Setup, Summary, World};
+use crate::simulation::{Setup, Simulation, Summary};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
@@ -35,16 +35,16 @@
 /// Plays a model with each seed, or with the one that `MODEL_SEED` names, several at once, and
 /// returns how each ended. No rule may break in any.
 #[track_caller]
-pub fn play(
+pub fn run(
     seeds: u64,
     setup: &Setup,
-    plan: impl Fn(&Arc<World>, &mut fastrand::Rng) + Sync,
+    plan: impl Fn(&Arc<Simulation>, &mut fastrand::Rng) + Sync,
 ) -> Vec<Summary> {
     let seeds: Vec<u64> = match std::env::var("MODEL_SEED") {
         Ok(seed) => vec![seed.parse().unwrap()],
         Err(_) => (1..=seeds).collect(),
     };
-    let ends = play_seeds(&seeds, setup, plan);
+    let ends = run_seeds(&seeds, setup, plan);
     let mut broken = Vec::new();
     for (seed, end) in seeds.iter().zip(&ends) {
         println!("seed {seed}: {end:?}");
@@ -55,10 +55,10 @@
 }
 
 /// Plays a model with each of these seeds, several at once; how each ended, in their order.
-pub fn play_seeds(
+pub fn run_seeds(
     seeds: &[u64],
     setup: &Setup,
-    plan: impl Fn(&Arc<World>, &mut fastrand::Rng) + Sync,
+    plan: impl Fn(&Arc<Simulation>, &mut fastrand::Rng) + Sync,
 ) -> Vec<Summary> {
     let next = AtomicUsize::new(0);
     let ends: Mutex<Vec<(u64, Summary)>> = Mutex::default();
@@ -68,9 +68,9 @@
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let _room = Permit::wait();
-                    let w = World::new(*seed, setup.clone());
-                    plan(&w, &mut fastrand::Rng::with_seed(*seed));
-                    let end = w.finish();
+                    let sim = Simulation::new(*seed, setup.clone());
+                    plan(&sim, &mut fastrand::Rng::with_seed(*seed));
+                    let end = sim.finish();
                     scheduler::lock(&ends).push((*seed, end));
                 }
             });
--- a/crates/simulation/src/scheduler.rs
+++ b/crates/simulation/src/scheduler.rs
@@ -66,12 +66,12 @@
 }
 
 #[derive(Default)]
-pub struct Sched {
+pub struct DeterministicScheduler {
     now: AtomicU64,
     inner: Mutex<Inner>,
 }
 
-impl Sched {
+impl DeterministicScheduler {
     pub fn now(&self) -> Time {
         self.now.load(Ordering::Relaxed)
     }
@@ -106,7 +106,7 @@
             inner.tasks.insert(task.id, task.clone());
             task
         };
-        let (sched, this) = (self.clone(), task.clone());
+        let (scheduler, this) = (self.clone(), task.clone());
         let thread = std::thread::Builder::new().stack_size(1 << 20);
         let spawned = thread.spawn(move || {
             CURRENT.with(|c| *c.borrow_mut() = Some(this.clone()));
@@ -120,7 +120,7 @@
             {
                 let text = payload.downcast_ref::<String>().cloned();
                 let text = text.or_else(|| payload.downcast_ref::<&str>().map(|s| s.to_string()));
-                lock(&sched.inner).panics.push(text.unwrap_or_default());
+                lock(&scheduler.inner).panics.push(text.unwrap_or_default());
             }
             let mut state = lock(&this.state);
             state.over = true;
@@ -131,7 +131,7 @@
         self.push(self.now(), Event::Wake(task.id, 0));
     }
 
-    /// Sleeps until woken by [`Sched::wake`], at the latest until then.
+    /// Sleeps until woken by [`DeterministicScheduler::wake`], at the latest until then.
     pub fn sleep_until(&self, at: Time) {
         let task = CURRENT.with(|c| c.borrow().clone());
         let task = task.expect("only tasks of the model sleep");
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,12 +1,12 @@
 //! Several controllers, and all that they talk to, in one process on simulated time.
 
 use crate::checker::{Checker, JobPlan};
-use crate::cloud::Cloud;
-use crate::delayed_commands::HeldCommands;
+use crate::cloud::CloudState;
+use crate::delayed_commands::DelayedCommands;
 use crate::directions::Cuts;
-use crate::fake_store::Keys;
+use crate::fake_store::FakeStore;
 use crate::network::SimOs;
-use crate::scheduler::{Sched, Time, lock, secs};
+use crate::scheduler::{DeterministicScheduler, Time, lock, secs};
 use crate::transcript::{Channel, Transcript};
 use crate::users::UserJob;
 use crate::worker_agents::Machine;
@@ -26,7 +26,7 @@
 
 pub const LEASE_S: f64 = 16.0;
 pub const CANCEL_S: f64 = 41.0;
-pub const REPORT_S: f64 = 3.0;
+pub const HEARTBEAT_S: f64 = 3.0;
 pub const CLOUD_RPS: f64 = 5.0;
 
 /// What a model is made of.
@@ -72,7 +72,7 @@
     pub process: Option<u64>,
     pub node: Option<Arc<Controller>>,
     pub refused_until: Time,
-    pub state_cut_until: Time,
+    pub store_cut_until: Time,
     pub peers_cut_until: Time,
     pub workers_cut_until: Time,
 }
@@ -87,34 +87,34 @@
 
 /// Copies of reports: the share, whether they are kept for the next leader, until when.
 #[derive(Clone, Copy)]
-pub struct LateReports {
+pub struct LateHeartbeats {
     pub share: f64,
     pub for_next: bool,
     pub until: Time,
 }
 
-pub struct State {
-    pub keys: Keys,
-    pub state_out: bool,
+pub struct SimulationState {
+    pub store: FakeStore,
+    pub store_is_down: bool,
     /// A key that is never there, if not empty.
     pub hidden: String,
     /// Tasks that wait for changes in the state service.
     pub watchers: Vec<(u64, u64)>,
     /// Added to the state service's answers.
-    pub state_slow: Time,
+    pub store_delay: Time,
     /// How many times longer every way takes.
     pub slow_links: Time,
     pub late_writes: Option<LateWrites>,
-    pub late_reports: Option<LateReports>,
-    pub kept_reports: Vec<Heartbeat>,
+    pub late_heartbeats: Option<LateHeartbeats>,
+    pub kept_heartbeats: Vec<Heartbeat>,
     /// Direct commands that the network holds back.
-    pub(crate) held_commands: HeldCommands,
+    pub(crate) delayed_commands: DelayedCommands,
     pub nodes: Vec<NodeState>,
     pub zone_cuts: BTreeMap<String, Time>,
     /// Cuts of single directions.
     pub cuts: Cuts,
     pub machines: BTreeMap<String, Machine>,
-    pub cloud: Cloud,
+    pub cloud: CloudState,
     pub users: BTreeMap<String, UserJob>,
     pub checker: Checker,
     pub rng: fastrand::Rng,
@@ -124,69 +124,69 @@
     /// When machines first saw orders to start, and the term that they were given in.
     pub starts_by_term: Vec<(Time, u64)>,
     /// When the last trouble is over, as far as it was said.
-    pub trouble_until: Time,
+    pub faults_until: Time,
     /// All messages so far.
     pub transcript: Transcript,
 }
 
-pub struct World {
-    pub sched: Arc<Sched>,
+pub struct Simulation {
+    pub scheduler: Arc<DeterministicScheduler>,
     pub setup: Setup,
-    state: Mutex<State>,
+    state: Mutex<SimulationState>,
 }
 
-impl World {
-    pub fn new(seed: u64, setup: Setup) -> Arc<World> {
+impl Simulation {
+    pub fn new(seed: u64, setup: Setup) -> Arc<Simulation> {
         let limits = setup.teams.clone();
-        let world = Arc::new(World {
-            sched: Arc::new(Sched::default()),
-            state: Mutex::new(State {
-                keys: Keys::default(),
-                state_out: false,
+        let simulation = Arc::new(Simulation {
+            scheduler: Arc::new(DeterministicScheduler::default()),
+            state: Mutex::new(SimulationState {
+                store: FakeStore::default(),
+                store_is_down: false,
                 hidden: String::new(),
                 watchers: Vec::new(),
-                state_slow: 0,
+                store_delay: 0,
                 slow_links: 1,
                 late_writes: None,
-                late_reports: None,
-                kept_reports: Vec::new(),
-                held_commands: HeldCommands::default(),
+                late_heartbeats: None,
+                kept_heartbeats: Vec::new(),
+                delayed_commands: DelayedCommands::default(),
                 nodes: (0..setup.nodes).map(|_| NodeState::default()).collect(),
                 zone_cuts: BTreeMap::new(),
                 cuts: Cuts::default(),
                 machines: BTreeMap::new(),
-                cloud: Cloud::default(),
+                cloud: CloudState::default(),
                 users: BTreeMap::new(),
                 checker: Checker::new(&limits, CANCEL_S),
                 rng: fastrand::Rng::with_seed(seed),
                 processes: 0,
                 terms: Vec::new(),
                 starts_by_term: Vec::new(),
-                trouble_until: 0,
+                faults_until: 0,
                 transcript: Transcript::default(),
             }),
             setup,
         });
-        crate::log::follow(&world.sched);
-        for (type_name, zone, spot, count) in world.setup.machines.clone() {
+        crate::log::follow(&simulation.scheduler);
+        for (type_name, zone, spot, count) in simulation.setup.machines.clone() {
             for _ in 0..count {
-                world.boot(type_name, zone, spot, 0);
+                simulation.boot(type_name, zone, spot, 0);
             }
         }
-        for n in 0..world.setup.nodes {
-            world.start_node(n);
+        for n in 0..simulation.setup.nodes {
+            simulation.start_node(n);
         }
-        world.look_around();
-        world
+        simulation.check_rules();
+        simulation
     }
 
     /// The world's state. Never held while a controller's code runs.
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, SimulationState> {
         lock(&self.state)
     }
 
     pub fn now(&self) -> Time {
-        self.sched.now()
+        self.scheduler.now()
     }
 
     pub fn since_start(&self) -> Duration {
@@ -194,20 +194,32 @@
     }
 
     /// Part of a test's plan: nothing is over before it.
-    pub fn at(self: &Arc<Self>, seconds: f64, work: impl FnOnce(&Arc<World>) + Send + 'static) {
+    pub fn at(
+        self: &Arc<Self>,
+        seconds: f64,
+        work: impl FnOnce(&Arc<Simulation>) + Send + 'static,
+    ) {
         {
             let mut state = self.state();
-            state.trouble_until = state.trouble_until.max(secs(seconds));
+            state.faults_until = state.faults_until.max(secs(seconds));
         }
         self.at_time(secs(seconds), work);
     }
 
-    pub fn at_time(self: &Arc<Self>, at: Time, work: impl FnOnce(&Arc<World>) + Send + 'static) {
-        let world = self.clone();
-        self.sched.at(at, move || work(&world));
+    pub fn at_time(
+        self: &Arc<Self>,
+        at: Time,
+        work: impl FnOnce(&Arc<Simulation>) + Send + 'static,
+    ) {
+        let simulation = self.clone();
+        self.scheduler.at(at, move || work(&simulation));
     }
 
-    pub fn after(self: &Arc<Self>, span: Time, work: impl FnOnce(&Arc<World>) + Send + 'static) {
+    pub fn after(
+        self: &Arc<Self>,
+        span: Time,
+        work: impl FnOnce(&Arc<Simulation>) + Send + 'static,
+    ) {
         self.at_time(self.now() + span, work);
     }
 
@@ -261,7 +273,7 @@
              peer_listen = \"10.0.0.{n}:8081\"\n{members}\
              [endpoints]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n\
              [settings]\nzones = [\"east\", \"west\"]\nskew_ms = 5.0\nteams = [{}]\n\
-             workers = {{ report_s = {REPORT_S}, lease_s = {LEASE_S}, cancel_s = {CANCEL_S} }}\n\
+             workers = {{ report_s = {HEARTBEAT_S}, lease_s = {LEASE_S}, cancel_s = {CANCEL_S} }}\n\
              state = {{ rps = 150.0, write_rps = {}, value_kb = 8.0, txn_ops = 12, \
              next = {{ {} }} }}\n\
              cloud = {{ rps = {CLOUD_RPS:?}, list_lag_s = 3.0 }}\nquota = {{ sockets = 200 }}\n",
@@ -298,7 +310,7 @@
         let os = Arc::new(SimOs::new(self, n, process, drift, skew));
         let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
         for (i, (_, duty)) in node.duties().into_iter().enumerate() {
-            self.sched.spawn(process, seed ^ i as u64, duty);
+            self.scheduler.spawn(process, seed ^ i as u64, duty);
         }
         let mut state = self.state();
         state.nodes[n].process = Some(process);
@@ -313,28 +325,28 @@
             state.nodes[n].process.take()
         };
         if let Some(process) = process {
-            self.sched.kill(process);
-            self.trouble(back_after);
-            self.after(secs(back_after), move |w| w.start_node(n));
+            self.scheduler.kill(process);
+            self.note_fault(back_after);
+            self.after(secs(back_after), move |sim| sim.start_node(n));
         }
     }
 
     pub fn freeze(self: &Arc<Self>, n: usize, span: f64) {
         if let Some(process) = self.state().nodes[n].process {
-            self.sched.freeze(process, self.now() + secs(span));
+            self.scheduler.freeze(process, self.now() + secs(span));
         }
-        self.trouble(span);
+        self.note_fault(span);
     }
 
     /// Notes that some trouble lasts for so long.
-    pub fn trouble(&self, span: f64) {
+    pub fn note_fault(&self, span: f64) {
         let mut state = self.state();
-        state.trouble_until = state.trouble_until.max(self.now() + secs(span));
+        state.faults_until = state.faults_until.max(self.now() + secs(span));
     }
 
     /// The node that the state service names as leader.
     pub fn leader(&self) -> Option<usize> {
-        let data = self.state().keys.data("leader")?;
+        let data = self.state().store.data("leader")?;
         let record: LeaderRecord = from_value(&data)?;
         record.node.strip_prefix("n-")?.parse().ok()
     }
@@ -344,48 +356,48 @@
         self.leader().unwrap_or(0)
     }
 
-    pub fn outage(self: &Arc<Self>, span: f64) {
-        self.state().state_out = true;
-        self.trouble(span);
-        self.after(secs(span), |w| {
-            let now = w.since_start();
+    pub fn store_outage(self: &Arc<Self>, span: f64) {
+        self.state().store_is_down = true;
+        self.note_fault(span);
+        self.after(secs(span), |sim| {
+            let now = sim.since_start();
             {
-                let mut state = w.state();
-                state.state_out = false;
-                state.keys.refresh(now);
+                let mut state = sim.state();
+                state.store_is_down = false;
+                state.store.refresh(now);
             }
-            w.state_changed();
+            sim.store_changed();
         });
     }
 
     /// The state service refuses this node alone.
-    pub fn refuse(self: &Arc<Self>, n: usize, span: f64) {
+    pub fn refuse_node(self: &Arc<Self>, n: usize, span: f64) {
         let until = self.now() + secs(span);
         self.state().nodes[n].refused_until = until;
-        self.trouble(span);
-        self.at_time(until, |w| w.state_changed());
+        self.note_fault(span);
+        self.at_time(until, |sim| sim.store_changed());
     }
 
     /// A node loses the state service (nothing answers) and, if told so, the other nodes.
-    pub fn cut_state(self: &Arc<Self>, n: usize, span: f64, peers: bool) {
+    pub fn cut_store(self: &Arc<Self>, n: usize, span: f64, peers: bool) {
         let until = self.now() + secs(span);
-        self.state().nodes[n].state_cut_until = until;
+        self.state().nodes[n].store_cut_until = until;
         if peers {
             self.state().nodes[n].peers_cut_until = until;
         }
-        self.trouble(span);
-        self.at_time(until, |w| w.state_changed());
+        self.note_fault(span);
+        self.at_time(until, |sim| sim.store_changed());
     }
 
     pub fn cut_workers(self: &Arc<Self>, n: usize, span: f64) {
         self.state().nodes[n].workers_cut_until = self.now() + secs(span);
-        self.trouble(span);
+        self.note_fault(span);
     }
 
     pub fn cut_zone(self: &Arc<Self>, zone: &str, span: f64) {
         let until = self.now() + secs(span);
         self.state().zone_cuts.insert(zone.into(), until);
-        self.trouble(span);
+        self.note_fault(span);
     }
 
     pub fn late_writes(&self, share: f64, at_once: bool, span: f64) {
@@ -395,17 +407,17 @@
             at_once,
             until,
         });
-        self.trouble(span + 12.0);
+        self.note_fault(span + 12.0);
     }
 
-    pub fn late_reports(&self, share: f64, for_next: bool, span: f64) {
+    pub fn late_heartbeats(&self, share: f64, for_next: bool, span: f64) {
         let until = self.now() + secs(span);
-        self.state().late_reports = Some(LateReports {
+        self.state().late_heartbeats = Some(LateHeartbeats {
             share,
             for_next,
             until,
         });
-        self.trouble(span + 1.5 * LEASE_S);
+        self.note_fault(span + 1.5 * LEASE_S);
     }
 
     /// Whether two zones reach each other.
@@ -417,15 +429,15 @@
     }
 
     /// Something changed in the state service: watches, holds and new leaders.
-    pub fn state_changed(self: &Arc<Self>) {
+    pub fn store_changed(self: &Arc<Self>) {
         let now = self.now();
         let (watchers, next_end, next_leader) = {
             let mut state = self.state();
-            if !state.state_out {
-                state.keys.expire(Duration::from_micros(now));
+            if !state.store_is_down {
+                state.store.expire(Duration::from_micros(now));
             }
             let watchers = std::mem::take(&mut state.watchers);
-            let data = state.keys.data("leader");
+            let data = state.store.data("leader");
             let record: Option<LeaderRecord> = data.and_then(|d| from_value(&d));
             let mut kept = Vec::new();
             if let Some(record) = record
@@ -433,42 +445,42 @@
             {
                 let n = record.node.strip_prefix("n-").unwrap().parse().unwrap();
                 state.terms.push((now, record.term, n));
-                kept = std::mem::take(&mut state.kept_reports);
+                kept = std::mem::take(&mut state.kept_heartbeats);
             }
-            (watchers, state.keys.next_end(), kept)
+            (watchers, state.store.next_end(), kept)
         };
         for (i, sleeper) in watchers.into_iter().enumerate() {
-            self.sched.wake(sleeper, now + 100 + 50 * i as Time);
+            self.scheduler.wake(sleeper, now + 100 + 50 * i as Time);
         }
         if let Some(end) = next_end {
             // It may end up to 100 ms late.
             let late = self.random(0..100_000);
-            self.at_time(end.as_micros() as Time + late, |w| {
-                let now = w.since_start();
+            self.at_time(end.as_micros() as Time + late, |sim| {
+                let now = sim.since_start();
                 let over = {
-                    let mut state = w.state();
-                    !state.state_out && state.keys.expire(now)
+                    let mut state = sim.state();
+                    !state.store_is_down && state.store.expire(now)
                 };
                 if over {
-                    w.state_changed();
+                    sim.store_changed();
                 }
             });
         }
         // Old reports reach every controller as a new leader begins.
         for report in next_leader {
             for n in 0..self.setup.nodes {
-                let (w, report) = (self.clone(), report.clone());
+                let (sim, report) = (self.clone(), report.clone());
                 let at = now + self.random(0..3_000_000);
-                self.sched.at(at, move || w.copy_arrives(n, &report));
+                self.scheduler.at(at, move || sim.copy_arrives(n, &report));
             }
         }
     }
 
     /// Looks at the rules now and then.
-    fn look_around(self: &Arc<Self>) {
+    fn check_rules(self: &Arc<Self>) {
         let now = self.now();
         self.state().checker.look(now);
-        self.after(secs(0.5), |w| w.look_around());
+        self.after(secs(0.5), |sim| sim.check_rules());
     }
 
     /// Puts a record into the state service, as if a controller had written it.
@@ -477,38 +489,38 @@
         let none: [u64; 0] = [];
         let body = encode(&cbor!({"guards" => none, "apply" => [change]}).unwrap());
         let now = self.since_start();
-        let (status, _) = self.state().keys.call("POST", "/multi", &body, now);
+        let (status, _) = self.state().store.call("POST", "/multi", &body, now);
         assert_eq!(status, 200);
-        self.state_changed();
+        self.store_changed();
     }
 
-    pub fn slow_state(self: &Arc<Self>, time: f64, span: f64) {
-        self.state().state_slow = secs(time);
-        self.trouble(span);
-        self.after(secs(span), |w| w.state().state_slow = 0);
+    pub fn slow_store(self: &Arc<Self>, time: f64, span: f64) {
+        self.state().store_delay = secs(time);
+        self.note_fault(span);
+        self.after(secs(span), |sim| sim.state().store_delay = 0);
     }
 
     pub fn submit(self: &Arc<Self>, at: f64, plan: JobPlan) {
-        self.at(at, move |w| w.user_submits(plan));
+        self.at(at, move |sim| sim.user_submits(plan));
     }
 
     /// Plays up to this second.
-    pub fn play(&self, seconds: f64) -> &Self {
-        self.sched.run_until(secs(seconds));
+    pub fn run(&self, seconds: f64) -> &Self {
+        self.scheduler.run_until(secs(seconds));
         self
     }
 
     /// Plays until the troubles are over and all accepted jobs have ended; then ends everything.
     /// Whoever could run and waits for long, or never ends, breaks a rule as well.
     pub fn finish(self: &Arc<Self>) -> Summary {
-        let calm = self.state().trouble_until.max(self.now());
+        let calm = self.state().faults_until.max(self.now());
         let mut waits: BTreeMap<String, Time> = BTreeMap::new();
         let end = calm + secs(360.0);
         while self.now() < end {
-            self.sched.run_until(self.now() + secs(2.0));
+            self.scheduler.run_until(self.now() + secs(2.0));
             let now = self.now();
             if now > calm {
-                let waiting = self.could_run();
+                let waiting = self.runnable_jobs();
                 waits.retain(|id, _| waiting.contains(id));
                 for id in waiting {
                     let since = *waits.entry(id.clone()).or_insert(now);
@@ -551,26 +563,26 @@
             broken: state.checker.broken.clone(),
             late_starts: state.checker.late_starts.clone(),
             starts: state.checker.starts,
-            cancelled: state.checker.told_cancelled,
-            done: state.checker.told_done,
+            cancelled: state.checker.answered_cancelled,
+            done: state.checker.answered_done,
             leaders: state.terms.len(),
             terms: state.terms.clone(),
             starts_by_term: Starts(state.starts_by_term.clone()),
-            questions_in_vain: state.checker.questions_in_vain,
+            unanswered_questions: state.checker.unanswered_questions,
             turnaround_s: state.checker.turnaround_s(),
             seconds: self.now() / 1_000_000,
             commands: command_counters(&state.nodes),
             transcript: state.transcript.summary(),
         };
         drop(state);
-        self.sched.end();
+        self.scheduler.end();
         let nodes = std::mem::take(&mut self.state().nodes);
         drop(nodes);
         summary
     }
 
     /// Jobs with waiting tasks for which some machine that serves has room, below their team's limit.
-    fn could_run(&self) -> Vec<String> {
+    fn runnable_jobs(&self) -> Vec<String> {
         let state = self.state();
         let fits = |p: &&JobPlan| {
             let c = &state.checker;
@@ -619,7 +631,7 @@
     /// When machines first saw orders to start, and the term that they were given in.
     pub starts_by_term: Starts,
     /// Users' questions that got no answer in time, or none that tells anything.
-    pub questions_in_vain: u32,
+    pub unanswered_questions: u32,
     /// From each accepted job's submission until its user knew that it is done.
     pub turnaround_s: Vec<f64>,
     pub seconds: u64,
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -3,8 +3,8 @@
 //! Written from the published protocol, as small as the tests allow.
 
 use crate::cloud::page_of;
-use crate::fake_store::{Answer, Keys, Watch};
-use crate::stand_ins::worker::{Ground, Worker, WorkerWays};
+use crate::fake_store::{FakeStore, StoreResponse, Watch};
+use crate::stand_ins::worker::{Worker, WorkerEnvironment, WorkerRoutes};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::{Handler, Request, Response, ServerLimits, serve};
 use ciborium::{Value, cbor};
@@ -32,18 +32,18 @@
 }
 
 /// The state service.
-pub struct State {
-    pub keys: Mutex<Keys>,
+pub struct StoreServer {
+    pub store: Mutex<FakeStore>,
     changed: Condvar,
     /// Refuses everything, as in an outage.
     pub down: Mutex<bool>,
     since: Instant,
 }
 
-impl State {
-    pub fn start() -> (Arc<State>, SocketAddr) {
-        let state = Arc::new(State {
-            keys: Mutex::default(),
+impl StoreServer {
+    pub fn start() -> (Arc<StoreServer>, SocketAddr) {
+        let state = Arc::new(StoreServer {
+            store: Mutex::default(),
             changed: Condvar::new(),
             down: Mutex::new(false),
             since: Instant::now(),
@@ -53,26 +53,26 @@
     }
 
     pub fn data(&self, key: &str) -> Option<Value> {
-        self.keys.lock().unwrap().data(key)
+        self.store.lock().unwrap().data(key)
     }
 
     /// Puts a record there, as if a controller had written it.
     pub fn write(&self, key: &str, data: Value) {
         let body = cbor!({"guards" => [], "apply" => [{"write" => key, "data" => data}]});
-        let (status, _) = self.keys.lock().unwrap().multi(&encode(&body.unwrap()));
+        let (status, _) = self.store.lock().unwrap().multi(&encode(&body.unwrap()));
         assert_eq!(status, 200);
         self.changed.notify_all();
     }
 
     /// The end of an outage.
     pub fn recovers(&self) {
-        self.keys.lock().unwrap().refresh(self.since.elapsed());
+        self.store.lock().unwrap().refresh(self.since.elapsed());
         *self.down.lock().unwrap() = false;
     }
 
-    fn changes(&self, watch: &Watch) -> Answer {
+    fn changes(&self, watch: &Watch) -> StoreResponse {
         let deadline = Instant::now() + watch.hold;
-        let mut k = self.keys.lock().unwrap();
+        let mut k = self.store.lock().unwrap();
         loop {
             k.expire(self.since.elapsed());
             if let Some(answer) = k.changes(watch) {
@@ -90,14 +90,14 @@
 }
 
 /// A node's own way to the state service, which may refuse it alone.
-pub struct Door {
-    state: Arc<State>,
+pub struct RelayListener {
+    state: Arc<StoreServer>,
     pub refuses: Mutex<bool>,
 }
 
-impl Door {
-    pub fn to(state: &Arc<State>) -> (Arc<Door>, SocketAddr) {
-        let door = Arc::new(Door {
+impl RelayListener {
+    pub fn to(state: &Arc<StoreServer>) -> (Arc<RelayListener>, SocketAddr) {
+        let door = Arc::new(RelayListener {
             state: state.clone(),
             refuses: Mutex::new(false),
         });
@@ -106,7 +106,7 @@
     }
 }
 
-impl Handler for Door {
+impl Handler for RelayListener {
     fn handle(&self, r: Request) -> Response {
         let refuses = *self.refuses.lock().unwrap();
         match refuses {
@@ -116,7 +116,7 @@
     }
 }
 
-impl Handler for State {
+impl Handler for StoreServer {
     fn handle(&self, r: Request) -> Response {
         if *self.down.lock().unwrap() {
             return Response::new(503, Vec::new());
@@ -124,7 +124,7 @@
         let (status, body) = if r.path.starts_with("/changes") {
             self.changes(&Watch::of(&r.path))
         } else {
-            let mut keys = self.keys.lock().unwrap();
+            let mut keys = self.store.lock().unwrap();
             let answer = keys.call(&r.method, &r.path, &r.body, self.since.elapsed());
             self.changed.notify_all();
             answer
@@ -134,35 +134,35 @@
 }
 
 /// The cloud: machines are up at once.
-pub struct Cloud {
-    pub ground: Arc<Ground>,
+pub struct CloudServer {
+    pub environment: Arc<WorkerEnvironment>,
     machines: Mutex<BTreeMap<String, Arc<Worker>>>,
     /// Machines made so far.
     made: AtomicU64,
-    hires: Mutex<HashMap<String, Vec<String>>>,
+    rentals: Mutex<HashMap<String, Vec<String>>>,
     pub controllers: Mutex<Vec<(String, SocketAddr)>>,
     /// Machines on the list beside those that were rented. They never check in.
-    pub others_listed: AtomicU64,
+    pub unrented_listed: AtomicU64,
     /// Machines that one rental gets at most; 0: 3.
-    pub most_a_rental: AtomicU64,
+    pub max_machines_per_rental: AtomicU64,
     /// Whole lists that were told, to their last page.
-    pub lists_told: AtomicU64,
+    pub lists_served: AtomicU64,
     /// How controllers reach new workers.
-    pub worker_ways: Mutex<Option<WorkerWays>>,
+    pub worker_routes: Mutex<Option<WorkerRoutes>>,
 }
 
-impl Cloud {
-    pub fn start() -> (Arc<Cloud>, SocketAddr) {
-        let cloud = Arc::new(Cloud {
-            ground: Arc::default(),
+impl CloudServer {
+    pub fn start() -> (Arc<CloudServer>, SocketAddr) {
+        let cloud = Arc::new(CloudServer {
+            environment: Arc::default(),
             machines: Mutex::default(),
             made: AtomicU64::new(0),
-            hires: Mutex::default(),
+            rentals: Mutex::default(),
             controllers: Mutex::default(),
-            others_listed: AtomicU64::new(0),
-            most_a_rental: AtomicU64::new(0),
-            lists_told: AtomicU64::new(0),
-            worker_ways: Mutex::default(),
+            unrented_listed: AtomicU64::new(0),
+            max_machines_per_rental: AtomicU64::new(0),
+            lists_served: AtomicU64::new(0),
+            worker_routes: Mutex::default(),
         });
         let addr = listen(cloud.clone());
         (cloud, addr)
@@ -180,8 +180,8 @@
         self.made.load(Ordering::Relaxed)
     }
 
-    fn most_a_rental(&self) -> usize {
-        match self.most_a_rental.load(Ordering::Relaxed) {
+    fn max_machines_per_rental(&self) -> usize {
+        match self.max_machines_per_rental.load(Ordering::Relaxed) {
             0 => 3,
             most => most as usize,
         }
@@ -191,13 +191,13 @@
     fn listed(&self, path: &str) -> Result<Value, ciborium::value::Error> {
         let (since, most) = page_of(path);
         let mut names: Vec<String> = self.machines.lock().unwrap().keys().cloned().collect();
-        let others = self.others_listed.load(Ordering::Relaxed);
+        let others = self.unrented_listed.load(Ordering::Relaxed);
         names.extend((0..others).map(|n| format!("o-{n:06}")));
         let mut names: Vec<String> = names.into_iter().filter(|name| *name > since).collect();
         let more = names.len() > most;
         names.truncate(most);
         if !more {
-            self.lists_told.fetch_add(1, Ordering::Relaxed);
+            self.lists_served.fetch_add(1, Ordering::Relaxed);
         }
         let host = |name: &String| {
             let status = "running";
@@ -227,19 +227,19 @@
         let mut machines = self.machines.lock().unwrap();
         let number = self.made.fetch_add(1, Ordering::Relaxed);
         let name = format!("n-{number:06}");
-        let worker = Worker::new(&name, &self.ground);
+        let worker = Worker::new(&name, &self.environment);
         machines.insert(name.clone(), worker.clone());
         let own = listen(worker.clone());
-        let ways = self.worker_ways.lock().unwrap();
-        worker.set_addresses(ways.as_ref().map_or(vec![own], |ways| ways(own)));
-        drop(ways);
+        let routes = self.worker_routes.lock().unwrap();
+        worker.set_addresses(routes.as_ref().map_or(vec![own], |routes| routes(own)));
+        drop(routes);
         let controllers = self.controllers.lock().unwrap().clone();
         std::thread::spawn(move || worker.work(controllers));
         name
     }
 }
 
-impl Handler for Cloud {
+impl Handler for CloudServer {
     fn handle(&self, r: Request) -> Response {
         match r.path.split('?').next().unwrap() {
             "/catalog" => answer(
@@ -255,13 +255,13 @@
                     count: usize,
                 }
                 let rent: Rent = decode(&r.body).unwrap();
-                let known = self.hires.lock().unwrap().get(&rent.hire).cloned();
+                let known = self.rentals.lock().unwrap().get(&rent.hire).cloned();
                 let names = known.unwrap_or_else(|| {
-                    let names: Vec<String> = (0..rent.count.min(self.most_a_rental()))
+                    let names: Vec<String> = (0..rent.count.min(self.max_machines_per_rental()))
                         .map(|_| self.boot())
                         .collect();
-                    let mut hires = self.hires.lock().unwrap();
-                    hires.insert(rent.hire.clone(), names.clone());
+                    let mut rentals = self.rentals.lock().unwrap();
+                    rentals.insert(rent.hire.clone(), names.clone());
                     names
                 });
                 answer(200, cbor!({"hosts" => names}))
--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -2,10 +2,10 @@
 //!
 //! The checker of the model watches the rules from what users are told and what workers do.
 
-use crate::checker::{Checker, Question, Told};
-use crate::directions::{End, Way};
-use crate::stand_ins::cloud_server::{Cloud, State};
-use crate::stand_ins::processes::{Addresses, CANCEL_S, Nodes, Site, leader};
+use crate::checker::{Answer, Checker, Question};
+use crate::directions::{Direction, Endpoint};
+use crate::stand_ins::cloud_server::{CloudServer, StoreServer};
+use crate::stand_ins::processes::{Addresses, CANCEL_S, Deployment, Nodes, leader};
 use crate::stand_ins::relay::{Relay, Traffic};
 use crate::stand_ins::worker::History;
 use std::collections::BTreeMap;
@@ -31,8 +31,8 @@
 
 /// Three processes, the stand-ins that they talk to, and a relay on each way between them.
 pub struct LoopbackCluster {
-    pub state: Arc<State>,
-    pub cloud: Arc<Cloud>,
+    pub state: Arc<StoreServer>,
+    pub cloud: Arc<CloudServer>,
     pub nodes: Nodes,
     to_state: Vec<Relay>,
     to_peers: BTreeMap<(usize, usize), Relay>,
@@ -42,9 +42,13 @@
 
 impl LoopbackCluster {
     /// Starts everything; `spawn` starts the process of a controller.
-    pub fn start(tag: &str, site: &Site, spawn: impl Fn(&Path) -> Child) -> LoopbackCluster {
-        let (state, state_addr) = State::start();
-        let (cloud, cloud_addr) = Cloud::start();
+    pub fn start(
+        tag: &str,
+        deployment: &Deployment,
+        spawn: impl Fn(&Path) -> Child,
+    ) -> LoopbackCluster {
+        let (state, state_addr) = StoreServer::start();
+        let (cloud, cloud_addr) = CloudServer::start();
         let addresses = Addresses::free();
         let to_state: Vec<Relay> = (0..NODES).map(|_| Relay::to(state_addr)).collect();
         let heartbeats: Vec<Relay> = addresses.public.iter().map(|a| Relay::to(*a)).collect();
@@ -56,16 +60,24 @@
         }
         let to_workers: Arc<Mutex<WorkerRelays>> = Arc::default();
         let relays = to_workers.clone();
-        *cloud.worker_ways.lock().unwrap() =
+        *cloud.worker_routes.lock().unwrap() =
             Some(Box::new(move |addr| relays.lock().unwrap().add(addr)));
         let named = |n: usize| (format!("n-{n}"), heartbeats[n].addr);
         *cloud.controllers.lock().unwrap() = (0..NODES).map(named).collect();
-        let checker = Checker::new(&[("a", site.team_cpus)], CANCEL_S);
-        *cloud.ground.history.lock().unwrap() = Some(History::new(checker));
-        cloud.ground.task_ms.store(TASK_MS, Ordering::Relaxed);
+        let checker = Checker::new(&[("a", deployment.team_cpus)], CANCEL_S);
+        *cloud.environment.history.lock().unwrap() = Some(History::new(checker));
+        cloud.environment.task_ms.store(TASK_MS, Ordering::Relaxed);
         let states = [0, 1, 2].map(|n| to_state[n].addr);
-        let peer_way = |from, to| to_peers[&(from, to)].addr;
-        let nodes = Nodes::start_at(site, addresses, peer_way, states, cloud_addr, tag, spawn);
+        let peer_address = |from, to| to_peers[&(from, to)].addr;
+        let nodes = Nodes::start_at(
+            deployment,
+            addresses,
+            peer_address,
+            states,
+            cloud_addr,
+            tag,
+            spawn,
+        );
         for n in 0..NODES {
             nodes.until(n, "GET", "/up", &[], |s, _| s == 200);
         }
@@ -81,33 +93,33 @@
     }
 
     /// Sets what happens to what goes one way.
-    pub fn set(&self, way: Way, traffic: Traffic) {
-        match (way.from, way.to) {
-            (End::Node(n), End::State) => self.to_state[n].set_there(traffic),
-            (End::State, End::Node(n)) => self.to_state[n].set_back(traffic),
-            (End::Workers, End::Node(n)) => {
+    pub fn set(&self, direction: Direction, traffic: Traffic) {
+        match (direction.from, direction.to) {
+            (Endpoint::Node(n), Endpoint::Store) => self.to_state[n].set_there(traffic),
+            (Endpoint::Store, Endpoint::Node(n)) => self.to_state[n].set_back(traffic),
+            (Endpoint::Workers, Endpoint::Node(n)) => {
                 self.heartbeats[n].set_there(traffic);
                 let mut workers = self.to_workers.lock().unwrap();
                 workers.back[n] = traffic;
                 workers.relays[n].iter().for_each(|r| r.set_back(traffic));
             }
-            (End::Node(n), End::Workers) => {
+            (Endpoint::Node(n), Endpoint::Workers) => {
                 self.heartbeats[n].set_back(traffic);
                 let mut workers = self.to_workers.lock().unwrap();
                 workers.there[n] = traffic;
                 workers.relays[n].iter().for_each(|r| r.set_there(traffic));
             }
-            (End::Node(a), End::Node(b)) => {
+            (Endpoint::Node(a), Endpoint::Node(b)) => {
                 self.to_peers[&(a, b)].set_there(traffic);
                 self.to_peers[&(b, a)].set_back(traffic);
             }
-            _ => panic!("no such way: {way:?}"),
+            _ => panic!("no such way: {direction:?}"),
         }
     }
 
     /// Orders that go straight from this controller to workers are held back for so long, in order on each
     /// connection, and delivered once. Heartbeats and their answers are not touched.
-    pub fn hold_commands(&self, node: usize, traffic: Traffic) {
+    pub fn delay_commands(&self, node: usize, traffic: Traffic) {
         let mut workers = self.to_workers.lock().unwrap();
         workers.there[node] = traffic;
         workers.relays[node]
@@ -133,7 +145,7 @@
     }
 
     pub fn check(&self, work: impl FnOnce(&mut Checker, u64)) {
-        let mut history = self.cloud.ground.history.lock().unwrap();
+        let mut history = self.cloud.environment.history.lock().unwrap();
         let history = history.as_mut().unwrap();
         let now = history.now();
         work(&mut history.checker, now);
@@ -141,7 +153,7 @@
 
     pub fn now(&self) -> u64 {
         self.cloud
-            .ground
+            .environment
             .history
             .lock()
             .unwrap()
@@ -164,7 +176,7 @@
                 let state = answer
                     .filter(|_| matches!(status, 200 | 201))
                     .map(|a| a.status);
-                let told = Told {
+                let answer = Answer {
                     question,
                     node,
                     sent,
@@ -172,9 +184,9 @@
                     status,
                     state,
                 };
-                checker.told(id, &told);
+                checker.answered(id, &answer);
             } else {
-                checker.in_vain(id, question, sent, got);
+                checker.unanswered(id, question, sent, got);
             }
         });
     }
@@ -183,14 +195,14 @@
 impl WorkerRelays {
     /// Relays to a new worker, one for each controller.
     fn add(&mut self, worker: SocketAddr) -> Vec<SocketAddr> {
-        let mut ways = Vec::new();
+        let mut routes = Vec::new();
         for node in 0..NODES {
             let relay = Relay::to(worker);
             relay.set_there(self.there[node]);
             relay.set_back(self.back[node]);
-            ways.push(relay.addr);
+            routes.push(relay.addr);
             self.relays[node].push(relay);
         }
-        ways
+        routes
     }
 }
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -10,7 +10,7 @@
 pub struct Demand {
     pub open_jobs: usize,
     /// Jobs have from one task up to this many.
-    pub most_tasks: u32,
+    pub max_tasks: u32,
     /// What one task takes.
     pub cpus: f64,
 }
@@ -19,7 +19,7 @@
     fn default() -> Demand {
         Demand {
             open_jobs: 8,
-            most_tasks: 3,
+            max_tasks: 3,
             cpus: 1.0,
         }
     }
@@ -65,7 +65,7 @@
 
     fn submit(&mut self) {
         self.next += 1;
-        let tasks = self.rng.u32(1..=self.demand.most_tasks);
+        let tasks = self.rng.u32(1..=self.demand.max_tasks);
         let plan = JobPlan::new(self.next, tasks, self.demand.cpus, TASK_MS as f64 / 1000.0);
         self.cluster.check(|checker, _| checker.submitted(&plan));
         self.open.push(plan);
--- a/crates/simulation/src/stand_ins/processes.rs
+++ b/crates/simulation/src/stand_ins/processes.rs
@@ -1,6 +1,6 @@
 //! Real controller processes on loopback.
 
-use crate::stand_ins::cloud_server::State;
+use crate::stand_ins::cloud_server::StoreServer;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::state_store::from_value;
@@ -58,15 +58,15 @@
 
 /// What differs between tests in what the platform hands over.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Deployment {
     /// The limit of the only team; half of it is guaranteed.
     pub team_cpus: f64,
     pub sockets: u32,
 }
 
-impl Default for Site {
-    fn default() -> Site {
-        Site {
+impl Default for Deployment {
+    fn default() -> Deployment {
+        Deployment {
             team_cpus: 32.0,
             sockets: 500,
         }
@@ -83,9 +83,9 @@
 impl Nodes {
     /// Processes that reach each other by ways of the test's own.
     pub fn start_at(
-        site: &Site,
+        deployment: &Deployment,
         addresses: Addresses,
-        peer_way: impl Fn(usize, usize) -> SocketAddr,
+        peer_address: impl Fn(usize, usize) -> SocketAddr,
         states: [SocketAddr; 3],
         cloud: SocketAddr,
         tag: &str,
@@ -103,7 +103,7 @@
                 .map(|m| {
                     format!(
                         "[[members]]\nnode = \"n-{m}\"\nlocation = \"east\"\npeer_addr = \"{}\"\n",
-                        peer_way(n, m)
+                        peer_address(n, m)
                     )
                 })
                 .collect();
@@ -118,9 +118,9 @@
                  cloud = {{ rps = 50.0, list_lag_s = 1.0 }}\nquota = {{ sockets = {} }}\n",
                 public[n],
                 peers[n],
-                site.team_cpus / 2.0,
-                site.team_cpus,
-                site.sockets
+                deployment.team_cpus / 2.0,
+                deployment.team_cpus,
+                deployment.sockets
             );
             let name = format!("aspenreel-{}-{tag}-{n}.toml", std::process::id());
             let path = std::env::temp_dir().join(name);
@@ -137,7 +137,7 @@
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> (u16, Option<Answer>) {
+    ) -> (u16, Option<JobStatus>) {
         let result =
             Client::new(self.public[node]).call(method, path, body, Duration::from_secs(5));
         match result {
@@ -153,8 +153,8 @@
         method: &str,
         path: &str,
         body: &[u8],
-        wanted: impl Fn(u16, &Option<Answer>) -> bool,
-    ) -> Option<Answer> {
+        wanted: impl Fn(u16, &Option<JobStatus>) -> bool,
+    ) -> Option<JobStatus> {
         let deadline = Instant::now() + Duration::from_secs(120);
         loop {
             let (status, answer) = self.call(node, method, path, body);
@@ -209,7 +209,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Answer {
+pub struct JobStatus {
     pub status: String,
     #[serde(default)]
     pub done: u32,
@@ -226,7 +226,7 @@
     encode(&wire)
 }
 
-pub fn leader(state: &State) -> Option<usize> {
+pub fn leader(state: &StoreServer) -> Option<usize> {
     #[derive(Deserialize)]
     struct Record {
         node: String,
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::{Checker, Place};
 use crate::stand_ins::processes::LEASE_S;
-use crate::worker_agents::foreman_of;
+use crate::worker_agents::leader_of;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
@@ -37,11 +37,11 @@
 }
 
 /// The ways by which one worker is reached, one for each controller; its own address where there are none.
-pub type WorkerWays = Box<dyn Fn(SocketAddr) -> Vec<SocketAddr> + Send + Sync>;
+pub type WorkerRoutes = Box<dyn Fn(SocketAddr) -> Vec<SocketAddr> + Send + Sync>;
 
 /// What all workers share: who runs what, and what went wrong.
 #[derive(Default)]
-pub struct Ground {
+pub struct WorkerEnvironment {
     /// Where the rules are watched, if they are.
     pub history: Mutex<Option<History>>,
     /// Time between two heartbeats of a worker, in milliseconds; 0: 100.
@@ -82,13 +82,13 @@
     /// The controller that it reports to.
     at: AtomicUsize,
     inner: Mutex<Inner>,
-    ground: Arc<Ground>,
+    environment: Arc<WorkerEnvironment>,
     /// Orders are executed one after the other, and no session ends between the look at an order's token
     /// and what it does.
     acting: Mutex<()>,
 }
 
-impl Ground {
+impl WorkerEnvironment {
     fn report_time(&self) -> Duration {
         match self.report_ms.load(Ordering::Relaxed) {
             0 => Duration::from_millis(100),
@@ -133,7 +133,7 @@
 
 impl Worker {
     /// A worker that has just begun its first session.
-    pub fn new(name: &str, ground: &Arc<Ground>) -> Arc<Worker> {
+    pub fn new(name: &str, environment: &Arc<WorkerEnvironment>) -> Arc<Worker> {
         Arc::new(Worker {
             name: name.to_string(),
             addresses: Mutex::default(),
@@ -146,7 +146,7 @@
                 lease_from: Instant::now(),
                 gone: false,
             }),
-            ground: ground.clone(),
+            environment: environment.clone(),
             acting: Mutex::default(),
         })
     }
@@ -181,23 +181,23 @@
             match (o.kind, at) {
                 (CommandKind::Run, None) => {
                     let twice = self
-                        .ground
+                        .environment
                         .running
                         .lock()
                         .unwrap()
                         .insert(o.task_id.clone(), self.name.clone());
                     if let Some(other) = twice {
                         let text = format!("{} on {other} and {}", o.task_id, self.name);
-                        self.ground.broken.lock().unwrap().push(text);
+                        self.environment.broken.lock().unwrap().push(text);
                     }
-                    self.ground.note_start(&o.task_id, &self.name);
-                    self.ground
+                    self.environment.note_start(&o.task_id, &self.name);
+                    self.environment
                         .started
                         .lock()
                         .unwrap()
                         .insert(o.task_id.clone());
                     let job = o.task_id.split('/').next().unwrap();
-                    let endless = self.ground.endless.lock().unwrap().contains(job);
+                    let endless = self.environment.endless.lock().unwrap().contains(job);
                     inner.tasks.push(Task {
                         report: ReportedTask {
                             task_id: o.task_id.clone(),
@@ -206,7 +206,7 @@
                             exit_reason: None,
                             checkpointed: None,
                         },
-                        ends: (!endless).then(|| Instant::now() + self.ground.task_time()),
+                        ends: (!endless).then(|| Instant::now() + self.environment.task_time()),
                     });
                 }
                 (CommandKind::Stop, Some(i)) => self.exit(&mut inner.tasks[i], ExitReason::Stopped),
@@ -223,8 +223,9 @@
             task.report.status = TaskStatus::Exited;
             task.report.exit_reason = Some(exit_reason);
             let done = exit_reason == ExitReason::Done;
-            self.ground.note_end(&task.report.task_id, &self.name, done);
-            self.ground
+            self.environment
+                .note_end(&task.report.task_id, &self.name, done);
+            self.environment
                 .running
                 .lock()
                 .unwrap()
@@ -296,7 +297,7 @@
     pub fn work(self: Arc<Self>, controllers: Vec<(String, SocketAddr)>) {
         let mut at = 0;
         while !self.is_gone() {
-            std::thread::sleep(self.ground.report_time());
+            std::thread::sleep(self.environment.report_time());
             self.end_lease();
             let sent = Instant::now();
             let client = Client::new(controllers[at].1);
@@ -309,7 +310,7 @@
                     self.take_answer(&decode(&body).unwrap(), report.agent_epoch, sent)
                 }
                 Ok(ClientResponse { status: 421, body }) => {
-                    let named = foreman_of(&body)
+                    let named = leader_of(&body)
                         .and_then(|f| controllers.iter().position(|(n, _)| *n == f));
                     at = named.unwrap_or((at + 1) % controllers.len());
                 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,8 +1,8 @@
 //! Users: they submit, ask, cancel and repeat themselves, at any node.
 
-use crate::checker::{JobPlan, Question, Told};
+use crate::checker::{Answer, JobPlan, Question};
 use crate::scheduler::{Time, secs};
-use crate::simulation::World;
+use crate::simulation::Simulation;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::Request;
 use ciborium::cbor;
@@ -21,7 +21,7 @@
     first_try: Time,
     polls: bool,
     /// Asks at all nodes at once whenever something becomes known.
-    pub close_looks: bool,
+    pub asks_closely: bool,
     /// Calls the job off at the moment in which its last task ends.
     pub cancels_at_end: bool,
     cancels: bool,
@@ -46,14 +46,14 @@
     encode(&cbor!({"ref" => &p.id, "crew" => &p.team, "pieces" => "many"}).unwrap())
 }
 
-impl World {
+impl Simulation {
     /// Asks one node; whatever comes in time is told to the checker and to `then`.
     pub fn question(
         self: &Arc<Self>,
         id: &str,
         question: Question,
         n: usize,
-        then: impl FnOnce(&Arc<World>, Option<Told>) + Send + 'static,
+        then: impl FnOnce(&Arc<Simulation>, Option<Answer>) + Send + 'static,
     ) {
         let sent = self.now();
         let plan = self.state().users.get(id).map(|u| u.plan.clone());
@@ -79,41 +79,45 @@
         let then = Arc::new(std::sync::Mutex::new(Some(then)));
         let (first, id) = (then.clone(), id.to_string());
         let late = id.clone();
-        self.ask_node(n, request, move |w, response| {
+        self.ask_node(n, request, move |sim, response| {
             let Some(then) = crate::scheduler::lock(&first).take() else {
                 return;
             };
             let Some(response) = response else {
-                w.state().checker.in_vain(&id, question, sent, w.now());
-                return then(w, None);
+                sim.state()
+                    .checker
+                    .unanswered(&id, question, sent, sim.now());
+                return then(sim, None);
             };
             #[derive(Deserialize)]
-            struct Answer {
+            struct StatusBody {
                 status: String,
             }
-            let answer: Option<Answer> = decode(&response.body).ok();
-            let told = Told {
+            let answer: Option<StatusBody> = decode(&response.body).ok();
+            let told = Answer {
                 question,
                 node: n,
                 sent,
-                got: w.now(),
+                got: sim.now(),
                 status: response.status,
                 state: answer.filter(|_| response.status < 300).map(|a| a.status),
             };
             {
-                let mut state = w.state();
+                let mut state = sim.state();
                 if response.status == 503 {
                     assert!(response.retry_after_s.is_some(), "503 without Retry-After");
-                    state.checker.in_vain(&id, question, sent, told.got);
+                    state.checker.unanswered(&id, question, sent, told.got);
                 }
-                state.checker.told(&id, &told);
+                state.checker.answered(&id, &told);
             }
-            then(w, Some(told));
+            then(sim, Some(told));
         });
-        self.after(patience, move |w| {
+        self.after(patience, move |sim| {
             if let Some(then) = crate::scheduler::lock(&then).take() {
-                w.state().checker.in_vain(&late, question, sent, w.now());
-                then(w, None);
+                sim.state()
+                    .checker
+                    .unanswered(&late, question, sent, sim.now());
+                then(sim, None);
             }
         });
     }
@@ -143,7 +147,7 @@
             plan,
             first_try: self.now(),
             polls: false,
-            close_looks: false,
+            asks_closely: false,
             cancels_at_end: false,
             cancels: false,
         };
@@ -152,20 +156,20 @@
 
     fn try_submit(self: &Arc<Self>, id: &str) {
         let (id, n) = (id.to_string(), self.any_node());
-        self.question(&id.clone(), Question::Submit, n, move |w, told| {
+        self.question(&id.clone(), Question::Submit, n, move |sim, told| {
             match told.map(|t| t.status) {
                 Some(200 | 201) => {
-                    w.look_closely(&id);
-                    w.begin_polls(&id);
+                    sim.ask_closely(&id);
+                    sim.begin_polls(&id);
                 }
                 Some(400 | 422) => {}
                 _ => {
-                    let first = w.state().users[&id].first_try;
-                    if w.now() - first < secs(RETRIES_FOR_S) {
-                        w.after(RETRY, move |w| w.try_submit(&id));
+                    let first = sim.state().users[&id].first_try;
+                    if sim.now() - first < secs(RETRIES_FOR_S) {
+                        sim.after(RETRY, move |sim| sim.try_submit(&id));
                     } else {
                         // Given up, but it may have been accepted all the same.
-                        w.begin_polls(&id);
+                        sim.begin_polls(&id);
                     }
                 }
             }
@@ -180,21 +184,21 @@
         };
         if fresh {
             let (id, wait) = (id.to_string(), self.random(POLL / 2..POLL));
-            self.after(wait, move |w| w.poll(&id));
+            self.after(wait, move |sim| sim.poll(&id));
         }
     }
 
     fn poll(self: &Arc<Self>, id: &str) {
         let (id, n) = (id.to_string(), self.any_node());
-        self.question(&id.clone(), Question::Status, n, move |w, told| {
-            let ended = |t: &Told| matches!(t.state.as_deref(), Some("done" | "cancelled"));
+        self.question(&id.clone(), Question::Status, n, move |sim, told| {
+            let ended = |t: &Answer| matches!(t.state.as_deref(), Some("done" | "cancelled"));
             if told.as_ref().is_some_and(ended) {
-                return w.look_closely(&id);
+                return sim.ask_closely(&id);
             }
             let unknown = told.is_some_and(|t| t.status == 404);
-            if !unknown || w.state().checker.is_accepted(&id) {
-                let wait = w.random(POLL * 3 / 4..POLL * 5 / 4);
-                w.after(wait, move |w| w.poll(&id));
+            if !unknown || sim.state().checker.is_accepted(&id) {
+                let wait = sim.random(POLL * 3 / 4..POLL * 5 / 4);
+                sim.after(wait, move |sim| sim.poll(&id));
             }
         });
     }
@@ -217,11 +221,11 @@
             &id.clone(),
             Question::Cancel,
             n,
-            move |w, told| match told.map(|t| t.status) {
-                Some(200) => w.look_closely(&id),
+            move |sim, told| match told.map(|t| t.status) {
+                Some(200) => sim.ask_closely(&id),
                 Some(404) => {}
-                _ if w.now() - since < secs(RETRIES_FOR_S) => {
-                    w.after(RETRY, move |w| w.try_cancel(&id, since));
+                _ if sim.now() - since < secs(RETRIES_FOR_S) => {
+                    sim.after(RETRY, move |sim| sim.try_cancel(&id, since));
                 }
                 _ => {}
             },
@@ -236,8 +240,8 @@
 
     /// All nodes are asked within milliseconds, for the status and by repeated submissions, good
     /// and bad ones.
-    pub fn look_closely(self: &Arc<Self>, id: &str) {
-        if !self.state().users.get(id).is_some_and(|j| j.close_looks) {
+    pub fn ask_closely(self: &Arc<Self>, id: &str) {
+        if !self.state().users.get(id).is_some_and(|j| j.asks_closely) {
             return;
         }
         self.ask_everywhere(id);
@@ -247,7 +251,7 @@
         for n in 0..self.setup.nodes {
             for question in [Question::Status, Question::Submit, Question::BadSubmit] {
                 let (wait, id) = (self.random(0..12_000), id.to_string());
-                self.after(wait, move |w| w.question(&id, question, n, |_, _| ()));
+                self.after(wait, move |sim| sim.question(&id, question, n, |_, _| ()));
             }
         }
     }
@@ -260,17 +264,17 @@
                 return;
             };
             let last = state.checker.all_done(id);
-            (job.close_looks, job.cancels_at_end, last)
+            (job.asks_closely, job.cancels_at_end, last)
         };
         if cancels && last {
             let (id, wait) = (id.to_string(), self.random(0..400_000));
-            self.after(wait, move |w| w.user_cancels(&id));
+            self.after(wait, move |sim| sim.user_cancels(&id));
         }
         if looks && last {
             // At the moment of the end, and while it is being recorded.
             for k in 0..12 {
                 let id = id.to_string();
-                self.after(k * 40_000, move |w| w.ask_everywhere(&id));
+                self.after(k * 40_000, move |sim| sim.ask_everywhere(&id));
             }
         }
     }
--- a/crates/simulation/src/worker_agents.rs
+++ b/crates/simulation/src/worker_agents.rs
@@ -1,9 +1,9 @@
 //! Machines and their workers, as the protocol's page tells of them.
 
 use crate::checker::{JobPlan, Place};
-use crate::directions::End;
+use crate::directions::Endpoint;
 use crate::scheduler::{Time, secs};
-use crate::simulation::{LEASE_S, REPORT_S, State, World};
+use crate::simulation::{HEARTBEAT_S, LEASE_S, Simulation, SimulationState};
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
 use aspenreel::workers::wire::{
@@ -53,15 +53,15 @@
     in_flight: Option<u64>,
     sent: Time,
     reports: u64,
-    next_report: u64,
+    next_heartbeat: u64,
     timers: u64,
-    pub hung_until: Time,
-    hung_since: Time,
+    pub frozen_until: Time,
+    frozen_since: Time,
     pub cut_until: Time,
     /// Whether what a cut stops is held back and delivered in the end.
     holds: bool,
-    pub mute_until: Time,
-    pub deaf_until: Time,
+    pub outbound_dropped_until: Time,
+    pub inbound_dropped_until: Time,
     /// When the cloud takes it, once it has said so.
     preempted_at: Option<Time>,
 }
@@ -135,7 +135,7 @@
     (id, task.parse().unwrap())
 }
 
-impl State {
+impl SimulationState {
     fn plan(&self, task_id: &str) -> Option<&JobPlan> {
         Some(&self.users.get(split(task_id).0)?.plan)
     }
@@ -145,7 +145,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Makes a machine that is up after so long; its name.
     pub fn boot(self: &Arc<Self>, type_name: &str, zone: &str, spot: bool, after: Time) -> String {
         let now = self.now();
@@ -179,29 +179,29 @@
                 in_flight: None,
                 sent: 0,
                 reports: 0,
-                next_report: 0,
+                next_heartbeat: 0,
                 timers: 0,
-                hung_until: 0,
-                hung_since: 0,
+                frozen_until: 0,
+                frozen_since: 0,
                 cut_until: 0,
                 holds: false,
-                mute_until: 0,
-                deaf_until: 0,
+                outbound_dropped_until: 0,
+                inbound_dropped_until: 0,
                 preempted_at: None,
             };
             state.machines.insert(name.clone(), machine);
             (name, first)
         };
         let worker = name.clone();
-        self.at_time(first, move |w| {
-            w.watch_lease(&worker);
-            w.report_at(&worker, w.now());
+        self.at_time(first, move |sim| {
+            sim.check_lease(&worker);
+            sim.heartbeat_at(&worker, sim.now());
         });
         name
     }
 
     /// Ends a session when its lease is over.
-    fn watch_lease(self: &Arc<Self>, name: &str) {
+    fn check_lease(self: &Arc<Self>, name: &str) {
         let now = self.now();
         let worker = name.to_string();
         let mut state = self.state();
@@ -211,7 +211,7 @@
         let ends = m.lease_from + secs(LEASE_S);
         if now < ends {
             drop(state);
-            return self.at_time(ends, move |w| w.watch_lease(&worker));
+            return self.at_time(ends, move |sim| sim.check_lease(&worker));
         }
         m.agent_epoch += 1;
         m.lease_from = now;
@@ -224,23 +224,23 @@
             }
         }
         drop(state);
-        self.report_at(name, now);
-        self.after(secs(LEASE_S), move |w| w.watch_lease(&worker));
+        self.heartbeat_at(name, now);
+        self.after(secs(LEASE_S), move |sim| sim.check_lease(&worker));
     }
 
     /// The next report goes out then, unless another one is asked for before.
-    fn report_at(self: &Arc<Self>, name: &str, at: Time) {
+    fn heartbeat_at(self: &Arc<Self>, name: &str, at: Time) {
         let mut state = self.state();
         let Some(m) = state.machines.get_mut(name) else {
             return;
         };
-        m.next_report += 1;
-        let (number, worker) = (m.next_report, name.to_string());
+        m.next_heartbeat += 1;
+        let (number, worker) = (m.next_heartbeat, name.to_string());
         drop(state);
-        self.at_time(at, move |w| w.send_report(&worker, number));
+        self.at_time(at, move |sim| sim.send_heartbeat(&worker, number));
     }
 
-    fn report_soon(self: &Arc<Self>, name: &str) {
+    fn heartbeat_soon(self: &Arc<Self>, name: &str) {
         let at = {
             let state = self.state();
             let Some(m) = state.machines.get(name).filter(|m| m.in_flight.is_none()) else {
@@ -248,59 +248,63 @@
             };
             (m.sent + 500_000).max(self.now())
         };
-        self.report_at(name, at);
+        self.heartbeat_at(name, at);
     }
 
-    fn send_report(self: &Arc<Self>, name: &str, number: u64) {
+    fn send_heartbeat(self: &Arc<Self>, name: &str, number: u64) {
         let now = self.now();
         let mut state = self.state();
         let Some(m) = state.machines.get_mut(name) else {
             return;
         };
-        if !m.up(now) || m.next_report != number || m.in_flight.is_some() {
+        if !m.up(now) || m.next_heartbeat != number || m.in_flight.is_some() {
             return;
         }
-        if m.hung_until > now {
-            let until = m.hung_until;
+        if m.frozen_until > now {
+            let until = m.frozen_until;
             drop(state);
-            return self.report_at(name, until);
+            return self.heartbeat_at(name, until);
         }
         let report = m.report(now);
         m.reports += 1;
         m.sent = now;
         m.in_flight = Some(m.reports);
-        let (flight, n, worker) = (m.reports, m.node, name.to_string());
+        let (request, n, worker) = (m.reports, m.node, name.to_string());
         let cut_until = m.cut_until;
         let (lost, held) = (
-            m.cut_until > now || m.mute_until > now,
+            m.cut_until > now || m.outbound_dropped_until > now,
             m.holds && m.cut_until > now,
         );
         drop(state);
-        self.after(PATIENCE, move |w| w.gives_up(&worker, flight));
+        self.after(PATIENCE, move |sim| {
+            sim.heartbeat_timed_out(&worker, request)
+        });
         if lost {
             if held {
-                self.at_time(cut_until, move |w| w.copy_arrives(n, &report));
+                self.at_time(cut_until, move |sim| sim.copy_arrives(n, &report));
             }
             return;
         }
         let there = self.latency();
-        self.after(there, move |w| w.report_arrives(n, report, flight, now));
+        self.after(there, move |sim| {
+            sim.heartbeat_arrives(n, report, request, now)
+        });
     }
 
-    fn gives_up(self: &Arc<Self>, name: &str, flight: u64) {
+    fn heartbeat_timed_out(self: &Arc<Self>, name: &str, request: u64) {
         let nodes = self.setup.nodes;
         {
             let mut state = self.state();
             let Some(m) = state.machines.get_mut(name) else {
                 return;
             };
-            if m.in_flight != Some(flight) {
+            if m.in_flight != Some(request) {
                 return;
             }
             m.in_flight = None;
             m.node = (m.node + 1) % nodes;
         }
-        self.report_at(name, self.now() + PAUSE);
+        self.heartbeat_at(name, self.now() + PAUSE);
     }
 
     /// Workers of that zone and the node reach each other, but for cuts of one direction.
@@ -317,7 +321,7 @@
             let Some(m) = state.machine_at(addr) else {
                 return false;
             };
-            if !m.up(now) || m.cut_until > now || m.deaf_until > now {
+            if !m.up(now) || m.cut_until > now || m.inbound_dropped_until > now {
                 return false;
             }
             m.zone.clone()
@@ -325,14 +329,19 @@
         // A connection needs both directions.
         let open = {
             let state = self.state();
-            let ways = [(End::Node(n), End::Workers), (End::Workers, End::Node(n))];
-            !ways.iter().any(|(from, to)| state.is_cut(*from, *to, now))
+            let directions = [
+                (Endpoint::Node(n), Endpoint::Workers),
+                (Endpoint::Workers, Endpoint::Node(n)),
+            ];
+            !directions
+                .iter()
+                .any(|(from, to)| state.is_cut(*from, *to, now))
         };
         open && self.reaches(n, &zone)
     }
 
     /// A node takes in a report. A frozen one does when it goes on.
-    fn by_heartbeat(
+    fn deliver_heartbeat(
         self: &Arc<Self>,
         n: usize,
         report: &Heartbeat,
@@ -344,7 +353,7 @@
         let (Some(process), Some(node)) = (process, node) else {
             return Err(None);
         };
-        if let Some(until) = self.sched.frozen(process) {
+        if let Some(until) = self.scheduler.frozen(process) {
             return Err(Some(until));
         }
         let request = Request {
@@ -359,52 +368,59 @@
         Ok((if late { 503 } else { response.status }, response.body))
     }
 
-    fn report_arrives(self: &Arc<Self>, n: usize, report: Heartbeat, flight: u64, sent: Time) {
+    fn heartbeat_arrives(self: &Arc<Self>, n: usize, report: Heartbeat, request: u64, sent: Time) {
         let zone = report.zone.clone();
-        let lost = self.state().is_cut(End::Workers, End::Node(n), self.now());
+        let lost = self
+            .state()
+            .is_cut(Endpoint::Workers, Endpoint::Node(n), self.now());
         if lost || !self.reaches(n, &zone) {
             return;
         }
-        let answer = match self.by_heartbeat(n, &report) {
+        let answer = match self.deliver_heartbeat(n, &report) {
             Ok(answer) => Some(answer),
             Err(Some(until)) => {
-                return self.at_time(until, move |w| w.report_arrives(n, report, flight, sent));
+                return self.at_time(until, move |sim| {
+                    sim.heartbeat_arrives(n, report, request, sent)
+                });
             }
             Err(None) => None,
         };
         let now = self.now();
         let copy = {
             let mut state = self.state();
-            let late = state.late_reports.filter(|l| l.until > now);
+            let late = state.late_heartbeats.filter(|l| l.until > now);
             late.filter(|l| state.rng.f64() < l.share)
         };
         match copy {
-            Some(late) if late.for_next => self.state().kept_reports.push(report.clone()),
+            Some(late) if late.for_next => self.state().kept_heartbeats.push(report.clone()),
             Some(_) => {
                 let later = self.random(2_000_000..secs(1.4 * LEASE_S));
                 let report = report.clone();
-                self.after(later, move |w| {
-                    let n = w.leader_or_any();
-                    w.copy_arrives(n, &report);
+                self.after(later, move |sim| {
+                    let n = sim.leader_or_any();
+                    sim.copy_arrives(n, &report);
                 });
             }
             None => {}
         }
-        if self.state().is_cut(End::Node(n), End::Workers, self.now()) {
+        if self
+            .state()
+            .is_cut(Endpoint::Node(n), Endpoint::Workers, self.now())
+        {
             return;
         }
         let back = self.latency();
         let name = report.machine.clone();
-        self.after(back, move |w| {
-            w.answer_arrives(&name, report.agent_epoch, flight, sent, answer);
+        self.after(back, move |sim| {
+            sim.answer_arrives(&name, report.agent_epoch, request, sent, answer);
         });
     }
 
     /// A report that nobody waits for an answer to any more.
     pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Heartbeat) {
-        if let Err(Some(until)) = self.by_heartbeat(n, report) {
+        if let Err(Some(until)) = self.deliver_heartbeat(n, report) {
             let report = report.clone();
-            self.at_time(until, move |w| w.copy_arrives(n, &report));
+            self.at_time(until, move |sim| sim.copy_arrives(n, &report));
         }
     }
 
@@ -412,7 +428,7 @@
         self: &Arc<Self>,
         name: &str,
         agent_epoch: u64,
-        flight: u64,
+        request: u64,
         sent: Time,
         answer: Option<(u16, Vec<u8>)>,
     ) {
@@ -422,21 +438,21 @@
         let Some(m) = state.machines.get_mut(name) else {
             return;
         };
-        if !m.up(now) || m.in_flight != Some(flight) {
+        if !m.up(now) || m.in_flight != Some(request) {
             return;
         }
-        if m.hung_until > now {
-            let (until, name) = (m.hung_until, name.to_string());
+        if m.frozen_until > now {
+            let (until, name) = (m.frozen_until, name.to_string());
             drop(state);
-            return self.at_time(until, move |w| {
-                w.answer_arrives(&name, agent_epoch, flight, sent, answer);
+            return self.at_time(until, move |sim| {
+                sim.answer_arrives(&name, agent_epoch, request, sent, answer);
             });
         }
-        if now - sent > PATIENCE || m.cut_until > now || m.deaf_until > now {
+        if now - sent > PATIENCE || m.cut_until > now || m.inbound_dropped_until > now {
             return;
         }
         m.in_flight = None;
-        let mut next = now + (REPORT_S * 1e6) as Time;
+        let mut next = now + (HEARTBEAT_S * 1e6) as Time;
         let mut commands = Vec::new();
         match answer {
             Some((200, body)) => {
@@ -451,7 +467,7 @@
                 }
             }
             Some((421, body)) => {
-                let named = foreman_of(&body).and_then(|f| f.strip_prefix("n-")?.parse().ok());
+                let named = leader_of(&body).and_then(|f| f.strip_prefix("n-")?.parse().ok());
                 match named.filter(|n| *n != m.node && *n < nodes) {
                     Some(named) => {
                         m.node = named;
@@ -469,13 +485,13 @@
             }
         }
         drop(state);
-        let spread = (REPORT_S * 250_000.0) as Time;
+        let spread = (HEARTBEAT_S * 250_000.0) as Time;
         let next = if next > now + PAUSE {
             next - spread + self.random(0..2 * spread)
         } else {
             next
         };
-        self.report_at(name, next);
+        self.heartbeat_at(name, next);
         self.execute(name, &commands);
     }
 
@@ -485,7 +501,7 @@
         n: usize,
         addr: SocketAddr,
         body: Vec<u8>,
-        then: impl FnOnce(&Arc<World>, (u16, Vec<u8>)) + Send + 'static,
+        then: impl FnOnce(&Arc<Simulation>, (u16, Vec<u8>)) + Send + 'static,
     ) {
         let now = self.now();
         let (zone, until, held) = {
@@ -493,20 +509,22 @@
             let Some(m) = state.machine_at(addr).filter(|m| m.up(now)) else {
                 return;
             };
-            if m.deaf_until > now {
+            if m.inbound_dropped_until > now {
                 return;
             }
-            let until = m.hung_until.max(m.cut_until);
-            (m.zone.clone(), until, m.hung_until > now || m.holds)
+            let until = m.frozen_until.max(m.cut_until);
+            (m.zone.clone(), until, m.frozen_until > now || m.holds)
         };
-        let lost = self.state().is_cut(End::Node(n), End::Workers, now);
+        let lost = self
+            .state()
+            .is_cut(Endpoint::Node(n), Endpoint::Workers, now);
         if lost || !self.reaches(n, &zone) {
             return;
         }
         if until > now {
             if held {
                 let later = until + self.latency();
-                self.at_time(later, move |w| w.commands_arrive(n, addr, body, then));
+                self.at_time(later, move |sim| sim.commands_arrive(n, addr, body, then));
             }
             return;
         }
@@ -535,7 +553,9 @@
         let mut state = self.state();
         let report = state.machines.get_mut(&name).map(|m| m.report(now));
         drop(state);
-        let lost = self.state().is_cut(End::Workers, End::Node(n), self.now());
+        let lost = self
+            .state()
+            .is_cut(Endpoint::Workers, Endpoint::Node(n), self.now());
         if let Some(report) = report.filter(|_| !lost) {
             then(self, (200, encode(&report)));
         }
@@ -548,7 +568,7 @@
         for o in commands {
             let key = (o.task_id.clone(), o.attempt);
             let mut state = self.state();
-            let State {
+            let SimulationState {
                 machines,
                 users,
                 rng,
@@ -594,7 +614,7 @@
                         let (at, timer) = (now + wait, m.timers);
                         let name = name.to_string();
                         drop(state);
-                        self.at_time(at, move |w| w.moves_on(&name, &key, timer));
+                        self.at_time(at, move |sim| sim.moves_on(&name, &key, timer));
                     }
                 }
                 CommandKind::Stop => {
@@ -618,7 +638,7 @@
                         t.ends = now + secs(save);
                         let (at, timer, name) = (t.ends, t.timer, name.to_string());
                         drop(state);
-                        self.at_time(at, move |w| w.moves_on(&name, &key, timer));
+                        self.at_time(at, move |sim| sim.moves_on(&name, &key, timer));
                     } else {
                         let left = on_machine(t);
                         t.status = TaskStatus::Exited;
@@ -639,7 +659,7 @@
             }
         }
         if changed {
-            self.report_soon(name);
+            self.heartbeat_soon(name);
         }
     }
 
@@ -648,24 +668,24 @@
         let now = self.now();
         let mut state = self.state();
         let plan = state.plan(&key.0).cloned();
-        let State {
+        let SimulationState {
             machines, checker, ..
         } = &mut *state;
         let Some(m) = machines.get_mut(name).filter(|m| m.alive()) else {
             return;
         };
         let place = m.place();
-        let (hung_until, hung_since) = (m.hung_until, m.hung_since);
+        let (frozen_until, frozen_since) = (m.frozen_until, m.frozen_since);
         let Some(t) = m.tasks.get_mut(key).filter(|t| t.timer == timer) else {
             return;
         };
-        if hung_until > now {
+        if frozen_until > now {
             // What was left to do is done once the machine goes on.
-            let left = t.ends.saturating_sub(hung_since);
-            t.ends = hung_until + left;
+            let left = t.ends.saturating_sub(frozen_since);
+            t.ends = frozen_until + left;
             let (at, name, key) = (t.ends, name.to_string(), key.clone());
             drop(state);
-            return self.at_time(at, move |w| w.moves_on(&name, &key, timer));
+            return self.at_time(at, move |sim| sim.moves_on(&name, &key, timer));
         }
         let (id, n) = split(&key.0);
         match t.status {
@@ -676,7 +696,7 @@
                 checker.starts(id, n, &place, now);
                 let (at, name, key) = (t.ends, name.to_string(), key.clone());
                 drop(state);
-                self.at_time(at, move |w| w.moves_on(&name, &key, timer));
+                self.at_time(at, move |sim| sim.moves_on(&name, &key, timer));
             }
             TaskStatus::Running => {
                 t.status = TaskStatus::Exited;
@@ -695,7 +715,7 @@
             }
             _ => return,
         }
-        self.report_soon(name);
+        self.heartbeat_soon(name);
     }
 
     /// Machines that are up now, by name.
@@ -732,14 +752,14 @@
                 }
             }
         }
-        self.trouble(span);
+        self.note_fault(span);
     }
 
-    pub fn hang(&self, names: &[String], span: f64) {
+    pub fn freeze_machines(&self, names: &[String], span: f64) {
         let now = self.now();
         self.change_machines(names, span, |m, until| {
-            m.hung_since = now;
-            m.hung_until = until;
+            m.frozen_since = now;
+            m.frozen_until = until;
         });
     }
 
@@ -750,38 +770,38 @@
         });
     }
 
-    pub fn mute(&self, names: &[String], span: f64) {
-        self.change_machines(names, span, |m, until| m.mute_until = until);
+    pub fn drop_outbound(&self, names: &[String], span: f64) {
+        self.change_machines(names, span, |m, until| m.outbound_dropped_until = until);
     }
 
-    pub fn deafen(&self, names: &[String], span: f64) {
-        self.change_machines(names, span, |m, until| m.deaf_until = until);
+    pub fn drop_inbound(&self, names: &[String], span: f64) {
+        self.change_machines(names, span, |m, until| m.inbound_dropped_until = until);
     }
 
     /// The cloud takes spot machines, after a notice.
     pub fn give_preemption_notice(self: &Arc<Self>, names: &[String], notice: f64) {
         self.change_machines(names, notice, |m, until| m.preempted_at = Some(until));
         for name in names {
-            self.report_soon(name);
+            self.heartbeat_soon(name);
             let name = name.clone();
-            self.after(secs(notice), move |w| {
-                w.remove_machine(&name, |m, now| m.gone_at = Some(now));
+            self.after(secs(notice), move |sim| {
+                sim.remove_machine(&name, |m, now| m.gone_at = Some(now));
             });
         }
     }
 
     /// Machines stop for good; nobody is told.
-    pub fn die(&self, names: &[String]) {
+    pub fn kill_machines(&self, names: &[String]) {
         for name in names {
             self.remove_machine(name, |m, now| m.died_at = Some(now));
         }
-        self.trouble(LISTED_AFTER_DEATH_S);
+        self.note_fault(LISTED_AFTER_DEATH_S);
     }
 
     pub(crate) fn remove_machine(&self, name: &str, change: impl Fn(&mut Machine, Time)) {
         let now = self.now();
         let mut state = self.state();
-        let State {
+        let SimulationState {
             machines, checker, ..
         } = &mut *state;
         let Some(m) = machines.get_mut(name).filter(|m| m.gone_at.is_none()) else {
@@ -798,7 +818,7 @@
 }
 
 /// The controller that a refusal of a heartbeat names.
-pub fn foreman_of(body: &[u8]) -> Option<String> {
+pub fn leader_of(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct Hint {
         #[serde(rename = "foreman")]
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -1,7 +1,7 @@
 //! What the plans of many tests share: jobs, and users that look closely or cancel.
 
-use crate::checker::{JobPlan, Told};
-use crate::simulation::{Setup, World};
+use crate::checker::{Answer, JobPlan};
+use crate::simulation::{Setup, Simulation};
 use std::sync::Arc;
 
 pub const SEEDS: u64 = 8;
@@ -12,7 +12,7 @@
 
 /// Jobs that come evenly from one second to another; their names.
 pub fn jobs(
-    w: &Arc<World>,
+    sim: &Arc<Simulation>,
     from: f64,
     to: f64,
     count: u32,
@@ -23,34 +23,40 @@
         let mut p = JobPlan::new(i, 1 + i % 3, 2.0, 12.0);
         plan(i, &mut p);
         let id = p.id.clone();
-        w.submit(from + every * f64::from(i), p);
+        sim.submit(from + every * f64::from(i), p);
         id
     };
     (0..count).map(one).collect()
 }
 
 /// The users of these jobs ask at all nodes at once whenever something becomes known.
-pub fn look_closely(w: &Arc<World>, ids: &[String]) {
+pub fn ask_closely(sim: &Arc<Simulation>, ids: &[String]) {
     for id in ids {
         let id = id.clone();
         // Their submissions create them; until then there is nobody to change.
-        w.at(3.0, move |w| watch_closely(w, id));
+        sim.at(3.0, move |sim| watch_closely(sim, id));
     }
 }
 
-fn watch_closely(w: &Arc<World>, id: String) {
-    let known = w.state().users.contains_key(&id);
-    w.change_user(&id, |u| u.close_looks = true);
+fn watch_closely(sim: &Arc<Simulation>, id: String) {
+    let known = sim.state().users.contains_key(&id);
+    sim.change_user(&id, |u| u.asks_closely = true);
     if !known {
-        w.after(50_000, move |w| watch_closely(w, id));
+        sim.after(50_000, move |sim| watch_closely(sim, id));
     }
 }
 
-pub fn cancel_each(w: &Arc<World>, ids: &[String], from: f64, to: f64, rng: &mut fastrand::Rng) {
+pub fn cancel_each(
+    sim: &Arc<Simulation>,
+    ids: &[String],
+    from: f64,
+    to: f64,
+    rng: &mut fastrand::Rng,
+) {
     for id in ids {
         let id = id.clone();
         let at = from + rng.f64() * (to - from);
-        w.at(at, move |w| w.user_cancels(&id));
+        sim.at(at, move |sim| sim.user_cancels(&id));
     }
 }
 
@@ -63,32 +69,32 @@
 }
 
 /// Cancels each job some time after it was accepted.
-pub fn cancel_soon(w: &Arc<World>, ids: &[String], most_s: f64, rng: &mut fastrand::Rng) {
+pub fn cancel_soon(sim: &Arc<Simulation>, ids: &[String], most_s: f64, rng: &mut fastrand::Rng) {
     for id in ids {
         let id = id.clone();
         let wait = (rng.f64() * most_s * 1e6) as u64;
-        w.at(3.0, move |w| cancel_once_known(w, id, wait));
+        sim.at(3.0, move |sim| cancel_once_known(sim, id, wait));
     }
 }
 
-fn cancel_once_known(w: &Arc<World>, id: String, wait: u64) {
-    match w.state().checker.is_accepted(&id) {
-        true => w.after(wait, move |w| w.user_cancels(&id)),
-        false => w.after(20_000, move |w| cancel_once_known(w, id, wait)),
+fn cancel_once_known(sim: &Arc<Simulation>, id: String, wait: u64) {
+    match sim.state().checker.is_accepted(&id) {
+        true => sim.after(wait, move |sim| sim.user_cancels(&id)),
+        false => sim.after(20_000, move |sim| cancel_once_known(sim, id, wait)),
     }
 }
 
-pub fn expect(w: &Arc<World>, told: Option<Told>, status: u16, state: Option<&str>) {
-    let (told, text) = match told {
+pub fn expect(sim: &Arc<Simulation>, answer: Option<Answer>, status: u16, state: Option<&str>) {
+    let (answer, text) = match answer {
         Some(t) => (Some((t.status, t.state.clone())), format!("{t:?}")),
         None => (None, "no answer".into()),
     };
-    let as_wanted = told.is_some_and(|(s, found)| {
+    let as_wanted = answer.is_some_and(|(s, found)| {
         // The job that goes on may be told as running or queued.
         s == status && (state.is_none_or(|s| s == "queued" || found.as_deref() == Some(s)))
     });
     if !as_wanted {
         let line = format!("wanted {status} {state:?}, got {text}");
-        w.state().checker.broken.push(line);
+        sim.state().checker.broken.push(line);
     }
 }
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -11,8 +11,8 @@
     }
 }
 
-fn told(question: Question, sent: f64, got: f64, status: u16, state: &str) -> Told {
-    Told {
+fn answer(question: Question, sent: f64, got: f64, status: u16, state: &str) -> Answer {
+    Answer {
         question,
         node: 0,
         sent: secs(sent),
@@ -27,7 +27,7 @@
     let mut plan = JobPlan::new(1, 2, 4.0, 10.0);
     edit(&mut plan);
     c.submitted(&plan);
-    c.told("run-1", &told(Question::Submit, 0.0, 1.0, 201, "queued"));
+    c.answered("run-1", &answer(Question::Submit, 0.0, 1.0, 201, "queued"));
     assert_eq!(c.broken, Vec::<String>::new());
     c
 }
@@ -82,7 +82,10 @@
     let mut c = accepted(|_| ());
     c.starts("run-1", 0, &place("m", "east"), secs(2.0));
     c.asks_cancel("run-1");
-    c.told("run-1", &told(Question::Cancel, 3.0, 4.0, 200, "cancelled"));
+    c.answered(
+        "run-1",
+        &answer(Question::Cancel, 3.0, 4.0, 200, "cancelled"),
+    );
     c.starts("run-1", 1, &place("m", "east"), secs(5.0));
     c.look(secs(44.0));
     assert_eq!((rules(&c), c.late_starts.len()), (vec![], 1));
@@ -97,29 +100,29 @@
 #[test]
 fn jobs_that_are_forgotten() {
     let mut c = accepted(|_| ());
-    c.told("run-1", &told(Question::Status, 0.5, 2.0, 404, ""));
+    c.answered("run-1", &answer(Question::Status, 0.5, 2.0, 404, ""));
     assert_eq!(
         rules(&c),
         [""; 0],
         "it was asked before the job was accepted"
     );
-    c.told("run-1", &told(Question::Status, 2.0, 2.1, 404, ""));
-    c.told("run-1", &told(Question::BadSubmit, 2.0, 2.1, 400, ""));
-    c.told("run-1", &told(Question::Submit, 2.0, 2.1, 422, ""));
-    c.told("run-1", &told(Question::Cancel, 2.0, 2.1, 404, ""));
+    c.answered("run-1", &answer(Question::Status, 2.0, 2.1, 404, ""));
+    c.answered("run-1", &answer(Question::BadSubmit, 2.0, 2.1, 400, ""));
+    c.answered("run-1", &answer(Question::Submit, 2.0, 2.1, 422, ""));
+    c.answered("run-1", &answer(Question::Cancel, 2.0, 2.1, 404, ""));
     assert_eq!(rules(&c), ["forgotten"; 4]);
     let mut c = accepted(|_| ());
-    c.in_vain("run-1", Question::Status, secs(5.0), secs(7.0));
-    c.in_vain("run-1", Question::Status, secs(95.0), secs(96.0));
+    c.unanswered("run-1", Question::Status, secs(5.0), secs(7.0));
+    c.unanswered("run-1", Question::Status, secs(95.0), secs(96.0));
     assert_eq!(rules(&c), ["forgotten"]);
 }
 
 #[test]
 fn jobs_that_nobody_submitted() {
     let mut c = accepted(|_| ());
-    c.told("run-2", &told(Question::Status, 2.0, 3.0, 404, ""));
+    c.answered("run-2", &answer(Question::Status, 2.0, 3.0, 404, ""));
     assert_eq!(rules(&c), [""; 0]);
-    c.told("run-2", &told(Question::Status, 2.0, 3.0, 200, "queued"));
+    c.answered("run-2", &answer(Question::Status, 2.0, 3.0, 200, "queued"));
     c.starts("run-2", 0, &place("m", "east"), secs(2.0));
     assert_eq!(rules(&c), ["invented"; 2]);
 }
@@ -128,7 +131,7 @@
 fn jobs_called_done_too_soon() {
     let mut c = accepted(|_| ());
     c.leaves("run-1", 0, "m", true);
-    c.told("run-1", &told(Question::Status, 2.0, 3.0, 200, "done"));
+    c.answered("run-1", &answer(Question::Status, 2.0, 3.0, 200, "done"));
     assert_eq!(rules(&c), ["not_done"]);
 }
 
@@ -138,19 +141,25 @@
         let mut c = accepted(|_| ());
         c.leaves("run-1", 0, "m", true);
         c.leaves("run-1", 1, "m", true);
-        c.told("run-1", &told(Question::Status, 2.0, 3.0, 200, "done"));
+        c.answered("run-1", &answer(Question::Status, 2.0, 3.0, 200, "done"));
         c
     };
     let mut c = done();
-    c.told("run-1", &told(Question::Status, 2.9, 3.1, 200, "running"));
+    c.answered("run-1", &answer(Question::Status, 2.9, 3.1, 200, "running"));
     assert_eq!(rules(&c), [""; 0], "it was asked before");
-    c.told("run-1", &told(Question::Status, 3.0, 3.1, 200, "running"));
+    c.answered("run-1", &answer(Question::Status, 3.0, 3.1, 200, "running"));
     assert_eq!(rules(&c), ["went_back"]);
     let mut c = done();
     c.asks_cancel("run-1");
-    c.told("run-1", &told(Question::Cancel, 2.9, 3.1, 200, "cancelled"));
+    c.answered(
+        "run-1",
+        &answer(Question::Cancel, 2.9, 3.1, 200, "cancelled"),
+    );
     assert_eq!(rules(&c), ["went_back"], "it ended in two ways");
     let mut c = accepted(|_| ());
-    c.told("run-1", &told(Question::Status, 2.0, 3.0, 200, "cancelled"));
+    c.answered(
+        "run-1",
+        &answer(Question::Status, 2.0, 3.0, 200, "cancelled"),
+    );
     assert_eq!(rules(&c), ["went_back"], "nobody cancelled it");
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,6 +1,6 @@
 //! `aspenreel-soak`: plays soak runs and tells how each ended.
 
-use aspenreel_soak::run::{RunPlan, RunReport, is_good, play};
+use aspenreel_soak::run::{RunPlan, RunReport, is_good, run};
 use aspenreel_soak::schedule::Schedule;
 use clap::Parser;
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
 }
 
 /// Broken rules that are told of one run.
-const MOST_LINES: usize = 12;
+const MAX_LINES: usize = 12;
 
 fn main() -> ExitCode {
     let options = Options::parse();
@@ -63,7 +63,7 @@
             workers: options.workers,
             length: Duration::from_secs(options.seconds),
         };
-        let report = play(&plan, &stop);
+        let report = run(&plan, &stop);
         played += 1;
         tell(seed, &report);
         if report.is_partial {
@@ -95,10 +95,10 @@
         report.broken.len(),
         report.seconds
     );
-    for line in report.broken.iter().take(MOST_LINES) {
+    for line in report.broken.iter().take(MAX_LINES) {
         println!("  {line}");
     }
-    if report.broken.len() > MOST_LINES {
-        println!("  and {} more", report.broken.len() - MOST_LINES);
+    if report.broken.len() > MAX_LINES {
+        println!("  and {} more", report.broken.len() - MAX_LINES);
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,11 +1,11 @@
 //! One run: a cluster, its users, and the troubles of a schedule.
 
 use crate::controllers::{self, Controllers, Launch};
-use crate::schedule::{Planned, Schedule, Target, Trouble};
-use aspenreel_simulation::directions::Way;
+use crate::schedule::{Fault, Planned, Schedule, Target};
+use aspenreel_simulation::directions::Direction;
 use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
 use aspenreel_simulation::stand_ins::loopback_users::{Demand, Users};
-use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Site};
+use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -58,9 +58,9 @@
 }
 
 /// Plays one run. Nothing of it is left when it returns.
-pub fn play(plan: &RunPlan, stop: &AtomicBool) -> RunReport {
+pub fn run(plan: &RunPlan, stop: &AtomicBool) -> RunReport {
     let began = Instant::now();
-    let site = Site {
+    let deployment = Deployment {
         team_cpus: f64::from(plan.workers) * MACHINE_CPUS,
         sockets: 500 + 4 * plan.workers,
     };
@@ -74,7 +74,7 @@
         },
     };
     let spawn = |config: &Path| controllers::spawn(&launch, config);
-    let mut cluster = LoopbackCluster::start(&tag, &site, spawn);
+    let mut cluster = LoopbackCluster::start(&tag, &deployment, spawn);
     prepare(&cluster, plan.workers);
     let children = std::mem::take(&mut cluster.nodes.children);
     let controllers = Controllers::new(launch, &cluster.nodes.configs, children);
@@ -91,7 +91,7 @@
             let run = &run;
             scope.spawn(move || run.use_it(plan, number, calm));
         }
-        run.make_trouble(scope, &schedule);
+        run.inject_faults(scope, &schedule);
     });
     let mut report = RunReport {
         is_partial: stop.load(Ordering::Relaxed),
@@ -110,8 +110,8 @@
         checker.look(now);
         report.broken.extend(checker.broken.iter().cloned());
         report.starts = checker.starts;
-        report.done = checker.told_done;
-        report.cancelled = checker.told_cancelled;
+        report.done = checker.answered_done;
+        report.cancelled = checker.answered_cancelled;
     });
     report
 }
@@ -124,10 +124,10 @@
 fn prepare(cluster: &LoopbackCluster, workers: u32) {
     let cloud = &cluster.cloud;
     cloud
-        .most_a_rental
+        .max_machines_per_rental
         .store(u64::from(workers.max(3)), Ordering::Relaxed);
     if workers > MANY_WORKERS {
-        cloud.ground.report_ms.store(400, Ordering::Relaxed);
+        cloud.environment.report_ms.store(400, Ordering::Relaxed);
         cloud.start_machines(workers);
     }
 }
@@ -163,7 +163,7 @@
         let tasks = plan.workers / (USERS * OPEN_JOBS as u32 / 2);
         users.demand(Demand {
             open_jobs: OPEN_JOBS,
-            most_tasks: tasks.max(3),
+            max_tasks: tasks.max(3),
             cpus: if plan.workers > MANY_WORKERS {
                 MACHINE_CPUS
             } else {
@@ -179,46 +179,46 @@
     }
 
     /// Begins each trouble in its time, beside the others.
-    fn make_trouble<'s>(&'s self, scope: &'s std::thread::Scope<'s, '_>, schedule: &Schedule) {
+    fn inject_faults<'s>(&'s self, scope: &'s std::thread::Scope<'s, '_>, schedule: &Schedule) {
         for planned in schedule.0.clone() {
-            scope.spawn(move || self.one_trouble(planned));
+            scope.spawn(move || self.inject_fault(planned));
         }
     }
 
-    fn one_trouble(&self, planned: Planned) {
+    fn inject_fault(&self, planned: Planned) {
         if !self.wait_until(planned.at) {
             return;
         }
-        match planned.trouble {
-            Trouble::Kill { target, back_after } => self.kill(self.node(target), back_after),
-            Trouble::Pause { target, lasts } => {
+        match planned.fault {
+            Fault::Kill { target, back_after } => self.kill(self.node(target), back_after),
+            Fault::Pause { target, lasts } => {
                 let node = self.node(target);
                 self.controllers.pause(node);
                 self.last(lasts);
                 self.controllers.resume(node);
             }
-            Trouble::Cut {
+            Fault::Cut {
                 target,
-                way,
+                direction,
                 traffic,
                 lasts,
             } => {
-                let way = Way::all_of(self.node(target), NODES)[way];
-                self.cluster.set(way, traffic);
+                let direction = Direction::all_of(self.node(target), NODES)[direction];
+                self.cluster.set(direction, traffic);
                 self.last(lasts);
-                self.cluster.set(way, Traffic::Passes);
+                self.cluster.set(direction, Traffic::Passes);
             }
-            Trouble::HoldOrders {
+            Fault::DelayCommands {
                 target,
                 late_by,
                 lasts,
             } => {
                 let node = self.node(target);
-                self.cluster.hold_commands(node, Traffic::Late(late_by));
+                self.cluster.delay_commands(node, Traffic::Late(late_by));
                 self.last(lasts);
-                self.cluster.hold_commands(node, Traffic::Passes);
+                self.cluster.delay_commands(node, Traffic::Passes);
             }
-            Trouble::Outage { lasts } => {
+            Fault::Outage { lasts } => {
                 *self
                     .cluster
                     .state
@@ -228,7 +228,7 @@
                 self.last(lasts);
                 self.cluster.state.recovers();
             }
-            Trouble::LeadersInSeries { count, every } => {
+            Fault::LeadersInSeries { count, every } => {
                 for _ in 0..count {
                     if self.is_stopped() {
                         break;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -15,7 +15,7 @@
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// The process is killed and started again.
     Kill {
         /// Whose process.
@@ -30,19 +30,19 @@
         /// Until it goes on.
         lasts: Duration,
     },
-    /// The directed ways of a controller, by their numbers in `Way::all_of`.
+    /// The directed ways of a controller, by their numbers in `Direction::all_of`.
     Cut {
         /// Whose way.
         target: Target,
         /// Its number.
-        way: usize,
+        direction: usize,
         /// What happens to what goes this way.
         traffic: Traffic,
         /// Until the way is open again.
         lasts: Duration,
     },
     /// Orders straight to workers arrive late, once and unanswered; heartbeats are not touched.
-    HoldOrders {
+    DelayCommands {
         /// Whose orders.
         target: Target,
         /// From their sending to their arrival.
@@ -72,7 +72,7 @@
     pub at: Duration,
     /// What happens then.
     /// What happens then.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// The troubles of one run, in their order.
@@ -85,7 +85,7 @@
     Kill,
     Pause,
     Cut,
-    HoldOrders,
+    DelayCommands,
     Outage,
     LeadersInSeries,
 }
@@ -96,13 +96,13 @@
     Kind::Cut,
     Kind::Outage,
     Kind::LeadersInSeries,
-    Kind::HoldOrders,
-    Kind::HoldOrders,
-    Kind::HoldOrders,
+    Kind::DelayCommands,
+    Kind::DelayCommands,
+    Kind::DelayCommands,
 ];
 
 /// Directed ways of one controller in a cluster of three.
-const WAYS: usize = 8;
+const DIRECTIONS: usize = 8;
 /// Before the first trouble jobs run.
 const FIRST: Duration = Duration::from_millis(2500);
 
@@ -117,10 +117,10 @@
             for _ in 0..rng.u32(1..=3) {
                 let spread = millis(&mut rng, 0, 1500);
                 let kind = kinds[rng.usize(0..kinds.len())];
-                let trouble = draw_trouble(kind, &mut rng);
+                let fault = draw_fault(kind, &mut rng);
                 planned.push(Planned {
                     at: at + spread,
-                    trouble,
+                    fault,
                 });
             }
             at += millis(&mut rng, 2000, 6000);
@@ -149,18 +149,18 @@
     kinds
 }
 
-fn draw_trouble(kind: Kind, rng: &mut fastrand::Rng) -> Trouble {
+fn draw_fault(kind: Kind, rng: &mut fastrand::Rng) -> Fault {
     let target = draw_target(rng);
     let lasts = millis(rng, 400, 6000);
     match kind {
-        Kind::Kill => Trouble::Kill {
+        Kind::Kill => Fault::Kill {
             target,
             back_after: millis(rng, 100, 3000),
         },
-        Kind::Pause => Trouble::Pause { target, lasts },
-        Kind::Cut => Trouble::Cut {
+        Kind::Pause => Fault::Pause { target, lasts },
+        Kind::Cut => Fault::Cut {
             target,
-            way: rng.usize(0..WAYS),
+            direction: rng.usize(0..DIRECTIONS),
             traffic: match rng.u32(0..4) {
                 0 => Traffic::Reset,
                 1 => Traffic::Delayed(Duration::from_millis(300)),
@@ -168,13 +168,13 @@
             },
             lasts,
         },
-        Kind::HoldOrders => Trouble::HoldOrders {
+        Kind::DelayCommands => Fault::DelayCommands {
             target: Target::Leader,
             late_by: millis(rng, 2000, 24_000),
             lasts,
         },
-        Kind::Outage => Trouble::Outage { lasts },
-        Kind::LeadersInSeries => Trouble::LeadersInSeries {
+        Kind::Outage => Fault::Outage { lasts },
+        Kind::LeadersInSeries => Fault::LeadersInSeries {
             count: rng.u32(2..5),
             every: millis(rng, 1500, 4000),
         },
@@ -184,12 +184,7 @@
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for planned in &self.0 {
-            writeln!(
-                f,
-                "{:>8.3}  {:?}",
-                planned.at.as_secs_f64(),
-                planned.trouble
-            )?;
+            writeln!(f, "{:>8.3}  {:?}", planned.at.as_secs_f64(), planned.fault)?;
         }
         Ok(())
     }
--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -1,8 +1,10 @@
 //! Controllers of the program under test.
 
-use aspenreel_simulation::stand_ins::cloud_server::{Cloud, State};
+use aspenreel_simulation::stand_ins::cloud_server::{CloudServer, StoreServer};
 use aspenreel_simulation::stand_ins::processes::spawn_with;
-pub use aspenreel_simulation::stand_ins::processes::{Addresses, Answer, Nodes, Site, job, leader};
+pub use aspenreel_simulation::stand_ins::processes::{
+    Addresses, Deployment, JobStatus, Nodes, job, leader,
+};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Stdio};
@@ -22,11 +24,11 @@
 pub fn start_as(program: &Path, states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
     let addresses = Addresses::free();
     let peers = addresses.peers.clone();
-    let ways = |_, to: usize| peers[to];
+    let peer_address = |_, to: usize| peers[to];
     Nodes::start_at(
-        &Site::default(),
+        &Deployment::default(),
         addresses,
-        ways,
+        peer_address,
         states,
         cloud,
         tag,
@@ -64,9 +66,9 @@
 }
 
 /// Three controllers that are up, and the stand-ins that they talk to.
-pub fn serving(tag: &str) -> (Arc<State>, Arc<Cloud>, Nodes) {
-    let (state, state_addr) = State::start();
-    let (cloud, cloud_addr) = Cloud::start();
+pub fn serving(tag: &str) -> (Arc<StoreServer>, Arc<CloudServer>, Nodes) {
+    let (state, state_addr) = StoreServer::start();
+    let (cloud, cloud_addr) = CloudServer::start();
     let nodes = start(state_addr, cloud_addr, tag);
     let named = |i: usize| (format!("n-{i}"), nodes.public[i]);
     *cloud.controllers.lock().unwrap() = (0..3).map(named).collect();
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -17,13 +17,13 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-pub struct World {
+pub struct LeaderTrace {
     pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
     /// The state service takes higher tokens.
     pub raises_tokens: bool,
-    ticks: BTreeMap<String, u64>,
+    sequences: BTreeMap<String, u64>,
     told: BTreeMap<String, u64>,
     epoch: u64,
 }
@@ -105,9 +105,9 @@
     format!("{kind} {}#{term}.{counter}", command.task_id)
 }
 
-impl World {
+impl LeaderTrace {
     /// A leader of `term` that took over at second 0.
-    pub fn new(term: u64, teams: Vec<TeamSettings>) -> World {
+    pub fn new(term: u64, teams: Vec<TeamSettings>) -> LeaderTrace {
         let config = SchedulerConfig {
             teams,
             lease: Micros::from_secs(20),
@@ -127,12 +127,12 @@
         };
         let mut scheduler = SchedulerState::new(config, term, at(0.0), 7);
         scheduler.provisioning.catalog = catalog().types();
-        World {
+        LeaderTrace {
             scheduler,
             log: String::new(),
             now: at(0.0),
             raises_tokens: true,
-            ticks: BTreeMap::new(),
+            sequences: BTreeMap::new(),
             told: BTreeMap::new(),
             epoch: 100,
         }
@@ -188,7 +188,7 @@
         agent_epoch: u64,
         tasks: &[&str],
     ) -> Heartbeat {
-        let sequence = self.ticks.entry(machine.to_string()).or_insert(0);
+        let sequence = self.sequences.entry(machine.to_string()).or_insert(0);
         *sequence += 1;
         // Names tell type and zone: `small-east-1`.
         let parts: Vec<&str> = machine.split('-').collect();
@@ -207,13 +207,13 @@
     }
 
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
-        let fencing_token = self.token_of(machine);
+        let fencing_token = self.known_token(machine);
         let report = self.report(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
     /// The highest token that a worker which takes every answer has seen.
-    fn token_of(&self, machine: &str) -> u64 {
+    fn known_token(&self, machine: &str) -> u64 {
         let told = self.told.get(machine).copied();
         told.unwrap_or(self.scheduler.term)
     }
@@ -319,7 +319,7 @@
     }
 
     /// Sends one direct call, if there is one, and ends it as told.
-    pub fn direct(&mut self, result: impl FnOnce(&mut World) -> DirectResult) -> &mut Self {
+    pub fn direct(&mut self, result: impl FnOnce(&mut LeaderTrace) -> DirectResult) -> &mut Self {
         let Some(call) = self.scheduler.next_direct(self.now) else {
             self.note("no direct call");
             return self;
@@ -440,15 +440,15 @@
 }
 
 /// A worker as a long trace needs it: it does what it is told, and its tasks end by themselves.
-pub struct SimWorker {
+pub struct ExecutingWorker {
     pub name: String,
     tasks: Vec<(String, u64, f64)>,
     over: Vec<(String, u64)>,
 }
 
-impl SimWorker {
-    pub fn new(name: &str) -> SimWorker {
-        SimWorker {
+impl ExecutingWorker {
+    pub fn new(name: &str) -> ExecutingWorker {
+        ExecutingWorker {
             name: name.into(),
             tasks: Vec::new(),
             over: Vec::new(),
@@ -456,12 +456,12 @@
     }
 }
 
-impl World {
+impl LeaderTrace {
     /// One heartbeat of such a worker at `seconds`. Tasks run for `run` of their job. Jobs that it
     /// starts for the first time go into `begun`.
     pub fn serve(
         &mut self,
-        worker: &mut SimWorker,
+        worker: &mut ExecutingWorker,
         seconds: f64,
         run: &impl Fn(&str) -> f64,
         begun: &mut BTreeMap<String, f64>,
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -9,39 +9,43 @@
 use aspenreel::invariants::violation_count;
 use aspenreel::time::Micros;
 use aspenreel::workers::direct::DirectResult;
-use trace::{World, submission, team};
+use trace::{LeaderTrace, submission, team};
 
-fn world() -> World {
-    World::new(2, vec![team("a", 64.0, 64.0)])
+fn trace() -> LeaderTrace {
+    LeaderTrace::new(2, vec![team("a", 64.0, 64.0)])
 }
 
 /// A worker shows a running task that this leader decided on, of a job that it has let go.
 fn a_task_of_a_retired_job() {
-    let mut w = world();
-    w.heartbeat("big-east-1", &[]);
-    w.at(30.0).heartbeat("big-east-1", &["run-9/0#2.7 running"]);
+    let mut trace = trace();
+    trace.heartbeat("big-east-1", &[]);
+    trace
+        .at(30.0)
+        .heartbeat("big-east-1", &["run-9/0#2.7 running"]);
 }
 
 /// A start is cleared, in a trace that no worker would play, and shows up after its cancellation's time.
 fn a_late_start() {
-    let mut w = world();
-    w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
-    w.at(1.0).heartbeat("big-east-1", &[]);
-    w.scheduler.ask_cancel("run-1", w.now);
-    w.at(60.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
+    let mut trace = trace();
+    trace.heartbeat("big-east-1", &[]);
+    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.at(1.0).heartbeat("big-east-1", &[]);
+    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace
+        .at(60.0)
+        .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
 }
 
 /// The time for a cancellation is shorter than a lease, which settings can't be.
 fn a_start_that_is_not_revoked() {
-    let mut w = world();
-    w.raises_tokens = false;
-    w.scheduler.config.cancel = Micros::from_secs(5);
-    w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
-    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    w.scheduler.ask_cancel("run-1", w.now);
-    w.on_timer(7.0);
+    let mut trace = trace();
+    trace.raises_tokens = false;
+    trace.scheduler.config.cancel = Micros::from_secs(5);
+    trace.heartbeat("big-east-1", &[]);
+    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.on_timer(7.0);
 }
 
 #[test]
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -5,7 +5,7 @@
 //! the controllers do now.
 
 use aspenreel_simulation::drawn_faults;
-use aspenreel_simulation::run::play;
+use aspenreel_simulation::run::run;
 use aspenreel_simulation::simulation::{CANCEL_S, Setup, Summary};
 use aspenreel_simulation::workloads::*;
 use std::fmt::Write;
@@ -28,7 +28,7 @@
 }
 
 fn drawn_troubles() -> String {
-    let ends = play(SEEDS_OF_EACH, &setup(), drawn_faults::draw);
+    let ends = run(SEEDS_OF_EACH, &setup(), drawn_faults::draw);
     lines("drawn troubles", &ends)
 }
 
@@ -38,25 +38,25 @@
         flags: |_| &["--half-cut-links"],
         ..setup()
     };
-    let ends = play(SEEDS_OF_EACH, &site, drawn_faults::draw);
+    let ends = run(SEEDS_OF_EACH, &site, drawn_faults::draw);
     lines("drawn troubles with watched links", &ends)
 }
 
 fn unconfirmed_starts() -> String {
-    let ends = play(SEEDS_OF_EACH, &setup(), |w, rng| {
-        let ids = jobs(w, 4.0, 70.0, 60, |i, p| {
+    let ends = run(SEEDS_OF_EACH, &setup(), |sim, rng| {
+        let ids = jobs(sim, 4.0, 70.0, 60, |i, p| {
             p.run_s = 6.0 + f64::from(i % 4) * 6.0;
             p.rank = ["low", "normal", "high", "production"][i as usize % 4];
             p.standing = i % 20 == 0;
         });
-        w.at(6.0, move |w| {
-            w.hold_commands(0.5, 10.0..CANCEL_S + 50.0, 70.0)
+        sim.at(6.0, move |sim| {
+            sim.delay_commands(0.5, 10.0..CANCEL_S + 50.0, 70.0)
         });
-        w.at(30.0, move |w| w.crash(w.leader_or_any(), 2.0));
-        cancel_soon(w, &every_other(&ids, 2), 8.0, rng);
+        sim.at(30.0, move |sim| sim.crash(sim.leader_or_any(), 2.0));
+        cancel_soon(sim, &every_other(&ids, 2), 8.0, rng);
         // Standing jobs run until somebody cancels them.
         for id in every_other(&ids, 20) {
-            w.at(110.0, move |w| w.user_cancels(&id));
+            sim.at(110.0, move |sim| sim.user_cancels(&id));
         }
     });
     lines("unconfirmed starts", &ends)
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -1,8 +1,8 @@
 //! A site with more than four thousand machines.
 
 use aspenreel_simulation::checker::JobPlan;
-use aspenreel_simulation::run::play;
-use aspenreel_simulation::simulation::{Setup, World};
+use aspenreel_simulation::run::run;
+use aspenreel_simulation::simulation::{Setup, Simulation};
 use std::sync::Arc;
 
 const MACHINES_IN_ZONE: usize = 2100;
@@ -11,9 +11,9 @@
 const VANISH: usize = 300;
 
 /// How long ago the leader last had a whole list of machines, in seconds.
-fn age_of_list(w: &Arc<World>) -> Option<f64> {
-    let leader = w.leader()?;
-    let node = w.state().nodes[leader].node.clone()?;
+fn age_of_list(sim: &Arc<Simulation>) -> Option<f64> {
+    let leader = sim.leader()?;
+    let node = sim.state().nodes[leader].node.clone()?;
     let now = node.now();
     let state = node.state();
     let listed = state.scheduler.as_ref()?.provisioning.last_list?;
@@ -21,10 +21,10 @@
 }
 
 /// Notes what isn't as it should be with the broken rules: a panic would stop the model's time.
-fn require(w: &Arc<World>, holds: bool, problem: impl Fn() -> String) {
+fn require(sim: &Arc<Simulation>, holds: bool, problem: impl Fn() -> String) {
     if !holds {
-        let text = format!("at {:.0} s: {}", w.since_start().as_secs_f64(), problem());
-        w.state().checker.broken.push(text);
+        let text = format!("at {:.0} s: {}", sim.since_start().as_secs_f64(), problem());
+        sim.state().checker.broken.push(text);
     }
 }
 
@@ -41,27 +41,27 @@
         flags: |_| &["--half-cut-links", "--idle-ms", "3600000"],
         ..Setup::default()
     };
-    let ends = play(1, &site, move |w, _| {
+    let ends = run(1, &site, move |sim, _| {
         // One task for each machine takes all of it.
         let mut everywhere = JobPlan::new(1, all as u32, CPUS, 60.0);
         everywhere.rank = "high";
-        w.submit(15.0, everywhere);
-        w.at(60.0, move |w| {
-            let busy = w.state().checker.on("run-1");
-            require(w, busy > all * 9 / 10, || {
+        sim.submit(15.0, everywhere);
+        sim.at(60.0, move |sim| {
+            let busy = sim.state().checker.on("run-1");
+            require(sim, busy > all * 9 / 10, || {
                 format!("{busy} of {all} machines have work")
             });
-            w.crash(w.leader_or_any(), 5.0);
+            sim.crash(sim.leader_or_any(), 5.0);
         });
-        w.at(75.0, move |w| {
-            let some = w.machines_up().into_iter().step_by(all / VANISH);
-            w.die(&some.take(VANISH).collect::<Vec<_>>());
+        sim.at(75.0, move |sim| {
+            let some = sim.machines_up().into_iter().step_by(all / VANISH);
+            sim.kill_machines(&some.take(VANISH).collect::<Vec<_>>());
         });
         // The list has nine pages, and the cloud takes five requests a second.
         for at in [50.0, 130.0] {
-            w.at(at, |w| {
-                let age = age_of_list(w);
-                require(w, age.is_some_and(|age| age < 20.0), || {
+            sim.at(at, |sim| {
+                let age = age_of_list(sim);
+                require(sim, age.is_some_and(|age| age < 20.0), || {
                     format!("last listed {age:?} s ago")
                 });
             });
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -2,9 +2,9 @@
 //! and then, in clusters whose controllers watch their links.
 
 use aspenreel_simulation::checker::{JobPlan, Question};
-use aspenreel_simulation::directions::{End, Way};
-use aspenreel_simulation::run::play;
-use aspenreel_simulation::simulation::{LEASE_S, Setup, Summary, World};
+use aspenreel_simulation::directions::{Direction, Endpoint};
+use aspenreel_simulation::run::run;
+use aspenreel_simulation::simulation::{LEASE_S, Setup, Simulation, Summary};
 use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
@@ -19,16 +19,16 @@
 }
 
 /// Work for a hundred seconds, some of it cancelled, and users that look closely.
-fn work(w: &Arc<World>, rng: &mut fastrand::Rng) {
-    let ids = jobs(w, 4.0, 100.0, 60, |i, p| {
+fn work(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) {
+    let ids = jobs(sim, 4.0, 100.0, 60, |i, p| {
         p.run_s = 4.0 + f64::from(i % 5) * 4.0
     });
-    look_closely(w, &every_other(&ids, 4));
-    cancel_soon(w, &every_other(&ids, 5), 15.0, rng);
+    ask_closely(sim, &every_other(&ids, 4));
+    cancel_soon(sim, &every_other(&ids, 5), 15.0, rng);
 }
 
-fn leader(w: &Arc<World>) -> usize {
-    w.leader_or_any()
+fn leader(sim: &Arc<Simulation>) -> usize {
+    sim.leader_or_any()
 }
 
 /// When the first and the second leader began, in seconds.
@@ -42,15 +42,15 @@
 #[test]
 fn each_direction_of_each_link_of_the_leader() {
     for nodes in [3, 5] {
-        let ways = Way::all_of(0, nodes).len();
-        for number in 0..ways {
-            let ends = play(6, &watching(nodes), |w, rng| {
-                work(w, rng);
+        let directions = Direction::all_of(0, nodes).len();
+        for number in 0..directions {
+            let ends = run(6, &watching(nodes), |sim, rng| {
+                work(sim, rng);
                 let at = 20.0 + rng.f64() * 10.0;
                 let span = LEASE_S * (0.2 + 2.0 * rng.f64());
-                w.at(at, move |w| {
-                    let way = Way::all_of(leader(w), w.setup.nodes)[number];
-                    w.cut_way(way, span);
+                sim.at(at, move |sim| {
+                    let direction = Direction::all_of(leader(sim), sim.setup.nodes)[number];
+                    sim.cut_direction(direction, span);
                 });
             });
             for end in ends {
@@ -63,16 +63,17 @@
 /// Each pair of directed links of the leader is cut at once.
 #[test]
 fn each_pair_of_directions_of_the_leader() {
-    let ways = Way::all_of(0, 3).len();
-    let pairs = (0..ways).flat_map(|one| (one + 1..ways).map(move |other| (one, other)));
+    let directions = Direction::all_of(0, 3).len();
+    let pairs =
+        (0..directions).flat_map(|one| (one + 1..directions).map(move |other| (one, other)));
     for (one, other) in pairs {
-        let ends = play(2, &watching(3), |w, rng| {
-            work(w, rng);
+        let ends = run(2, &watching(3), |sim, rng| {
+            work(sim, rng);
             let span = LEASE_S * (0.4 + 1.2 * rng.f64());
-            w.at(20.0 + rng.f64() * 10.0, move |w| {
-                let ways = Way::all_of(leader(w), 3);
-                w.cut_way(ways[one], span);
-                w.cut_way(ways[other], span);
+            sim.at(20.0 + rng.f64() * 10.0, move |sim| {
+                let directions = Direction::all_of(leader(sim), 3);
+                sim.cut_direction(directions[one], span);
+                sim.cut_direction(directions[other], span);
             });
         });
         for end in ends {
@@ -82,13 +83,13 @@
 }
 
 /// One way of the controller that leads.
-type WayOf = fn(End) -> Way;
+type WayOf = fn(Endpoint) -> Direction;
 
 /// How many records with this prefix there are, and the newest revision among them.
-fn newest(w: &Arc<World>, prefix: &str) -> (usize, u64) {
-    let state = w.state();
+fn newest(sim: &Arc<Simulation>, prefix: &str) -> (usize, u64) {
+    let state = sim.state();
     let rows = state
-        .keys
+        .store
         .rows
         .iter()
         .filter(|(key, _)| key.starts_with(prefix));
@@ -97,13 +98,20 @@
 }
 
 /// Cuts a way of the leader in the moment in which a record with this prefix is next written.
-fn cut_at_next_write(w: &Arc<World>, prefix: &'static str, seen: (usize, u64), way: WayOf) {
-    if newest(w, prefix) != seen {
-        let own = End::Node(leader(w));
-        return w.cut_way(way(own), 1.2 * LEASE_S);
+fn cut_at_next_write(
+    sim: &Arc<Simulation>,
+    prefix: &'static str,
+    seen: (usize, u64),
+    direction: WayOf,
+) {
+    if newest(sim, prefix) != seen {
+        let own = Endpoint::Node(leader(sim));
+        return sim.cut_direction(direction(own), 1.2 * LEASE_S);
     }
     // Ways through the model's network take 200 us at least.
-    w.after(100, move |w| cut_at_next_write(w, prefix, seen, way));
+    sim.after(100, move |sim| {
+        cut_at_next_write(sim, prefix, seen, direction)
+    });
 }
 
 /// The cut falls between a claim's write and its answer, between the claim and the start, between the
@@ -111,18 +119,18 @@
 #[test]
 fn cuts_between_a_write_and_what_follows_it() {
     let cases: [(&'static str, WayOf); 4] = [
-        ("claims/", |own| Way::new(End::State, own)),
-        ("claims/", |own| Way::new(own, End::Workers)),
-        ("done/", |own| Way::new(End::State, own)),
-        ("done/", |own| Way::new(own, End::Workers)),
+        ("claims/", |own| Direction::new(Endpoint::Store, own)),
+        ("claims/", |own| Direction::new(own, Endpoint::Workers)),
+        ("done/", |own| Direction::new(Endpoint::Store, own)),
+        ("done/", |own| Direction::new(own, Endpoint::Workers)),
     ];
-    for (prefix, way) in cases {
-        let ends = play(6, &watching(3), move |w, rng| {
-            work(w, rng);
+    for (prefix, direction) in cases {
+        let ends = run(6, &watching(3), move |sim, rng| {
+            work(sim, rng);
             let at = 20.0 + rng.f64() * 10.0;
-            w.at(at, move |w| {
-                cut_at_next_write(w, prefix, newest(w, prefix), way);
-                w.trouble(3.0 * LEASE_S);
+            sim.at(at, move |sim| {
+                cut_at_next_write(sim, prefix, newest(sim, prefix), direction);
+                sim.note_fault(3.0 * LEASE_S);
             });
         });
         for end in ends {
@@ -135,13 +143,13 @@
 #[test]
 fn cuts_between_an_outcome_and_its_record() {
     for to_state in [true, false] {
-        let ends = play(6, &watching(3), move |w, rng| {
-            work(w, rng);
+        let ends = run(6, &watching(3), move |sim, rng| {
+            work(sim, rng);
             let at = 20.0 + rng.f64() * 10.0;
-            w.at(at, move |w| {
-                let seen = w.state().checker.tasks_done();
-                cut_at_next_outcome(w, seen, to_state);
-                w.trouble(3.0 * LEASE_S);
+            sim.at(at, move |sim| {
+                let seen = sim.state().checker.tasks_done();
+                cut_at_next_outcome(sim, seen, to_state);
+                sim.note_fault(3.0 * LEASE_S);
             });
         });
         for end in ends {
@@ -150,18 +158,18 @@
     }
 }
 
-fn cut_at_next_outcome(w: &Arc<World>, seen: usize, to_state: bool) {
-    if w.state().checker.tasks_done() == seen {
-        return w.after(500, move |w| cut_at_next_outcome(w, seen, to_state));
+fn cut_at_next_outcome(sim: &Arc<Simulation>, seen: usize, to_state: bool) {
+    if sim.state().checker.tasks_done() == seen {
+        return sim.after(500, move |sim| cut_at_next_outcome(sim, seen, to_state));
     }
     // The worker reports within half a second.
-    w.after(520_000, move |w| {
-        let own = End::Node(leader(w));
-        let way = match to_state {
-            true => Way::new(own, End::State),
-            false => Way::new(End::State, own),
+    sim.after(520_000, move |sim| {
+        let own = Endpoint::Node(leader(sim));
+        let direction = match to_state {
+            true => Direction::new(own, Endpoint::Store),
+            false => Direction::new(Endpoint::Store, own),
         };
-        w.cut_way(way, 1.2 * LEASE_S);
+        sim.cut_direction(direction, 1.2 * LEASE_S);
     });
 }
 
@@ -169,18 +177,18 @@
 #[test]
 fn pairs_of_directions() {
     for nodes in [3, 5] {
-        let ends = play(40, &watching(nodes), |w, rng| {
-            work(w, rng);
+        let ends = run(40, &watching(nodes), |sim, rng| {
+            work(sim, rng);
             let at = 20.0 + rng.f64() * 10.0;
             let (one, other) = (rng.usize(..), rng.usize(..));
             let elsewhere = rng.usize(0..2);
             let spans = [(); 2].map(|()| LEASE_S * (0.2 + 1.5 * rng.f64()));
-            w.at(at, move |w| {
-                let nodes = w.setup.nodes;
-                let here = Way::all_of(leader(w), nodes);
-                let there = Way::all_of((leader(w) + elsewhere) % nodes, nodes);
-                w.cut_way(here[one % here.len()], spans[0]);
-                w.cut_way(there[other % there.len()], spans[1]);
+            sim.at(at, move |sim| {
+                let nodes = sim.setup.nodes;
+                let here = Direction::all_of(leader(sim), nodes);
+                let there = Direction::all_of((leader(sim) + elsewhere) % nodes, nodes);
+                sim.cut_direction(here[one % here.len()], spans[0]);
+                sim.cut_direction(there[other % there.len()], spans[1]);
             });
         });
         for end in ends {
@@ -194,19 +202,19 @@
 fn flapping_links_make_few_leaders() {
     const SPAN: f64 = 120.0;
     for (period, most) in [(0.5, 3), (2.0, 4), (5.0, 6), (10.0, 8), (2.2 * LEASE_S, 10)] {
-        let ends = play(8, &watching(3), |w, rng| {
-            work(w, rng);
+        let ends = run(8, &watching(3), |sim, rng| {
+            work(sim, rng);
             let number = rng.usize(..);
             let both = rng.bool();
-            w.at(15.0, move |w| {
-                let ways = Way::all_of(leader(w), 3);
+            sim.at(15.0, move |sim| {
+                let directions = Direction::all_of(leader(sim), 3);
                 // Both directions of one link, or one direction.
-                let first = number % ways.len();
+                let first = number % directions.len();
                 let flapping = match both {
-                    true => vec![ways[first & !1], ways[first | 1]],
-                    false => vec![ways[first]],
+                    true => vec![directions[first & !1], directions[first | 1]],
+                    false => vec![directions[first]],
                 };
-                w.flap_ways(flapping, period, SPAN);
+                sim.flap_directions(flapping, period, SPAN);
             });
         });
         for end in ends {
@@ -219,13 +227,13 @@
 /// The workers' links of all controllers flap out of step, so that somebody else always seems better placed.
 #[test]
 fn everybody_seems_better_placed_in_turn() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         for node in 0..3 {
             let begins = 15.0 + 4.0 * node as f64 + rng.f64();
-            w.at(begins, move |w| {
-                let way = Way::new(End::Workers, End::Node(node));
-                w.flap_ways(vec![way], 24.0, 100.0);
+            sim.at(begins, move |sim| {
+                let direction = Direction::new(Endpoint::Workers, Endpoint::Node(node));
+                sim.flap_directions(vec![direction], 24.0, 100.0);
             });
         }
     });
@@ -239,16 +247,16 @@
 fn a_leader_without_workers_hands_over() {
     let directions = [true, false];
     for arriving in directions {
-        let ends = play(8, &watching(3), |w, rng| {
-            work(w, rng);
+        let ends = run(8, &watching(3), |sim, rng| {
+            work(sim, rng);
             let at = 25.0 + rng.f64() * 5.0;
-            w.at(at, move |w| {
-                let own = End::Node(leader(w));
-                let way = match arriving {
-                    true => Way::new(End::Workers, own),
-                    false => Way::new(own, End::Workers),
+            sim.at(at, move |sim| {
+                let own = Endpoint::Node(leader(sim));
+                let direction = match arriving {
+                    true => Direction::new(Endpoint::Workers, own),
+                    false => Direction::new(own, Endpoint::Workers),
                 };
-                w.cut_way(way, 40.0);
+                sim.cut_direction(direction, 40.0);
             });
         });
         for end in ends {
@@ -269,12 +277,15 @@
 /// All controllers are blind to the workers: nobody is better placed, and nothing moves.
 #[test]
 fn all_controllers_are_blind() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let span = 8.0 + rng.f64() * 30.0;
-        w.at(30.0, move |w| {
+        sim.at(30.0, move |sim| {
             for node in 0..3 {
-                w.cut_way(Way::new(End::Workers, End::Node(node)), span);
+                sim.cut_direction(
+                    Direction::new(Endpoint::Workers, Endpoint::Node(node)),
+                    span,
+                );
             }
         });
     });
@@ -287,10 +298,10 @@
 /// can't record, and a controller that can write goes on.
 #[test]
 fn only_writes_are_refused() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let at = 25.0 + rng.f64() * 5.0;
-        w.at(at, |w| w.refuse_writes(leader(w), 40.0));
+        sim.at(at, |sim| sim.refuse_writes(leader(sim), 40.0));
     });
     for end in ends {
         assert_eq!(end.leaders, 2, "{end:?}");
@@ -298,12 +309,12 @@
         assert!(began < 30.0 + 8.0, "{end:?}");
     }
     // In an outage for all it would be no better elsewhere.
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let span = 6.0 + rng.f64() * 20.0;
-        w.at(30.0, move |w| {
+        sim.at(30.0, move |sim| {
             for node in 0..3 {
-                w.refuse_writes(node, span);
+                sim.refuse_writes(node, span);
             }
         });
     });
@@ -316,16 +327,22 @@
 /// workers. Whoever has workers but no state service can't lead, and whoever leads hears nobody.
 #[test]
 fn a_minority_with_state_and_a_majority_with_workers() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let span = 10.0 + rng.f64() * 25.0;
-        w.at(30.0, move |w| {
-            let own = leader(w);
-            w.cut_way(Way::new(End::Workers, End::Node(own)), span);
+        sim.at(30.0, move |sim| {
+            let own = leader(sim);
+            sim.cut_direction(Direction::new(Endpoint::Workers, Endpoint::Node(own)), span);
             for other in (0..3).filter(|n| *n != own) {
-                w.cut_way(Way::new(End::Node(other), End::State), span);
-                w.cut_way(Way::new(End::Node(other), End::Node(own)), span);
-                w.cut_way(Way::new(End::Node(own), End::Node(other)), span);
+                sim.cut_direction(Direction::new(Endpoint::Node(other), Endpoint::Store), span);
+                sim.cut_direction(
+                    Direction::new(Endpoint::Node(other), Endpoint::Node(own)),
+                    span,
+                );
+                sim.cut_direction(
+                    Direction::new(Endpoint::Node(own), Endpoint::Node(other)),
+                    span,
+                );
             }
         });
     });
@@ -337,15 +354,17 @@
 /// The leader reaches neither peers nor workers, and has the state service: views go through it.
 #[test]
 fn views_go_through_the_state_service() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let at = 25.0 + rng.f64() * 5.0;
-        w.at(at, |w| {
-            let own = leader(w);
-            let ways = Way::all_of(own, 3);
-            let state = |way: &Way| way.from == End::State || way.to == End::State;
-            for way in ways.into_iter().filter(|way| !state(way)) {
-                w.cut_way(way, 45.0);
+        sim.at(at, |sim| {
+            let own = leader(sim);
+            let directions = Direction::all_of(own, 3);
+            let state = |direction: &Direction| {
+                direction.from == Endpoint::Store || direction.to == Endpoint::Store
+            };
+            for direction in directions.into_iter().filter(|direction| !state(direction)) {
+                sim.cut_direction(direction, 45.0);
             }
         });
     });
@@ -359,10 +378,10 @@
 #[test]
 fn both_halves_believe_that_they_are_better_placed() {
     for nodes in [3, 5] {
-        let ends = play(8, &watching(nodes), |w, rng| {
-            work(w, rng);
+        let ends = run(8, &watching(nodes), |sim, rng| {
+            work(sim, rng);
             let span = 10.0 + rng.f64() * 35.0;
-            w.at(25.0, move |w| w.cut_zone("west", span));
+            sim.at(25.0, move |sim| sim.cut_zone("west", span));
         });
         for end in ends {
             assert!(end.leaders <= 3, "{end:?}");
@@ -373,13 +392,13 @@
 /// The preferred controller dies as the lead is handed over to it: another one leads.
 #[test]
 fn the_preferred_controller_dies_at_once() {
-    let ends = play(8, &watching(3), |w, rng| {
-        work(w, rng);
+    let ends = run(8, &watching(3), |sim, rng| {
+        work(sim, rng);
         let back = 0.2 + rng.f64() * 20.0;
-        w.at(25.0, move |w| {
-            let own = leader(w);
-            w.cut_way(Way::new(End::Workers, End::Node(own)), 40.0);
-            watch_for_handover(w, back);
+        sim.at(25.0, move |sim| {
+            let own = leader(sim);
+            sim.cut_direction(Direction::new(Endpoint::Workers, Endpoint::Node(own)), 40.0);
+            watch_for_handover(sim, back);
         });
     });
     for end in ends {
@@ -389,12 +408,12 @@
 }
 
 /// Kills whomever a handover prefers within milliseconds of its record.
-fn watch_for_handover(w: &Arc<World>, back: f64) {
-    let record = w.state().keys.data("handover");
+fn watch_for_handover(sim: &Arc<Simulation>, back: f64) {
+    let record = sim.state().store.data("handover");
     match record.and_then(|data| preferred(&data)) {
-        Some(node) => w.crash(node, back),
-        None if w.now() < 60_000_000 => {
-            w.after(10_000, move |w| watch_for_handover(w, back));
+        Some(node) => sim.crash(node, back),
+        None if sim.now() < 60_000_000 => {
+            sim.after(10_000, move |sim| watch_for_handover(sim, back));
         }
         None => {}
     }
@@ -412,12 +431,15 @@
 #[test]
 fn stepping_down_gets_no_answer() {
     for at_once in [true, false] {
-        let ends = play(8, &watching(3), |w, rng| {
-            work(w, rng);
+        let ends = run(8, &watching(3), |sim, rng| {
+            work(sim, rng);
             let share = 0.5 + 0.5 * rng.f64();
-            w.at(25.0, move |w| {
-                w.cut_way(Way::new(End::Workers, End::Node(leader(w))), 40.0);
-                w.after(4_000_000, move |w| w.late_writes(share, at_once, 12.0));
+            sim.at(25.0, move |sim| {
+                sim.cut_direction(
+                    Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
+                    40.0,
+                );
+                sim.after(4_000_000, move |sim| sim.late_writes(share, at_once, 12.0));
             });
         });
         for end in ends {
@@ -429,13 +451,16 @@
 /// Jobs are cancelled in the seconds in which the lead is handed over, and users ask everywhere.
 #[test]
 fn cancellations_while_stepping_down() {
-    let ends = play(16, &watching(3), |w, rng| {
-        let ids = jobs(w, 4.0, 40.0, 40, |_, p| p.run_s = 25.0);
-        look_closely(w, &ids);
-        w.at(25.0, |w| {
-            w.cut_way(Way::new(End::Workers, End::Node(leader(w))), 30.0);
+    let ends = run(16, &watching(3), |sim, rng| {
+        let ids = jobs(sim, 4.0, 40.0, 40, |_, p| p.run_s = 25.0);
+        ask_closely(sim, &ids);
+        sim.at(25.0, |sim| {
+            sim.cut_direction(
+                Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
+                30.0,
+            );
         });
-        cancel_each(w, &every_other(&ids, 2), 28.0, 42.0, rng);
+        cancel_each(sim, &every_other(&ids, 2), 28.0, 42.0, rng);
     });
     for end in ends {
         assert!(end.cancelled >= 12, "{end:?}");
@@ -452,15 +477,15 @@
         |n| if n == 0 { &["--half-cut-links"] } else { &[] },
     ] {
         let site = Setup { flags, ..setup() };
-        let ends = play(8, &site, |w, rng| {
-            work(w, rng);
+        let ends = run(8, &site, |sim, rng| {
+            work(sim, rng);
             let number = rng.usize(..);
             let at = 20.0 + rng.f64() * 10.0;
-            w.at(at, move |w| {
-                let ways = Way::all_of(leader(w), 3);
-                w.cut_way(ways[number % ways.len()], 25.0);
+            sim.at(at, move |sim| {
+                let directions = Direction::all_of(leader(sim), 3);
+                sim.cut_direction(directions[number % directions.len()], 25.0);
             });
-            w.at(at + 30.0, |w| w.crash(leader(w), 2.0));
+            sim.at(at + 30.0, |sim| sim.crash(leader(sim), 2.0));
         });
         for end in ends {
             assert!(end.done > 40, "{end:?}");
@@ -472,22 +497,26 @@
 #[test]
 fn any_troubles_and_directed_cuts() {
     for nodes in [3, 5] {
-        let ends = play(30, &watching(nodes), |w, rng| {
-            aspenreel_simulation::drawn_faults::draw(w, rng);
+        let ends = run(30, &watching(nodes), |sim, rng| {
+            aspenreel_simulation::drawn_faults::draw(sim, rng);
             let mut at = 15.0;
             while at < 120.0 {
                 let number = rng.usize(..);
                 let span = 1.0 + rng.f64() * 25.0;
                 let period = 0.5 + rng.f64() * 12.0;
                 let (flaps, at_leader) = (rng.bool(), rng.bool());
-                w.at(at, move |w| {
-                    let nodes = w.setup.nodes;
-                    let own = if at_leader { leader(w) } else { number % nodes };
-                    let ways = Way::all_of(own, nodes);
-                    let way = ways[number % ways.len()];
+                sim.at(at, move |sim| {
+                    let nodes = sim.setup.nodes;
+                    let own = if at_leader {
+                        leader(sim)
+                    } else {
+                        number % nodes
+                    };
+                    let directions = Direction::all_of(own, nodes);
+                    let direction = directions[number % directions.len()];
                     match flaps {
-                        true => w.flap_ways(vec![way], period, span),
-                        false => w.cut_way(way, span),
+                        true => sim.flap_directions(vec![direction], period, span),
+                        false => sim.cut_direction(direction, span),
                     }
                 });
                 at += 5.0 + rng.f64() * 20.0;
@@ -502,17 +531,20 @@
 /// Whoever is asked while the lead changes hands says what is true, or that it can't tell.
 #[test]
 fn questions_during_a_handover() {
-    let ends = play(8, &watching(3), |w, _| {
+    let ends = run(8, &watching(3), |sim, _| {
         for i in 0..10 {
-            w.submit(5.0 + f64::from(i), JobPlan::new(i, 2, 2.0, 40.0));
+            sim.submit(5.0 + f64::from(i), JobPlan::new(i, 2, 2.0, 40.0));
         }
-        w.at(25.0, |w| {
-            w.cut_way(Way::new(End::Workers, End::Node(leader(w))), 30.0);
+        sim.at(25.0, |sim| {
+            sim.cut_direction(
+                Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
+                30.0,
+            );
         });
         for step in 0..150 {
-            w.at(25.0 + 0.1 * f64::from(step), move |w| {
+            sim.at(25.0 + 0.1 * f64::from(step), move |sim| {
                 let id = format!("run-{}", step % 10);
-                w.question(&id, Question::Status, step as usize % 3, |_, _| ());
+                sim.question(&id, Question::Status, step as usize % 3, |_, _| ());
             });
         }
     });
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -8,17 +8,17 @@
 mod services;
 mod upgrades;
 
-use aspenreel_simulation::run::play;
+use aspenreel_simulation::run::run;
 use aspenreel_simulation::simulation::Setup;
 use aspenreel_simulation::{checker, drawn_faults};
 
 /// Without any trouble every job runs to its end, each task once.
 #[test]
 fn a_quiet_day() {
-    let ends = play(3, &Setup::default(), |w, _| {
+    let ends = run(3, &Setup::default(), |sim, _| {
         for i in 0..20 {
             let plan = checker::JobPlan::new(i, 1 + i % 5, 2.0, 10.0);
-            w.submit(5.0 + f64::from(i), plan);
+            sim.submit(5.0 + f64::from(i), plan);
         }
     });
     for end in ends {
@@ -29,7 +29,7 @@
 /// Whatever the seed draws: troubles that meet by chance.
 #[test]
 fn any_troubles() {
-    for end in play(24, &Setup::default(), drawn_faults::draw) {
+    for end in run(24, &Setup::default(), drawn_faults::draw) {
         assert!(end.done + end.cancelled > 30, "{end:?}");
     }
 }
