--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -5,10 +5,9 @@
 
 use crate::http::cbor::{decode, encode};
 use crate::http::client::{CallError, ClientResponse};
-use crate::link_health::EvidenceSink;
+use crate::link_health::{CallFailure, CallOutcome, Link, ObservationQueue};
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::evidence::{Failure, Link, Outcome};
 use bucket::TokenBucket;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -142,8 +141,8 @@
     /// When it last answered, and when it last did not, in microseconds of this node's clock.
     last_answer: AtomicU64,
     last_silence: AtomicU64,
-    /// Where it is noted what calls showed of the links.
-    evidence: Option<Arc<EvidenceSink>>,
+    /// Where it is recorded what calls showed of the links.
+    observations: Option<Arc<ObservationQueue>>,
 }
 
 pub fn to_value<T: Serialize>(value: &T) -> Value {
@@ -169,32 +168,33 @@
             requests: Mutex::new(bucket),
             last_answer: AtomicU64::new(0),
             last_silence: AtomicU64::new(0),
-            evidence: None,
+            observations: None,
         }
     }
 
-    /// The same client, which notes what its calls show of the links.
-    pub fn with_evidence(self, evidence: Option<Arc<EvidenceSink>>) -> Self {
-        Store { evidence, ..self }
+    /// The same client, which records what its calls show of the links.
+    pub fn with_observations(mut self, queue: Option<Arc<ObservationQueue>>) -> Self {
+        self.observations = queue;
+        self
     }
 
-    /// Notes what a call showed of its link. A call that never left shows nothing.
-    fn note_evidence(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
-        let Some(evidence) = &self.evidence else {
+    /// Records what a call showed of its link. A call that was never sent shows nothing.
+    fn observe(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
+        let Some(queue) = &self.observations else {
             return;
         };
         let outcome = match result {
-            Ok(ClientResponse { status: 503, .. }) => Outcome::Failed(Failure::Refused),
-            Ok(_) => Outcome::Answered,
+            Ok(ClientResponse { status: 503, .. }) => CallOutcome::Failed(CallFailure::Refused),
+            Ok(_) => CallOutcome::Answered,
             Err(CallError::NotSent { .. }) => return,
-            Err(CallError::Unreachable { .. }) => Outcome::Failed(Failure::Unreachable),
-            Err(CallError::OutcomeUnknown { .. }) => Outcome::Failed(Failure::NoAnswer),
+            Err(CallError::Unreachable { .. }) => CallOutcome::Failed(CallFailure::Unreachable),
+            Err(CallError::OutcomeUnknown { .. }) => CallOutcome::Failed(CallFailure::NoAnswer),
         };
         let link = match path {
             TRANSACTIONS_PATH => Link::StateWrites,
             _ => Link::StateReads,
         };
-        evidence.note(link, outcome, at);
+        queue.record(link, outcome, at);
     }
 
     /// When it last answered this node with anything but a refusal.
@@ -237,7 +237,7 @@
         }
         let result = self.client.call(method, path, body, timeout);
         let answered_at = self.os.now();
-        self.note_evidence(path, &result, answered_at);
+        self.observe(path, &result, answered_at);
         let at = answered_at.0;
         match &result {
             Ok(ClientResponse { status: 503, .. }) | Err(_) => {
