--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -8,7 +8,7 @@
 use aspenreel::time::{Micros, Moment, WallTime};
 use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
 use aspenreel_simulation::checker::JobPlan;
-use aspenreel_simulation::users::body_of;
+use aspenreel_simulation::user_job::body_of;
 use ciborium::cbor;
 use std::time::{Duration, Instant};
 
--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -5,7 +5,9 @@
 use crate::statistics::{Distribution, figure};
 use aspenreel_simulation::directions::{Direction, Endpoint};
 use aspenreel_simulation::run::run_seeds;
-use aspenreel_simulation::simulation::{Setup, Simulation, Summary};
+use aspenreel_simulation::setup::Setup;
+use aspenreel_simulation::simulation::Simulation;
+use aspenreel_simulation::summary::Summary;
 use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
 use std::sync::Arc;
 
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,44 +1,16 @@
 //! The cloud, as the protocol's page tells of it: its catalog, rentals, returns and lists.
 
+use crate::cloud_state::page_of;
+use crate::machine::{LISTED_AFTER_DEATH_S, Machine};
 use crate::scheduler::{Time, secs};
-use crate::simulation::{CLOUD_RPS, Simulation};
-use crate::worker_agents::{LISTED_AFTER_DEATH_S, Machine};
+use crate::setup::CLOUD_RPS;
+use crate::simulation::Simulation;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::Request;
 use ciborium::{Value, cbor};
 use serde::Deserialize;
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Machines on one page of the list, at most.
-const MAX_LISTED: usize = 500;
-
-/// Where a page of the machine list begins, and how many it may hold.
-pub fn page_of(path: &str) -> (String, usize) {
-    let query = path.split_once('?').map_or("", |(_, query)| query);
-    let value = |name: &str| {
-        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
-    };
-    let since = value("since").unwrap_or("").to_string();
-    let most = value("most")
-        .and_then(|m| m.parse().ok())
-        .unwrap_or(MAX_LISTED);
-    (since, most.min(MAX_LISTED))
-}
-
-#[derive(Default)]
-pub struct CloudState {
-    pub(crate) made: u32,
-    rentals: BTreeMap<String, Vec<String>>,
-    /// Requests that count against the limit, and when that was worked out.
-    requests: f64,
-    counted_at: Time,
-    pub out_until: Time,
-    /// Machines come up within two seconds until then.
-    pub quick_until: Time,
-}
-
 impl Simulation {
     /// The cloud's answer to a request.
     pub fn cloud_asked(self: &Arc<Self>, r: &Request) -> (u16, Vec<u8>) {
@@ -72,7 +44,7 @@
     }
 
     /// One page of the machine list, as it was some seconds ago.
-    fn listed(&self, path: &str) -> Result<Value, ciborium::value::Error> {
+    pub(crate) fn listed(&self, path: &str) -> Result<Value, ciborium::value::Error> {
         let lag = self.random(3_000_000..6_000_000);
         let then = self.now().saturating_sub(lag);
         let (since, most) = page_of(path);
@@ -107,7 +79,7 @@
     }
 
     /// Whether the cloud takes one more request now: so many a second, and bursts of two seconds' worth.
-    fn cloud_has_room(&self, now: Time) -> bool {
+    pub(crate) fn cloud_has_room(&self, now: Time) -> bool {
         let mut state = self.state();
         let cloud = &mut state.cloud;
         let gained = (now - cloud.counted_at) as f64 / 1e6 * CLOUD_RPS;
@@ -120,7 +92,7 @@
         room
     }
 
-    fn rented(self: &Arc<Self>, body: &[u8]) -> (u16, Vec<u8>) {
+    pub(crate) fn rented(self: &Arc<Self>, body: &[u8]) -> (u16, Vec<u8>) {
         #[derive(Deserialize)]
         struct Rent {
             hire: String,
--- /dev/null
+++ b/crates/simulation/src/cloud_state.rs
@@ -0,0 +1,33 @@
+//! What the simulated cloud remembers, and the pages of its machine list.
+
+use crate::scheduler::Time;
+use std::collections::BTreeMap;
+
+/// Machines on one page of the list, at most.
+const MAX_LISTED: usize = 500;
+
+/// Where a page of the machine list begins, and how many it may hold.
+pub fn page_of(path: &str) -> (String, usize) {
+    let query = path.split_once('?').map_or("", |(_, query)| query);
+    let value = |name: &str| {
+        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
+    };
+    let since = value("since").unwrap_or("").to_string();
+    let most = value("most")
+        .and_then(|m| m.parse().ok())
+        .unwrap_or(MAX_LISTED);
+    (since, most.min(MAX_LISTED))
+}
+
+#[derive(Default)]
+pub struct CloudState {
+    pub(crate) made: u32,
+    pub(crate) rentals: BTreeMap<String, Vec<String>>,
+    /// Requests that count against the limit, and when that was worked out.
+    pub(crate) requests: f64,
+    pub(crate) counted_at: Time,
+    pub out_until: Time,
+    /// Machines come up within two seconds until then.
+    pub quick_until: Time,
+}
--- a/crates/simulation/src/delayed_commands.rs
+++ b/crates/simulation/src/delayed_commands.rs
@@ -1,68 +1,16 @@
-//! Direct commands that the network holds back for long, while heartbeats go their way.
+//! Direct commands that the network holds back for long, while heartbeats are delivered.
 
-use crate::scheduler::{Time, secs};
-use crate::simulation::Simulation;
+use crate::scheduler::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
-use std::sync::Arc;
 
 /// Which direct commands are held back, and for how long.
 #[derive(Debug, Default)]
 pub struct DelayedCommands {
-    share: f64,
-    delay: Range<Time>,
-    until: Time,
+    pub(crate) share: f64,
+    pub(crate) delay: Range<Time>,
+    pub(crate) until: Time,
     /// When the last command held on the way from a node to a worker is let go: those behind it follow.
-    last: BTreeMap<(usize, SocketAddr), Time>,
-}
-
-impl Simulation {
-    /// For `span` seconds that share of direct commands is held back, each for a time in the range, in
-    /// order on each way, and delivered once. Nobody gets their answers. Heartbeats are not touched.
-    pub fn delay_commands(&self, share: f64, delay_s: Range<f64>, span: f64) {
-        let longest = delay_s.end;
-        self.state().delayed_commands = DelayedCommands {
-            share,
-            delay: secs(delay_s.start)..secs(delay_s.end),
-            until: self.now() + secs(span),
-            last: BTreeMap::new(),
-        };
-        self.note_fault(span + longest);
-    }
-
-    /// When a command that arrives now is let go; None if it isn't held back.
-    fn command_delayed_until(&self, node: usize, worker: SocketAddr) -> Option<Time> {
-        let now = self.now();
-        let mut state = self.state();
-        if state.delayed_commands.until <= now {
-            return None;
-        }
-        let share = state.delayed_commands.share;
-        if state.rng.f64() >= share {
-            return None;
-        }
-        let delay = state.delayed_commands.delay.clone();
-        let drawn = now + state.rng.u64(delay);
-        let route = (node, worker);
-        let last = state.delayed_commands.last.entry(route).or_insert(0);
-        *last = drawn.max(*last + 1);
-        Some(*last)
-    }
-
-    /// Commands reach the network: they arrive now, or are held back and arrive once, unanswered.
-    pub fn commands_sent(
-        self: &Arc<Self>,
-        node: usize,
-        worker: SocketAddr,
-        body: Vec<u8>,
-        then: impl FnOnce(&Arc<Simulation>, (u16, Vec<u8>)) + Send + 'static,
-    ) {
-        match self.command_delayed_until(node, worker) {
-            Some(later) => self.at_time(later, move |sim| {
-                sim.commands_arrive(node, worker, body, |_, _| {});
-            }),
-            None => self.commands_arrive(node, worker, body, then),
-        }
-    }
+    pub(crate) last: BTreeMap<(usize, SocketAddr), Time>,
 }
--- /dev/null
+++ b/crates/simulation/src/faults.rs
@@ -0,0 +1,136 @@
+//! Faults of the services and of the network, as a test brings them about.
+
+use crate::delayed_commands::DelayedCommands;
+use crate::directions::Direction;
+use crate::scheduler::{Time, secs};
+use crate::setup::LEASE_S;
+use crate::simulation::Simulation;
+use crate::state::{LateHeartbeats, LateWrites};
+use std::collections::BTreeMap;
+use std::ops::Range;
+use std::sync::Arc;
+
+impl Simulation {
+    /// Notes that some trouble lasts for so long.
+    pub fn note_fault(&self, span: f64) {
+        let mut state = self.state();
+        state.faults_until = state.faults_until.max(self.now() + secs(span));
+    }
+
+    pub fn store_outage(self: &Arc<Self>, span: f64) {
+        self.state().store_is_down = true;
+        self.note_fault(span);
+        self.after(secs(span), |sim| {
+            let now = sim.since_start();
+            {
+                let mut state = sim.state();
+                state.store_is_down = false;
+                state.store.refresh(now);
+            }
+            sim.store_changed();
+        });
+    }
+
+    /// The state service refuses this node alone.
+    pub fn refuse_node(self: &Arc<Self>, n: usize, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().nodes[n].refused_until = until;
+        self.note_fault(span);
+        self.at_time(until, |sim| sim.store_changed());
+    }
+
+    /// A node loses the state service (nothing answers) and, if told so, the other nodes.
+    pub fn cut_store(self: &Arc<Self>, n: usize, span: f64, peers: bool) {
+        let until = self.now() + secs(span);
+        self.state().nodes[n].store_cut_until = until;
+        if peers {
+            self.state().nodes[n].peers_cut_until = until;
+        }
+        self.note_fault(span);
+        self.at_time(until, |sim| sim.store_changed());
+    }
+
+    pub fn cut_workers(self: &Arc<Self>, n: usize, span: f64) {
+        self.state().nodes[n].workers_cut_until = self.now() + secs(span);
+        self.note_fault(span);
+    }
+
+    pub fn cut_zone(self: &Arc<Self>, zone: &str, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().zone_cuts.insert(zone.into(), until);
+        self.note_fault(span);
+    }
+
+    pub fn late_writes(&self, share: f64, at_once: bool, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().late_writes = Some(LateWrites {
+            share,
+            at_once,
+            until,
+        });
+        self.note_fault(span + 12.0);
+    }
+
+    pub fn late_heartbeats(&self, share: f64, for_next: bool, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().late_heartbeats = Some(LateHeartbeats {
+            share,
+            for_next,
+            until,
+        });
+        self.note_fault(span + 1.5 * LEASE_S);
+    }
+
+    pub fn slow_store(self: &Arc<Self>, time: f64, span: f64) {
+        self.state().store_delay = secs(time);
+        self.note_fault(span);
+        self.after(secs(span), |sim| sim.state().store_delay = 0);
+    }
+
+    /// Cuts one direction for so long.
+    pub fn cut_direction(self: &Arc<Self>, direction: Direction, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().cuts.until.insert(direction, until);
+        self.note_fault(span);
+        self.at_time(until, |sim| sim.store_changed());
+    }
+
+    /// Cuts these ways together, now and then: half of each period they are open.
+    pub fn flap_directions(self: &Arc<Self>, directions: Vec<Direction>, period: f64, span: f64) {
+        let end = self.now() + secs(span);
+        self.note_fault(span);
+        self.flap_until(directions, period, end);
+    }
+
+    pub(crate) fn flap_until(self: &Arc<Self>, directions: Vec<Direction>, period: f64, end: Time) {
+        if self.now() >= end {
+            return;
+        }
+        for direction in &directions {
+            self.cut_direction(*direction, period / 2.0);
+        }
+        self.after(secs(period), move |sim| {
+            sim.flap_until(directions, period, end)
+        });
+    }
+
+    /// The state service refuses this node's transactions, and nothing else.
+    pub fn refuse_writes(self: &Arc<Self>, node: usize, span: f64) {
+        let until = self.now() + secs(span);
+        self.state().cuts.writes_refused.insert(node, until);
+        self.note_fault(span);
+    }
+
+    /// For `span` seconds that share of direct commands is held back, each for a time in the range, in
+    /// order on each way, and delivered once. Nobody gets their answers. Heartbeats are not touched.
+    pub fn delay_commands(&self, share: f64, delay_s: Range<f64>, span: f64) {
+        let longest = delay_s.end;
+        self.state().delayed_commands = DelayedCommands {
+            share,
+            delay: secs(delay_s.start)..secs(delay_s.end),
+            until: self.now() + secs(span),
+            last: BTreeMap::new(),
+        };
+        self.note_fault(span + longest);
+    }
+}
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the tests of all crates share.
 //!
 //! - A simulation of whole clusters: the production code of several controllers, with all of its threads, in one
-//!   process on simulated time ([`simulation`], [`scheduler`], [`network`], [`worker_agents`], [`cloud`], [`users`]).
+//!   process on simulated time ([`simulation`], [`scheduler`], [`network`], [`machine`], [`cloud`], [`users`]).
 //! - Stand-ins for what real controller processes talk to on loopback, and relays between them that cut single
 //!   directions ([`stand_ins`]). Both share the key-value store ([`fake_store`]).
 //! - A digest of everything that crosses the network of a simulation ([`transcript`]).
@@ -10,18 +10,33 @@
 
 pub mod checker;
 pub mod cloud;
+pub mod cloud_state;
+pub mod controllers;
 pub mod delayed_commands;
 pub mod directions;
 pub mod drawn_faults;
 pub mod fake_store;
+pub mod faults;
 pub mod log;
+pub mod machine;
+pub mod machine_faults;
 pub mod network;
 pub mod older_version;
+mod pending_call;
 pub mod run;
 pub mod scheduler;
+pub mod setup;
+mod sim_http;
+mod sim_peer;
 pub mod simulation;
 pub mod stand_ins;
+pub mod state;
+pub mod store_api;
+pub mod summary;
 pub mod transcript;
+pub mod user_job;
 pub mod users;
-pub mod worker_agents;
+mod worker_commands;
+mod worker_heartbeats;
+mod worker_protocol;
 pub mod workloads;
--- /dev/null
+++ b/crates/simulation/src/machine.rs
@@ -0,0 +1,132 @@
+//! A machine and the state of its worker, as the protocol's page tells of them.
+
+use crate::checker::{JobPlan, Place};
+use crate::scheduler::Time;
+use aspenreel::http::cbor::Number;
+use aspenreel::workers::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// A machine that dies stays listed for this long.
+pub(crate) const LISTED_AFTER_DEATH_S: f64 = 30.0;
+
+#[derive(Clone, Debug)]
+pub(crate) struct SimulatedTask {
+    pub(crate) status: TaskStatus,
+    pub(crate) exit_reason: Option<ExitReason>,
+    /// When what it does now ends, and a count that tells its timers apart.
+    pub(crate) ends: Time,
+    pub(crate) timer: u64,
+}
+
+/// A machine and its worker.
+#[derive(Debug)]
+pub struct Machine {
+    pub name: String,
+    pub(crate) type_name: String,
+    pub zone: String,
+    pub(crate) spot: bool,
+    pub(crate) cpus: f64,
+    pub(crate) addr: SocketAddr,
+    pub(crate) created: Time,
+    pub(crate) up_at: Time,
+    pub(crate) gone_at: Option<Time>,
+    pub(crate) died_at: Option<Time>,
+    pub(crate) agent_epoch: u64,
+    pub(crate) sequence: u64,
+    pub(crate) fencing_token: u64,
+    /// When the last answered report was sent, or the session began.
+    pub(crate) lease_from: Time,
+    pub(crate) tasks: BTreeMap<(String, u64), SimulatedTask>,
+    pub(crate) images: BTreeSet<String>,
+    /// The node that it reports to.
+    pub(crate) node: usize,
+    pub(crate) in_flight: Option<u64>,
+    pub(crate) sent: Time,
+    pub(crate) reports: u64,
+    pub(crate) next_heartbeat: u64,
+    pub(crate) timers: u64,
+    pub frozen_until: Time,
+    pub(crate) frozen_since: Time,
+    pub cut_until: Time,
+    /// Whether what a cut stops is held back and delivered in the end.
+    pub(crate) holds: bool,
+    pub outbound_dropped_until: Time,
+    pub inbound_dropped_until: Time,
+    /// When the cloud takes it, once it has said so.
+    pub(crate) preempted_at: Option<Time>,
+}
+
+impl Machine {
+    pub(crate) fn alive(&self) -> bool {
+        self.gone_at.is_none() && self.died_at.is_none()
+    }
+
+    pub(crate) fn up(&self, now: Time) -> bool {
+        self.alive() && self.up_at <= now
+    }
+
+    pub(crate) fn free(&self, plans: impl Fn(&str) -> f64) -> f64 {
+        let held = self.tasks.iter();
+        let held = held.filter(|(_, t)| t.status != TaskStatus::Exited);
+        self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
+    }
+
+    pub(crate) fn report(&mut self, now: Time) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
+            machine: self.name.clone(),
+            addr: self.addr.to_string(),
+            type_name: self.type_name.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: self
+                .preempted_at
+                .map(|at| Number(at.saturating_sub(now) as f64 / 1e6)),
+            tasks: self
+                .tasks
+                .iter()
+                .map(|((task_id, attempt), t)| ReportedTask {
+                    task_id: task_id.clone(),
+                    attempt: *attempt,
+                    status: t.status,
+                    exit_reason: t.exit_reason,
+                    checkpointed: None,
+                })
+                .collect(),
+        }
+    }
+
+    pub(crate) fn place(&self) -> Place {
+        Place {
+            machine: self.name.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+        }
+    }
+
+    /// True if the job could start one more task here: the worker serves and has room.
+    pub fn could_take(&self, plan: &JobPlan) -> bool {
+        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > 0;
+        // Whatever runs here takes as much at least: good enough for a bound on waits.
+        let held = self.tasks.values();
+        let held = held.filter(|t| t.status != TaskStatus::Exited).count() as f64;
+        serves
+            && plan.zone.as_ref().is_none_or(|z| *z == self.zone)
+            && (plan.spot || !self.spot)
+            && self.cpus - held * 8.0 >= plan.cpus
+    }
+}
+
+pub(crate) fn split_task_id(task_id: &str) -> (&str, u32) {
+    let (id, task) = task_id.rsplit_once('/').unwrap();
+    (id, task.parse().unwrap())
+}
+
+/// It has its image and has not ended.
+pub(crate) fn on_machine(task: &SimulatedTask) -> bool {
+    matches!(task.status, TaskStatus::Running | TaskStatus::Flushing)
+}
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,7 +1,9 @@
 //! Plays a plan on many seeds at once.
 
 use crate::scheduler;
-use crate::simulation::{Setup, Simulation, Summary};
+use crate::setup::Setup;
+use crate::simulation::Simulation;
+use crate::summary::Summary;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -2,7 +2,7 @@
 //!
 //! Written from the published protocol, as small as the tests allow.
 
-use crate::cloud::page_of;
+use crate::cloud_state::page_of;
 use crate::fake_store::{FakeStore, StoreResponse, Watch};
 use crate::stand_ins::worker::{Worker, WorkerEnvironment, WorkerRoutes};
 use aspenreel::http::cbor::{decode, encode};
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::{Checker, Place};
 use crate::stand_ins::processes::LEASE_S;
-use crate::worker_agents::leader_of;
+use crate::worker_protocol::leader_of;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -3,48 +3,21 @@
 use crate::checker::{Answer, JobPlan, Question};
 use crate::scheduler::{Time, secs};
 use crate::simulation::Simulation;
-use aspenreel::http::cbor::{decode, encode};
+use crate::user_job::{UserJob, bad_body_of, body_of};
+use aspenreel::http::cbor::decode;
 use aspenreel::http::server::Request;
-use ciborium::cbor;
 use serde::Deserialize;
 use std::sync::Arc;
 
 const ASK_TIME: Time = 2_000_000;
+
 const SUBMIT_TIME: Time = 5_000_000;
-const POLL: Time = 5_000_000;
-const RETRY: Time = 1_000_000;
-const RETRIES_FOR_S: f64 = 60.0;
 
-#[derive(Debug)]
-pub struct UserJob {
-    pub plan: JobPlan,
-    first_try: Time,
-    polls: bool,
-    /// Asks at all nodes at once whenever something becomes known.
-    pub asks_closely: bool,
-    /// Calls the job off at the moment in which its last task ends.
-    pub cancels_at_end: bool,
-    cancels: bool,
-}
+const POLL: Time = 5_000_000;
 
-/// The submission as it stands on the wire.
-pub fn body_of(p: &JobPlan) -> Vec<u8> {
-    let wire = cbor!({
-        "ref" => &p.id, "lane" => "train", "crew" => &p.team,
-        "shape" => if p.standing { "standing" } else { "array" },
-        "rank" => p.rank, "pieces" => p.tasks, "cpus" => p.cpus, "gpus" => 0.0, "ramGb" => 1.0,
-        "bundle" => "img", "imageGb" => 1.0, "yard" => p.zone.clone(),
-        "samePlace" => p.one_zone, "spread" => p.spread, "loaners" => p.spot,
-        "guessS" => if p.standing { 0.0 } else { p.run_s }, "bookmarkS" => if p.save_s > 0.0 { 5.0 } else { 0.0 },
-        "stashS" => p.save_s
-    });
-    encode(&wire.unwrap())
-}
+const RETRY: Time = 1_000_000;
 
-/// A body with the job's name that lacks a field.
-fn bad_body_of(p: &JobPlan) -> Vec<u8> {
-    encode(&cbor!({"ref" => &p.id, "crew" => &p.team, "pieces" => "many"}).unwrap())
-}
+const RETRIES_FOR_S: f64 = 60.0;
 
 impl Simulation {
     /// Asks one node; whatever comes in time is told to the checker and to `then`.
@@ -154,7 +127,7 @@
         self.state().users.entry(id).or_insert(job);
     }
 
-    fn try_submit(self: &Arc<Self>, id: &str) {
+    pub(crate) fn try_submit(self: &Arc<Self>, id: &str) {
         let (id, n) = (id.to_string(), self.any_node());
         self.question(&id.clone(), Question::Submit, n, move |sim, told| {
             match told.map(|t| t.status) {
@@ -176,7 +149,7 @@
         });
     }
 
-    fn begin_polls(self: &Arc<Self>, id: &str) {
+    pub(crate) fn begin_polls(self: &Arc<Self>, id: &str) {
         let fresh = {
             let mut state = self.state();
             let job = state.users.get_mut(id);
@@ -188,7 +161,7 @@
         }
     }
 
-    fn poll(self: &Arc<Self>, id: &str) {
+    pub(crate) fn poll(self: &Arc<Self>, id: &str) {
         let (id, n) = (id.to_string(), self.any_node());
         self.question(&id.clone(), Question::Status, n, move |sim, told| {
             let ended = |t: &Answer| matches!(t.state.as_deref(), Some("done" | "cancelled"));
@@ -215,7 +188,7 @@
         }
     }
 
-    fn try_cancel(self: &Arc<Self>, id: &str, since: Time) {
+    pub(crate) fn try_cancel(self: &Arc<Self>, id: &str, since: Time) {
         let (id, n) = (id.to_string(), self.any_node());
         self.question(
             &id.clone(),
--- /dev/null
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -0,0 +1,341 @@
+//! Heartbeats of the simulated workers, from their sending to the answer.
+
+use crate::directions::Endpoint;
+use crate::machine::{Machine, on_machine, split_task_id};
+use crate::scheduler::{Time, secs};
+use crate::setup::{HEARTBEAT_S, LEASE_S};
+use crate::simulation::Simulation;
+use crate::worker_protocol::leader_of;
+use aspenreel::http::cbor::{decode, encode};
+use aspenreel::http::server::{Handler, Request};
+use aspenreel::workers::wire::Heartbeat;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+const PATIENCE: Time = 4_000_000;
+
+const PAUSE: Time = 1_000_000;
+
+impl Simulation {
+    /// Makes a machine that is up after so long; its name.
+    pub fn boot(self: &Arc<Self>, type_name: &str, zone: &str, spot: bool, after: Time) -> String {
+        let now = self.now();
+        let (name, first) = {
+            let mut state = self.state();
+            state.cloud.made += 1;
+            let made = state.cloud.made;
+            let name = format!("m-{made:06}");
+            let first = now + after + state.rng.u64(0..400_000);
+            let node = state.rng.usize(0..self.setup.nodes);
+            let machine = Machine {
+                name: name.clone(),
+                type_name: type_name.into(),
+                zone: zone.into(),
+                spot,
+                cpus: if type_name == "small" { 8.0 } else { 32.0 },
+                addr: format!("10.1.{}.{}:9000", made / 200, made % 200)
+                    .parse()
+                    .unwrap(),
+                created: now,
+                up_at: first,
+                gone_at: None,
+                died_at: None,
+                agent_epoch: 1,
+                sequence: 0,
+                fencing_token: 0,
+                lease_from: first,
+                tasks: BTreeMap::new(),
+                images: BTreeSet::new(),
+                node,
+                in_flight: None,
+                sent: 0,
+                reports: 0,
+                next_heartbeat: 0,
+                timers: 0,
+                frozen_until: 0,
+                frozen_since: 0,
+                cut_until: 0,
+                holds: false,
+                outbound_dropped_until: 0,
+                inbound_dropped_until: 0,
+                preempted_at: None,
+            };
+            state.machines.insert(name.clone(), machine);
+            (name, first)
+        };
+        let worker = name.clone();
+        self.at_time(first, move |sim| {
+            sim.check_lease(&worker);
+            sim.heartbeat_at(&worker, sim.now());
+        });
+        name
+    }
+
+    /// Ends a session when its lease is over.
+    pub(crate) fn check_lease(self: &Arc<Self>, name: &str) {
+        let now = self.now();
+        let worker = name.to_string();
+        let mut state = self.state();
+        let Some(m) = state.machines.get_mut(name).filter(|m| m.alive()) else {
+            return;
+        };
+        let ends = m.lease_from + secs(LEASE_S);
+        if now < ends {
+            drop(state);
+            return self.at_time(ends, move |sim| sim.check_lease(&worker));
+        }
+        m.agent_epoch += 1;
+        m.lease_from = now;
+        m.in_flight = None;
+        let lost = std::mem::take(&mut m.tasks);
+        for ((task_id, _), task) in lost {
+            if on_machine(&task) {
+                let (id, n) = split_task_id(&task_id);
+                state.checker.leaves(id, n, name, false);
+            }
+        }
+        drop(state);
+        self.heartbeat_at(name, now);
+        self.after(secs(LEASE_S), move |sim| sim.check_lease(&worker));
+    }
+
+    /// The next report goes out then, unless another one is asked for before.
+    pub(crate) fn heartbeat_at(self: &Arc<Self>, name: &str, at: Time) {
+        let mut state = self.state();
+        let Some(m) = state.machines.get_mut(name) else {
+            return;
+        };
+        m.next_heartbeat += 1;
+        let (number, worker) = (m.next_heartbeat, name.to_string());
+        drop(state);
+        self.at_time(at, move |sim| sim.send_heartbeat(&worker, number));
+    }
+
+    pub(crate) fn heartbeat_soon(self: &Arc<Self>, name: &str) {
+        let at = {
+            let state = self.state();
+            let Some(m) = state.machines.get(name).filter(|m| m.in_flight.is_none()) else {
+                return;
+            };
+            (m.sent + 500_000).max(self.now())
+        };
+        self.heartbeat_at(name, at);
+    }
+
+    pub(crate) fn send_heartbeat(self: &Arc<Self>, name: &str, number: u64) {
+        let now = self.now();
+        let mut state = self.state();
+        let Some(m) = state.machines.get_mut(name) else {
+            return;
+        };
+        if !m.up(now) || m.next_heartbeat != number || m.in_flight.is_some() {
+            return;
+        }
+        if m.frozen_until > now {
+            let until = m.frozen_until;
+            drop(state);
+            return self.heartbeat_at(name, until);
+        }
+        let report = m.report(now);
+        m.reports += 1;
+        m.sent = now;
+        m.in_flight = Some(m.reports);
+        let (request, n, worker) = (m.reports, m.node, name.to_string());
+        let cut_until = m.cut_until;
+        let (lost, held) = (
+            m.cut_until > now || m.outbound_dropped_until > now,
+            m.holds && m.cut_until > now,
+        );
+        drop(state);
+        self.after(PATIENCE, move |sim| {
+            sim.heartbeat_timed_out(&worker, request)
+        });
+        if lost {
+            if held {
+                self.at_time(cut_until, move |sim| sim.copy_arrives(n, &report));
+            }
+            return;
+        }
+        let there = self.latency();
+        self.after(there, move |sim| {
+            sim.heartbeat_arrives(n, report, request, now)
+        });
+    }
+
+    pub(crate) fn heartbeat_timed_out(self: &Arc<Self>, name: &str, request: u64) {
+        let nodes = self.setup.nodes;
+        {
+            let mut state = self.state();
+            let Some(m) = state.machines.get_mut(name) else {
+                return;
+            };
+            if m.in_flight != Some(request) {
+                return;
+            }
+            m.in_flight = None;
+            m.node = (m.node + 1) % nodes;
+        }
+        self.heartbeat_at(name, self.now() + PAUSE);
+    }
+
+    /// A node takes in a report. A frozen one does when it goes on.
+    pub(crate) fn deliver_heartbeat(
+        self: &Arc<Self>,
+        n: usize,
+        report: &Heartbeat,
+    ) -> Result<(u16, Vec<u8>), Option<Time>> {
+        let (process, node) = {
+            let state = self.state();
+            (state.nodes[n].process, state.nodes[n].node.clone())
+        };
+        let (Some(process), Some(node)) = (process, node) else {
+            return Err(None);
+        };
+        if let Some(until) = self.scheduler.frozen(process) {
+            return Err(Some(until));
+        }
+        let request = Request {
+            method: "POST".into(),
+            path: "/checkin".into(),
+            body: encode(report),
+        };
+        let response = node
+            .handle_without_blocking(request)
+            .unwrap_or_else(|_| panic!("it waits"));
+        let late = response.valid_until.is_some_and(|t| node.os.now() >= t);
+        Ok((if late { 503 } else { response.status }, response.body))
+    }
+
+    pub(crate) fn heartbeat_arrives(
+        self: &Arc<Self>,
+        n: usize,
+        report: Heartbeat,
+        request: u64,
+        sent: Time,
+    ) {
+        let zone = report.zone.clone();
+        let lost = self
+            .state()
+            .is_cut(Endpoint::Workers, Endpoint::Node(n), self.now());
+        if lost || !self.reaches(n, &zone) {
+            return;
+        }
+        let answer = match self.deliver_heartbeat(n, &report) {
+            Ok(answer) => Some(answer),
+            Err(Some(until)) => {
+                return self.at_time(until, move |sim| {
+                    sim.heartbeat_arrives(n, report, request, sent)
+                });
+            }
+            Err(None) => None,
+        };
+        let now = self.now();
+        let copy = {
+            let mut state = self.state();
+            let late = state.late_heartbeats.filter(|l| l.until > now);
+            late.filter(|l| state.rng.f64() < l.share)
+        };
+        match copy {
+            Some(late) if late.for_next => self.state().kept_heartbeats.push(report.clone()),
+            Some(_) => {
+                let later = self.random(2_000_000..secs(1.4 * LEASE_S));
+                let report = report.clone();
+                self.after(later, move |sim| {
+                    let n = sim.leader_or_any();
+                    sim.copy_arrives(n, &report);
+                });
+            }
+            None => {}
+        }
+        if self
+            .state()
+            .is_cut(Endpoint::Node(n), Endpoint::Workers, self.now())
+        {
+            return;
+        }
+        let back = self.latency();
+        let name = report.machine.clone();
+        self.after(back, move |sim| {
+            sim.answer_arrives(&name, report.agent_epoch, request, sent, answer);
+        });
+    }
+
+    /// A report that nobody waits for an answer to any more.
+    pub fn copy_arrives(self: &Arc<Self>, n: usize, report: &Heartbeat) {
+        if let Err(Some(until)) = self.deliver_heartbeat(n, report) {
+            let report = report.clone();
+            self.at_time(until, move |sim| sim.copy_arrives(n, &report));
+        }
+    }
+
+    pub(crate) fn answer_arrives(
+        self: &Arc<Self>,
+        name: &str,
+        agent_epoch: u64,
+        request: u64,
+        sent: Time,
+        answer: Option<(u16, Vec<u8>)>,
+    ) {
+        let now = self.now();
+        let nodes = self.setup.nodes;
+        let mut state = self.state();
+        let Some(m) = state.machines.get_mut(name) else {
+            return;
+        };
+        if !m.up(now) || m.in_flight != Some(request) {
+            return;
+        }
+        if m.frozen_until > now {
+            let (until, name) = (m.frozen_until, name.to_string());
+            drop(state);
+            return self.at_time(until, move |sim| {
+                sim.answer_arrives(&name, agent_epoch, request, sent, answer);
+            });
+        }
+        if now - sent > PATIENCE || m.cut_until > now || m.inbound_dropped_until > now {
+            return;
+        }
+        m.in_flight = None;
+        let mut next = now + (HEARTBEAT_S * 1e6) as Time;
+        let mut commands = Vec::new();
+        match answer {
+            Some((200, body)) => {
+                let answer: aspenreel::workers::wire::HeartbeatReplyBody = decode(&body).unwrap();
+                if answer.fencing_token >= m.fencing_token && agent_epoch == m.agent_epoch {
+                    if answer.fencing_token > m.fencing_token {
+                        next = now + 500_000;
+                    }
+                    m.fencing_token = answer.fencing_token;
+                    m.lease_from = sent;
+                    commands = answer.commands;
+                }
+            }
+            Some((421, body)) => {
+                let named = leader_of(&body).and_then(|f| f.strip_prefix("n-")?.parse().ok());
+                match named.filter(|n| *n != m.node && *n < nodes) {
+                    Some(named) => {
+                        m.node = named;
+                        next = now + 200_000;
+                    }
+                    None => {
+                        m.node = (m.node + 1) % nodes;
+                        next = now + PAUSE;
+                    }
+                }
+            }
+            _ => {
+                m.node = (m.node + 1) % nodes;
+                next = now + PAUSE;
+            }
+        }
+        drop(state);
+        let spread = (HEARTBEAT_S * 250_000.0) as Time;
+        let next = if next > now + PAUSE {
+            next - spread + self.random(0..2 * spread)
+        } else {
+            next
+        };
+        self.heartbeat_at(name, next);
+        self.execute(name, &commands);
+    }
+}
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -1,7 +1,8 @@
 //! What the plans of many tests share: jobs, and users that look closely or cancel.
 
 use crate::checker::{Answer, JobPlan};
-use crate::simulation::{Setup, Simulation};
+use crate::setup::Setup;
+use crate::simulation::Simulation;
 use std::sync::Arc;
 
 pub const SEEDS: u64 = 8;
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -6,7 +6,8 @@
 
 use aspenreel_simulation::drawn_faults;
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{CANCEL_S, Setup, Summary};
+use aspenreel_simulation::setup::{CANCEL_S, Setup};
+use aspenreel_simulation::summary::Summary;
 use aspenreel_simulation::workloads::*;
 use std::fmt::Write;
 
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -2,7 +2,8 @@
 
 use aspenreel_simulation::checker::JobPlan;
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{Setup, Simulation};
+use aspenreel_simulation::setup::Setup;
+use aspenreel_simulation::simulation::Simulation;
 use std::sync::Arc;
 
 const MACHINES_IN_ZONE: usize = 2100;
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -4,7 +4,9 @@
 use aspenreel_simulation::checker::{JobPlan, Question};
 use aspenreel_simulation::directions::{Direction, Endpoint};
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{LEASE_S, Setup, Simulation, Summary};
+use aspenreel_simulation::setup::{LEASE_S, Setup};
+use aspenreel_simulation::simulation::Simulation;
+use aspenreel_simulation::summary::Summary;
 use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -9,7 +9,7 @@
 mod upgrades;
 
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::Setup;
+use aspenreel_simulation::setup::Setup;
 use aspenreel_simulation::{checker, drawn_faults};
 
 /// Without any trouble every job runs to its end, each task once.
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -2,7 +2,8 @@
 
 use aspenreel_simulation::checker::{JobPlan, Question};
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{CANCEL_S, LEASE_S, Setup, Simulation};
+use aspenreel_simulation::setup::{CANCEL_S, LEASE_S, Setup};
+use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -2,7 +2,7 @@
 //! renew the workers' sessions.
 
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{CANCEL_S, Setup};
+use aspenreel_simulation::setup::{CANCEL_S, Setup};
 use aspenreel_simulation::workloads::*;
 
 /// Jobs are cancelled while their starts are on the way. Whatever arrives late starts nothing.
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -3,7 +3,8 @@
 use aspenreel_simulation::drawn_faults;
 use aspenreel_simulation::run::run;
 use aspenreel_simulation::scheduler::lock;
-use aspenreel_simulation::simulation::{Setup, Simulation};
+use aspenreel_simulation::setup::Setup;
+use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::workloads::*;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -6,7 +6,8 @@
 use aspenreel_simulation::fake_store::Limits;
 use aspenreel_simulation::older_version;
 use aspenreel_simulation::run::run;
-use aspenreel_simulation::simulation::{Setup, Simulation};
+use aspenreel_simulation::setup::Setup;
+use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
