--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -21,7 +21,7 @@
     pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
-    /// The state service takes higher tokens.
+    /// The key-value store takes higher fencing tokens.
     pub raises_tokens: bool,
     sequences: BTreeMap<String, u64>,
     told: BTreeMap<String, u64>,
@@ -225,7 +225,7 @@
 
     /// Sends a report; the token of its answer, if it is answered.
     pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
-        // In a trace claims and the roster are written as soon as they are due.
+        // In a trace claims and the registry are written as soon as they are due.
         self.scheduler.place(self.now);
         self.record_fleet();
         let answer = self.scheduler.heartbeat(report, self.now);
@@ -248,7 +248,7 @@
                 };
                 match fencing_token == self.scheduler.term {
                     true => text,
-                    false => format!("{text} (token {fencing_token})"),
+                    false => format!("{text} (fencing token {fencing_token})"),
                 }
             }
             other => format!("{other:?}"),
@@ -263,7 +263,7 @@
             })
             .collect();
         self.note(&format!(
-            "{} (session {}, tick {}, token {}) reports [{}] -> {text}",
+            "{} (agent epoch {}, sequence {}, fencing token {}) reports [{}] -> {text}",
             report.machine,
             report.agent_epoch,
             report.sequence,
@@ -278,12 +278,12 @@
         fencing_token
     }
 
-    /// Puts a higher token on record, if one is wanted.
+    /// Puts a higher fencing token on record, if one is wanted.
     fn raise_fencing_token(&mut self) {
         if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
             let fencing_token = self.scheduler.fencing.newest() + 1;
             self.scheduler.fencing_token_raised(fencing_token, self.now);
-            self.note(&format!("token {fencing_token} is on record"));
+            self.note(&format!("fencing token {fencing_token} is on record"));
         }
     }
 
@@ -298,7 +298,7 @@
         }
     }
 
-    /// A machine on an earlier term's roster.
+    /// A machine on an earlier term's registry.
     pub fn recorded(&mut self, machine: &str, since: f64) -> &mut Self {
         self.epoch += 1;
         let page = self.epoch as u32;
@@ -341,7 +341,7 @@
         self
     }
 
-    /// One write round; `commit` says whether the state service took it.
+    /// One write round; `commit` says whether the key-value store took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
         let mut writes: Vec<RecordWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -5,7 +5,7 @@
 use insta::assert_snapshot;
 
 /// A start without an answer may arrive at any time: its task stays bound, and the attempt is
-/// never cleared while the session lasts, since a start after `clear` would run it again.
+/// never cleared while the agent epoch lasts, since a start after `clear` would run it again.
 #[test]
 fn unanswered_direct_start() {
     let mut trace = LeaderTrace::new(2, one_team());
@@ -122,7 +122,7 @@
 /// A job that spreads over many machines doesn't call all of them at once: on a small share of a
 /// core their answers would queue, and users' requests behind them. Calls that get no answer hold
 /// up the others only for a moment, and while timers fire late none is made: heartbeats carry the
-/// orders.
+/// commands.
 #[test]
 fn direct_calls_are_few_at_a_time() {
     let mut trace = LeaderTrace::new(2, one_team());
@@ -159,7 +159,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine of the last leader's roster stays silent for a lease, and its entry goes. When it is back
+/// A machine of the last leader's registry stays silent for a lease, and its entry goes. When it is back
 /// it is written down anew before anything starts there, however often it reports meanwhile: else a
 /// next leader would not know that it may hold tasks.
 #[test]
@@ -186,7 +186,7 @@
 }
 
 /// A start got no answer and was never delivered, its job is cancelled, and the machine is well: once
-/// it tells a higher token than the order's it will refuse the order. Else the cancelled job would keep
+/// it tells a higher fencing token than the command's it will refuse the command. Else the cancelled job would keep
 /// its place there for good.
 #[test]
 fn an_undelivered_start_has_an_end() {
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -47,7 +47,10 @@
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace.at(2.0).list(&[("big-east-1", "running")]);
     trace.at(5.0).list(&[("big-east-1", "running")]).bound();
-    let unreconciled = format!("unseen: {:?}", trace.scheduler.prior_term.unreconciled);
+    let unreconciled = format!(
+        "unreconciled: {:?}",
+        trace.scheduler.prior_term.unreconciled
+    );
     trace.note(&unreconciled);
     trace.at(12.0).list(&[("big-east-1", "running")]);
     trace.at(15.0).list(&[("big-east-1", "running")]);
@@ -56,7 +59,7 @@
 }
 
 /// A leader stands still between deciding a start and sending it, and goes on when another leads. A
-/// machine that the next leader counted in refuses the order; on one that it hasn't, the task may
+/// machine that the next leader reconciled refuses the command; on one that it hasn't, the task may
 /// start, and it starts nowhere else meanwhile.
 #[test]
 fn the_last_leader_stood_still() {
@@ -79,8 +82,8 @@
     assert_snapshot!(trace.log);
 }
 
-/// A lagging list may still name machines that were taken before a takeover. That they existed long
-/// before is known from the roster and from how long they were held: the next two lists prove
+/// A lagging list may still name machines that were taken before a failover. That they existed long
+/// before is known from the registry and from how long they were held: the next two lists prove
 /// that they are gone, and earlier jobs don't wait for most of a lease.
 #[test]
 fn listed_late_and_gone() {
@@ -104,7 +107,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine goes on the roster when it is first heard from: what still boots at a takeover can
+/// A machine goes on the registry when it is first heard from: what still boots at a failover can
 /// hold nothing, and nobody waits for it.
 #[test]
 fn booting_machines_are_not_waited_for() {
@@ -119,7 +122,7 @@
         .rental_answered(&rental_requests[0].name, rented, at(1.0));
     let due = |trace: &LeaderTrace| {
         format!(
-            "roster pages due: {}",
+            "registry pages due: {}",
             trace.scheduler.pending_registry_writes(true).len()
         )
     };
@@ -135,7 +138,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// Only claimed tasks wait for an unseen machine: what was never claimed starts at once.
+/// Only claimed tasks wait for an unreconciled machine: what was never claimed starts at once.
 #[test]
 fn takeover_holds_only_what_may_be_unseen() {
     let mut trace = LeaderTrace::new(5, one_team());
@@ -179,7 +182,10 @@
         &["run-1/0#4.1 done", "run-1/1#4.2 running"],
     );
     trace.at(1.0).send(&copy).bound();
-    let unreconciled = format!("unseen: {:?}", trace.scheduler.prior_term.unreconciled);
+    let unreconciled = format!(
+        "unreconciled: {:?}",
+        trace.scheduler.prior_term.unreconciled
+    );
     trace.note(&unreconciled);
     trace.round(true).view("run-1");
     let own = trace.report("big-east-1", 5, 2, &[]);
@@ -189,8 +195,8 @@
 }
 
 /// A late copy is the first that a new leader hears of a machine; then the machine itself reports, in
-/// its next session, which began under the last leader. An order of that one may still be on its way
-/// to this session: the task is held until the machine is counted in.
+/// its next agent epoch, which began under the last leader. An order of that one may still be on its way
+/// to this agent epoch: the task is held until the machine is reconciled.
 #[test]
 fn a_copy_of_an_earlier_session_frees_nothing() {
     let mut trace = LeaderTrace::new(5, one_team());
@@ -217,7 +223,7 @@
         s.shape = Shape::Standing;
         s.pieces = 1;
     };
-    // The roster's page has revision 101, the jobs the next ones.
+    // The registry's page has revision 101, the jobs the next ones.
     trace.scheduler.prior_term.older_version_led_at = 103;
     trace.accepted(submission("run-1", standing), 0);
     trace.accepted(submission("run-2", standing), 0);
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -1,4 +1,4 @@
-//! Orders that the network holds back: when a leader may count on them not to arrive any more.
+//! Commands that the network holds back: when a leader may count on them not to arrive any more.
 
 use crate::trace::{LeaderTrace, submission, team};
 use aspenreel::workers::direct::DirectResult;
@@ -8,7 +8,7 @@
 const CANCEL_S: f64 = 46.0;
 const LEASE_S: f64 = 20.0;
 
-/// A worker, as far as it decides whether a late order is executed.
+/// A worker, as far as it decides whether a late command is executed.
 struct Worker {
     name: &'static str,
     fencing_token: u64,
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the state service does with higher tokens.
+/// What the key-value store does with higher fencing tokens.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Tokens {
     Raised,
@@ -80,7 +80,7 @@
 }
 
 /// A direct start is on its way when its job is cancelled, and stays there for minutes, while heartbeats
-/// renew the session. Before the time for a cancellation is over, the worker must have lost the right to
+/// renew the agent epoch. Before the time for a cancellation is over, the worker must have lost the right to
 /// execute it.
 #[test]
 fn a_held_start_is_revoked_before_its_cancellation_must_be_complete() {
@@ -99,7 +99,7 @@
 }
 
 /// A preempted task's start is on its way. Its task may start elsewhere only once the worker can't
-/// execute the late order any more.
+/// execute the late command any more.
 #[test]
 fn a_preempted_start_holds_its_task_until_it_is_revoked() {
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Raised);
@@ -125,8 +125,8 @@
     }
 }
 
-/// The state service takes no higher token. Then the worker gets no answers from the moment at which a
-/// lease just fits into the time for the cancellation, and the order's session ends.
+/// The key-value store takes no higher fencing token. Then the worker gets no answers from the moment at which a
+/// lease just fits into the time for the cancellation, and the command's agent epoch ends.
 #[test]
 fn a_start_that_cannot_be_fenced_off_ends_with_its_session() {
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Refused);
@@ -143,7 +143,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// A start is under way when its machine gets a higher token for another one. Its call ends without an
+/// A start is under way when its machine gets a higher fencing token for another one. Its call ends without an
 /// answer after the worker has told that token: nothing is in doubt, and no third token is needed.
 #[test]
 fn a_call_that_ends_after_the_worker_saw_a_higher_token_leaves_no_doubt() {
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -48,7 +48,7 @@
     assert!(silent(true, 13.5));
 }
 
-/// Reports arrive, answers and orders don't: no new work, a replacement, a return if it lasts;
+/// Reports arrive, answers and commands don't: no new work, a replacement, a return if it lasts;
 /// and a machine that hears again counts again.
 #[test]
 fn one_way_silence() {
@@ -58,7 +58,7 @@
     trace.at(1.0).job(submission("run-1", |s| s.pieces = 2));
     trace.on_timer(1.0);
     trace.direct(|_| DirectResult::Unknown).bound();
-    // Its lease runs out, and each session looks healthy.
+    // Its lease runs out, and each agent epoch looks healthy.
     trace.at(3.0).heartbeat("big-east-1", &[]);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
@@ -99,7 +99,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// Copies of reports, from seconds old to older than a lease: they renew nothing, get no orders,
+/// Copies of reports, from seconds old to older than a lease: they renew nothing, get no commands,
 /// bind and free nothing, and bring no machine back.
 #[test]
 fn late_copies() {
@@ -112,12 +112,12 @@
     let running = trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]);
     trace.at(4.0).send(&running);
     trace.at(9.0).send(&idle).bound();
-    // Copies don't keep a silent machine's session alive.
+    // Copies don't keep a silent machine's agent epoch alive.
     trace.at(20.0).send(&running);
     trace.on_timer(24.4).bound();
     trace.on_timer(24.6).bound();
     trace.at(40.0).send(&running).bound();
-    // Its next session runs the task anew: a copy of the old one frees nothing.
+    // Its next agent epoch runs the task anew: a copy of the old one frees nothing.
     let next = trace.report("big-east-1", 2, 2, &["run-1/0#2.2 running"]);
     trace.at(41.0).send(&next).bound();
     trace.at(42.0).send(&idle).send(&running).bound();
@@ -127,7 +127,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine that reaches nobody still answers direct calls, while its sessions end one after the
+/// A machine that reaches nobody still answers direct calls, while its agent epochs end one after the
 /// other: its answers bring it no work. Stops go there all the same.
 #[test]
 fn a_mute_machine_gets_no_work() {
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -83,7 +83,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// 100,000 tasks: the done set is cut into small values, and a takeover reads it back.
+/// 100,000 tasks: the done set is cut into small values, and a failover reads it back.
 #[test]
 fn large_job() {
     let mut trace = LeaderTrace::new(2, one_team());
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -20,7 +20,7 @@
     assert_snapshot!(trace.log);
 }
 
-/// At a takeover a team's limit counts what unseen machines may run, tasks that are done as well (an
+/// At a failover a team's limit counts what unreconciled machines may run, tasks that are done as well (an
 /// order of the last leader may start them once more), but no more than these machines hold.
 #[test]
 fn limits_count_what_unseen_machines_can_hold() {
@@ -48,7 +48,7 @@
     }
 }
 
-/// What an unseen machine may run of a job may be in any zone: a job that must be in one zone waits,
+/// What an unreconciled machine may run of a job may be in any zone: a job that must be in one zone waits,
 /// and of one that is spread as many may start as in the worst case.
 #[test]
 fn zones_count_what_unseen_machines_may_run() {
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -42,61 +42,66 @@
     assert_snapshot!(trace.log);
 }
 
+const MACHINES: [&str; 6] = [
+    "big-east-1",
+    "big-east-2",
+    "big-east-3",
+    "big-east-4",
+    "big-east-5",
+    "big-east-6",
+];
+
+/// Heartbeats of the machines that are not silent, each with what it was told to run.
+fn heartbeats_of_all_but(trace: &mut LeaderTrace, silent: &[&str]) {
+    for name in MACHINES.iter().filter(|name| !silent.contains(name)) {
+        let tasks: Vec<String> = trace.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
+            let held = m.attempts.keys();
+            let text = |k: &(_, u32, u64)| {
+                let job = &trace.scheduler.jobs.table[&k.0].spec.id;
+                format!("{job}/{}#2.{} running", k.1, k.2 & 0xffff_ffff)
+            };
+            held.map(text).collect()
+        });
+        let tasks: Vec<&str> = tasks.iter().map(String::as_str).collect();
+        trace.heartbeat(name, &tasks);
+    }
+}
+
+/// Machines with attempts of this job.
+fn machines_with(trace: &LeaderTrace, job: &str) -> Vec<String> {
+    let id = trace.scheduler.jobs.find(job).unwrap();
+    let machines = trace.scheduler.machines.values();
+    let holding = machines.filter(|m| m.attempts.keys().any(|k| k.0 == id));
+    holding.map(|m| m.name.clone()).collect()
+}
+
 /// A machine with replicas that falls silent is returned after three reports that didn't come: the answer
 /// proves that the replicas are gone, and they run elsewhere long before the lease is over. Machines with
 /// arrays alone are waited for; and where more than a third is silent, all are.
 #[test]
 fn silent_machines_with_replicas_are_returned() {
     let mut trace = LeaderTrace::new(2, one_team());
-    let names = [
-        "big-east-1",
-        "big-east-2",
-        "big-east-3",
-        "big-east-4",
-        "big-east-5",
-        "big-east-6",
-    ];
-    let all_but = |trace: &mut LeaderTrace, silent: &[&str]| {
-        for name in names.iter().filter(|name| !silent.contains(name)) {
-            let tasks: Vec<String> = trace.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
-                let held = m.attempts.keys();
-                let text = |k: &(_, u32, u64)| {
-                    let job = &trace.scheduler.jobs.table[&k.0].spec.id;
-                    format!("{job}/{}#2.{} running", k.1, k.2 & 0xffff_ffff)
-                };
-                held.map(text).collect()
-            });
-            let tasks: Vec<&str> = tasks.iter().map(String::as_str).collect();
-            trace.heartbeat(name, &tasks);
-        }
-    };
-    all_but(&mut trace, &[]);
+    heartbeats_of_all_but(&mut trace, &[]);
     trace.job(submission("run-1", |s| {
         s.shape = Shape::Standing;
         s.pieces = 1;
     }));
     trace.job(submission("run-2", |s| s.pieces = 12));
     trace.on_timer(1.0).bound();
-    let holds = |trace: &LeaderTrace, job: &str| -> Vec<String> {
-        let id = trace.scheduler.jobs.find(job).unwrap();
-        let machines = trace.scheduler.machines.values();
-        let holding = machines.filter(|m| m.attempts.keys().any(|k| k.0 == id));
-        holding.map(|m| m.name.clone()).collect()
-    };
-    let replica_on = holds(&trace, "run-1");
-    let array_only = holds(&trace, "run-2")
+    let replica_on = machines_with(&trace, "run-1");
+    let array_only = machines_with(&trace, "run-2")
         .into_iter()
         .find(|m| *m != replica_on[0]);
     let silent = [replica_on[0].as_str(), array_only.as_deref().unwrap()];
     for k in 1..8 {
         trace.at(3.0 * f64::from(k));
-        all_but(&mut trace, &[]);
+        heartbeats_of_all_but(&mut trace, &[]);
     }
     let mut returned_at = Vec::new();
     for k in 0..5 {
         let now = 24.0 + 3.0 * f64::from(k);
         trace.at(now);
-        all_but(&mut trace, &silent);
+        heartbeats_of_all_but(&mut trace, &silent);
         let due = trace.scheduler.plan_returns(at(now + 1.0));
         assert!(!due.contains(&silent[1].to_string()), "{due:?}");
         if due.contains(&replica_on[0]) {
@@ -107,12 +112,12 @@
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
     trace.scheduler.returned(&replica_on);
     trace.on_timer(38.0);
-    assert_eq!(holds(&trace, "run-1").len(), 1, "it runs elsewhere");
+    assert_eq!(machines_with(&trace, "run-1").len(), 1, "it runs elsewhere");
 
     // Half are silent at once: it is rather this node that is cut off.
-    let again_on = holds(&trace, "run-1");
+    let again_on = machines_with(&trace, "run-1");
     let known = |name: &&&str| trace.scheduler.machines.contains_key(**name);
-    let mut others = names.iter().filter(known).filter(|n| **n != again_on[0]);
+    let mut others = MACHINES.iter().filter(known).filter(|n| **n != again_on[0]);
     let half = [
         again_on[0].as_str(),
         others.next().unwrap(),
@@ -121,7 +126,7 @@
     for k in 0..5 {
         let now = 39.0 + 3.0 * f64::from(k);
         trace.at(now);
-        all_but(&mut trace, &half);
+        heartbeats_of_all_but(&mut trace, &half);
         let due = trace.scheduler.plan_returns(at(now + 1.0));
         assert!(!due.contains(&again_on[0]), "{due:?}");
     }
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -55,7 +55,7 @@
     assert!(crowd > 80, "{crowd} of 159 began");
 }
 
-/// The age of a job comes from its record: a takeover doesn't make it wait anew.
+/// The age of a job comes from its record: a failover doesn't make it wait anew.
 #[test]
 fn waiting_wins_through_a_takeover() {
     let mut trace = LeaderTrace::new(3, vec![team("a", 100.0, 100.0), team("b", 0.0, 8.0)]);
