--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -8,7 +8,7 @@
 use aspenreel::controller::Controller;
 use aspenreel::leadership::LeaderRecord;
 use aspenreel::settings::Settings;
-use aspenreel::state_store::from_value;
+use aspenreel::store::from_value;
 use clap::Parser;
 use std::sync::Arc;
 
@@ -81,8 +81,8 @@
         };
         let os = Arc::new(SimOs::new(self, n, process, drift, skew));
         let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
-        for (i, (_, duty)) in node.duties().into_iter().enumerate() {
-            self.scheduler.spawn(process, seed ^ i as u64, duty);
+        for (i, thread) in node.threads().into_iter().enumerate() {
+            self.scheduler.spawn(process, seed ^ i as u64, thread.body);
         }
         let mut state = self.state();
         state.nodes[n].process = Some(process);
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -4,8 +4,8 @@
 use crate::sim_http::SimHttp;
 use crate::sim_peer::SimPeer;
 use crate::simulation::Simulation;
-use aspenreel::leadership::peer::PeerLink;
 use aspenreel::os::{EventCount, HttpClient, ObservedCount, Os};
+use aspenreel::peer::PeerTransport;
 use aspenreel::time::{Moment, WallTime};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::AtomicBool;
@@ -74,7 +74,7 @@
         })
     }
 
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
         let IpAddr::V4(ip) = addr.ip() else {
             panic!("peers have IPv4 addresses");
         };
--- a/crates/simulation/src/sim_peer.rs
+++ b/crates/simulation/src/sim_peer.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::Time;
 use crate::simulation::Simulation;
 use crate::transcript::Channel;
-use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
+use aspenreel::peer::{PeerReply, PeerRequest, PeerTransport};
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,8 +30,8 @@
     }
 }
 
-impl PeerLink for SimPeer {
-    fn ask(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
+impl PeerTransport for SimPeer {
+    fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
         let simulation = &self.simulation;
         if self.is_cut() {
             let until = simulation.now() + timeout.as_micros() as Time;
--- a/crates/simulation/src/stand_ins/processes.rs
+++ b/crates/simulation/src/stand_ins/processes.rs
@@ -5,7 +5,7 @@
 use crate::stand_ins::store_server::StoreServer;
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
-use aspenreel::state_store::from_value;
+use aspenreel::store::from_value;
 use ciborium::cbor;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/simulation/src/store_api.rs
+++ b/crates/simulation/src/store_api.rs
@@ -10,7 +10,7 @@
 use aspenreel::http::cbor::encode;
 use aspenreel::http::server::Request;
 use aspenreel::leadership::LeaderRecord;
-use aspenreel::state_store::{from_value, to_value};
+use aspenreel::store::{from_value, to_value};
 use ciborium::cbor;
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -28,9 +28,9 @@
 fn a_late_start() {
     let mut trace = trace();
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).heartbeat("big-east-1", &[]);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace
         .at(60.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
@@ -42,9 +42,9 @@
     trace.raises_tokens = false;
     trace.scheduler.config.cancel = Micros::from_secs(5);
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.on_timer(7.0);
 }
 
--- a/tests/service/side_by_side.rs
+++ b/tests/service/side_by_side.rs
@@ -4,7 +4,7 @@
 
 use crate::nodes::{JobStatus, Nodes, job, leader, newest, spawn, spawn_as, spawn_watching};
 use aspenreel::http::cbor::encode;
-use aspenreel::state_store::to_value;
+use aspenreel::store::to_value;
 use aspenreel_simulation::stand_ins::cloud_server::CloudServer;
 use aspenreel_simulation::stand_ins::store_server::{RelayListener, StoreServer};
 use ciborium::cbor;
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -13,10 +13,14 @@
     let mut n = 0;
     while !trace.scheduler.is_full(false) {
         n += 1;
-        trace.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+        trace.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
     }
     trace.note(&format!("full after {n} small jobs"));
-    trace.scheduler.forget_job("run-1");
+    let retire = |trace: &mut LeaderTrace, id: &str| {
+        let job = trace.scheduler.jobs.find(id).unwrap();
+        trace.scheduler.forget_job(job);
+    };
+    retire(&mut trace, "run-1");
     let states = (
         trace.scheduler.is_full(false),
         trace.scheduler.is_full(true),
@@ -25,11 +29,11 @@
         "one less: full {states:?} if it was not, if it was"
     ));
     for n in 2..=8 {
-        trace.scheduler.forget_job(&format!("run-{n}"));
+        retire(&mut trace, &format!("run-{n}"));
     }
     let full = trace.scheduler.is_full(true);
     trace.note(&format!("a tenth less: full {full}"));
-    trace.job(submission("run-999", |s| s.pieces = 100_000));
+    trace.job(submission("run-999", |s| s.tasks = 100_000));
     let full = trace.scheduler.is_full(false);
     trace.note(&format!("one of 100,000 tasks more: full {full}"));
     for n in 1..=3 {
@@ -57,14 +61,20 @@
 /// late one would undo it, and nobody would accept anything for as long as this leader leads.
 #[test]
 fn the_mark_of_being_full_is_never_in_doubt_for_long() {
-    let mut mark = aspenreel::jobs::edge::Fullness::default();
-    assert_eq!((mark.next(false), mark.next(true)), (None, Some(true)));
+    let mut mark = aspenreel::jobs::AdmissionGate::default();
+    assert_eq!(
+        (mark.next_write(false), mark.next_write(true)),
+        (None, Some(true))
+    );
     mark.unconfirmed = Some(true);
-    assert_eq!(mark.next(false), Some(true));
-    mark.known(true, 7);
-    assert_eq!((mark.next(true), mark.next(false)), (None, Some(false)));
+    assert_eq!(mark.next_write(false), Some(true));
+    mark.confirm(true, 7);
+    assert_eq!(
+        (mark.next_write(true), mark.next_write(false)),
+        (None, Some(false))
+    );
     mark.unconfirmed = Some(false);
-    assert_eq!(mark.next(true), Some(false));
-    mark.known(false, 0);
-    assert_eq!((mark.next(false), mark.revision), (None, 0));
+    assert_eq!(mark.next_write(true), Some(false));
+    mark.confirm(false, 0);
+    assert_eq!((mark.next_write(false), mark.revision), (None, 0));
 }
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -13,7 +13,7 @@
     trace.raises_tokens = false;
     trace.heartbeat("big-east-1", &[]);
     trace.heartbeat("big-east-2", &[]);
-    trace.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace
         .on_timer(1.0)
         .direct(|_| DirectResult::Unknown)
@@ -25,7 +25,7 @@
         .find(|m| m.busy())
         .map(|m| m.name.clone())
         .unwrap();
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true).view("run-1");
     trace.at(3.0).heartbeat(&name, &[]);
     trace.at(6.0).heartbeat(&name, &[]).bound();
@@ -47,13 +47,13 @@
 fn lost_answers() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 2));
+    trace.job(submission("run-1", |s| s.tasks = 2));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
         .at(6.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
     trace
         .at(9.0)
@@ -72,11 +72,11 @@
     let mut trace = LeaderTrace::new(2, one_team());
     let first = trace.report("big-east-1", 2, 1, &[]);
     trace.scheduler.heartbeat(&first, at(0.0));
-    trace.at(1.0).job(submission("run-1", |s| s.pieces = 9));
+    trace.at(1.0).job(submission("run-1", |s| s.tasks = 9));
     trace.scheduler.on_timer(at(1.0));
     trace.bound();
     for write in trace.scheduler.pending_registry_writes(false) {
-        trace.scheduler.written(&write, 7);
+        trace.scheduler.apply_written(&write, 7);
     }
     trace.scheduler.on_timer(at(1.01));
     trace.bound().direct(|_| unreachable!());
@@ -85,9 +85,9 @@
         trace.note(&format!("to be written: {:?}", write.kind));
     }
     // The page changes while it is being written: it stays due, over its own revision.
-    trace.job(submission("run-2", |s| s.pieces = 1));
+    trace.job(submission("run-2", |s| s.tasks = 1));
     trace.scheduler.on_timer(at(1.02));
-    trace.scheduler.written(&start_watermarks[0], 8);
+    trace.scheduler.apply_written(&start_watermarks[0], 8);
     for write in trace.scheduler.pending_watermark_writes() {
         trace.note(&format!("to be written: {:?}", write.kind));
     }
@@ -103,7 +103,7 @@
 fn unreached_machines() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.scheduler.place(at(1.0));
     trace.record_fleet();
     trace.bound().direct(|_| DirectResult::Unreached);
@@ -131,7 +131,7 @@
     }
     for n in 1..=9 {
         trace.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(10.0);
             s.ram_gb = decimal(100.0);
         }));
@@ -168,7 +168,7 @@
     trace.recorded("big-east-1", -60.0);
     trace.on_timer(21.0);
     trace.record_fleet();
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     let due = |trace: &LeaderTrace| trace.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
         let report = trace.report("big-east-1", 5, 2, &[]);
@@ -192,9 +192,9 @@
 fn an_undelivered_start_has_an_end() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).round(true);
     trace.at(4.0).heartbeat("big-east-1", &[]);
     trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -1,7 +1,7 @@
 //! What a new leader may count on before it has heard from every machine of the last term.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
-use aspenreel::jobs::spec::{Shape, Submission};
+use aspenreel::jobs::{JobKind, Submission};
 use aspenreel::provisioning::RentalResult;
 use insta::assert_snapshot;
 
@@ -11,8 +11,8 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -100.0);
     trace.recorded("big-east-2", -100.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 2));
-    trace.at(0.2).job(submission("run-2", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.at(0.2).job(submission("run-2", |s| s.tasks = 1));
     let old_token = trace.report("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
     trace.at(0.5).send(&old_token);
     trace
@@ -28,7 +28,7 @@
 fn takeover_waits_a_lease_for_a_silent_machine() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 1));
     for t in [1.0, 10.0, 20.0, 20.4] {
         trace.at(t).heartbeat("big-east-1", &[]);
         trace.on_timer(t).bound();
@@ -43,7 +43,7 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -60.0);
     trace.recorded("big-east-8", -2.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace.at(2.0).list(&[("big-east-1", "running")]);
     trace.at(5.0).list(&[("big-east-1", "running")]).bound();
@@ -66,7 +66,7 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -60.0);
     trace.recorded("big-east-2", -60.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 2));
+    trace.old_job(submission("run-1", |s| s.tasks = 2));
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
     let woken = trace.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
     trace.at(3.0).send(&woken).bound();
@@ -89,7 +89,7 @@
 fn listed_late_and_gone() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -60.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace.at(2.0).list(&[
         ("big-east-1", "running"),
@@ -112,7 +112,7 @@
 #[test]
 fn booting_machines_are_not_waited_for() {
     let mut trace = LeaderTrace::new(2, one_team());
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.scheduler.provisioning.listed = true;
     trace.scheduler.plan_rentals(at(1.0));
     let rental_requests = trace.scheduler.provisioning.rental_requests.clone();
@@ -144,9 +144,9 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -50.0);
     trace.recorded("big-east-1", -50.0);
-    trace.accepted(submission("run-1", |s| s.pieces = 4), 2);
-    trace.old_job(submission("run-2", |s| s.pieces = 1));
-    trace.accepted(submission("run-3", |s| s.pieces = 1), 0);
+    trace.accepted(submission("run-1", |s| s.tasks = 4), 2);
+    trace.old_job(submission("run-2", |s| s.tasks = 1));
+    trace.accepted(submission("run-3", |s| s.tasks = 1), 0);
     trace
         .at(1.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
@@ -174,7 +174,7 @@
 fn a_copy_comes_first() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -100.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 2));
+    trace.old_job(submission("run-1", |s| s.tasks = 2));
     let copy = trace.report(
         "big-east-1",
         4,
@@ -201,7 +201,7 @@
 fn a_copy_of_an_earlier_session_frees_nothing() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -60.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.at(0.5).heartbeat("big-east-2", &[]);
     let copy = trace.report("big-east-1", 4, 1, &[]);
     let next_session = trace.report("big-east-1", 4, 2, &[]);
@@ -220,15 +220,15 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -50.0);
     let standing = |s: &mut Submission| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     };
     // The registry's page has revision 101, the jobs the next ones.
     trace.scheduler.prior_term.older_version_led_at = 103;
     trace.accepted(submission("run-1", standing), 0);
     trace.accepted(submission("run-2", standing), 0);
     trace.accepted(submission("run-3", standing), 0);
-    trace.accepted(submission("run-4", |s| s.pieces = 1), 0);
+    trace.accepted(submission("run-4", |s| s.tasks = 1), 0);
     trace
         .at(1.0)
         .heartbeat("big-east-1", &[])
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -70,7 +70,7 @@
     trace.raises_tokens = tokens == Tokens::Raised;
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
-    trace.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
     let held = DelayedCommand {
         fencing_token: 2,
@@ -86,7 +86,7 @@
 fn a_held_start_is_revoked_before_its_cancellation_must_be_complete() {
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Raised);
     trace.at(2.0);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
     for second in (3..=72).step_by(3) {
         worker.heartbeat(&mut trace, f64::from(second), &[]);
@@ -131,7 +131,7 @@
 fn a_start_that_cannot_be_fenced_off_ends_with_its_session() {
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Refused);
     trace.at(2.0);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
     for second in (6..=54).step_by(4) {
         let second = f64::from(second);
@@ -150,7 +150,7 @@
     let mut trace = LeaderTrace::new(2, vec![team("a", 64.0, 64.0)]);
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
-    trace.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0);
     let call = trace.scheduler.next_direct(trace.now).unwrap();
     assert_eq!(call.fencing_token, 2);
@@ -178,14 +178,14 @@
         trace.heartbeat(name, &[]);
     }
     trace.at(0.5).job(submission("run-1", |s| {
-        s.pieces = u64::from(MACHINES);
+        s.tasks = u64::from(MACHINES);
         s.cpus = trace_cpus();
     }));
     trace.on_timer(1.0);
     while trace.scheduler.fencing.unconfirmed_machines() < MACHINES as usize {
         trace.direct(|_| DirectResult::Unknown);
     }
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.raises_tokens = true;
     for name in &names {
         trace.at(2.0).heartbeat(name, &[]);
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -9,7 +9,7 @@
 fn late_heartbeats() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     let overtaken = trace.report("big-east-1", 2, 1, &[]);
     trace.at(1.0).on_timer(1.0);
     trace.direct(|trace| {
@@ -55,7 +55,7 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
     trace.heartbeat("big-east-1", &[]);
-    trace.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
     trace.direct(|_| DirectResult::Unknown).bound();
     // Its lease runs out, and each agent epoch looks healthy.
@@ -88,7 +88,7 @@
 fn starts_that_never_show() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.at(1.0).job(submission("run-1", |s| s.pieces = 1));
+    trace.at(1.0).job(submission("run-1", |s| s.tasks = 1));
     trace.at(3.0).heartbeat("big-east-1", &[]).bound();
     trace.at(6.0).heartbeat("big-east-1", &[]).bound();
     trace.heartbeat("big-east-2", &[]).bound();
@@ -105,7 +105,7 @@
 fn late_copies() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).on_timer(1.0);
     let idle = trace.report("big-east-1", 2, 1, &[]);
     trace.at(3.0).send(&idle);
@@ -133,17 +133,17 @@
 fn a_mute_machine_gets_no_work() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
         .at(4.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     trace.at(9.9);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.direct(|trace| {
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"]))
     });
-    trace.at(10.2).job(submission("run-2", |s| s.pieces = 1));
+    trace.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     trace
         .on_timer(10.5)
         .direct(|_| DirectResult::Unknown)
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -1,7 +1,7 @@
 //! Results of tasks and jobs: when they count, and how they are written.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
-use aspenreel::jobs::rounds::{WriteKind, affordable};
+use aspenreel::jobs::{PendingWriteKind, take_affordable};
 use aspenreel::provisioning::RentalResult;
 use aspenreel::workers::direct::DirectResult;
 use insta::assert_snapshot;
@@ -11,7 +11,7 @@
 fn settling() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
         .at(6.0)
@@ -46,7 +46,7 @@
 #[test]
 fn first_settle_wins() {
     let mut trace = LeaderTrace::new(3, one_team());
-    trace.old_job(submission("run-1", |s| s.pieces = 1));
+    trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.heartbeat("big-east-1", &["run-1/0#1.7 running"]);
     trace.heartbeat("big-east-2", &["run-1/0#2.9 running"]);
     trace.at(2.0).heartbeat("big-east-2", &["run-1/0#2.9 done"]);
@@ -66,14 +66,14 @@
 fn withdraw_against_done() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
-    trace.job(submission("run-2", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
+    trace.job(submission("run-2", |s| s.tasks = 1));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
         .at(6.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-2/0#2.2 running"]);
-    trace.scheduler.ask_cancel("run-1", trace.now);
-    trace.scheduler.ask_cancel("run-2", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-2", trace.now);
     trace.view("run-1").view("run-2");
     trace.at(6.1).round(true).view("run-1").view("run-2");
     trace
@@ -87,7 +87,7 @@
 #[test]
 fn large_job() {
     let mut trace = LeaderTrace::new(2, one_team());
-    trace.job(submission("run-1", |s| s.pieces = 100_000));
+    trace.job(submission("run-1", |s| s.tasks = 100_000));
     let id = trace.scheduler.jobs.find("run-1").unwrap();
     for task in (0..100_000).filter(|t| t % 7 != 3) {
         trace
@@ -96,7 +96,7 @@
             .table
             .get_mut(&id)
             .unwrap()
-            .settle(task);
+            .mark_done(task);
     }
     let writes = trace.scheduler.pending_done_sets(1000);
     let longest = writes
@@ -110,20 +110,21 @@
         longest.is_some_and(|l| l < 3072)
     ));
     let mut next = LeaderTrace::new(3, one_team());
-    next.old_job(submission("run-1", |s| s.pieces = 100_000));
+    next.old_job(submission("run-1", |s| s.tasks = 100_000));
     for write in &writes {
-        trace.scheduler.written(write, 500);
-        if let WriteKind::Set { chunk, text, .. } = &write.kind {
+        trace.scheduler.apply_written(write, 500);
+        if let PendingWriteKind::DoneSet { chunk, text, .. } = &write.kind {
             let record = aspenreel::jobs::DoneRecord {
                 state: None,
                 set: text.clone(),
             };
-            next.scheduler.load_done("run-1", *chunk, &record, 500);
+            next.scheduler
+                .apply_done_record("run-1", *chunk, &record, 500);
         }
     }
     let remaining = next.scheduler.jobs.get("run-1").unwrap().remaining();
     trace.note(&format!("the next leader finds {remaining} tasks left"));
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
     // More chunks than a transaction holds: they go in steps, the final record last.
     trace.round(true).round(true).view("run-1");
@@ -134,7 +135,7 @@
 #[test]
 fn repeats() {
     let mut trace = LeaderTrace::new(4, one_team());
-    let first = submission("run-1", |s| s.pieces = 1);
+    let first = submission("run-1", |s| s.tasks = 1);
     trace
         .at(1.0)
         .list(&[])
@@ -149,8 +150,8 @@
     trace
         .at(10.0)
         .heartbeat("big-east-7", &["run-1/0#4.1 running"]);
-    trace.scheduler.ask_cancel("run-1", trace.now);
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     let writes = trace.scheduler.pending_final_writes(12);
     trace.round(true).view("run-1");
     // The same transaction again fails on its revision; what is read back changes nothing.
@@ -158,7 +159,7 @@
         state: Some(aspenreel::jobs::Outcome::Cancelled),
         set: String::new(),
     };
-    trace.scheduler.load_done("run-1", 0, &record, 105);
+    trace.scheduler.apply_done_record("run-1", 0, &record, 105);
     trace.note(&format!("{} final state written once", writes.len()));
     trace.view("run-1").job(first).view("run-1");
     trace
@@ -180,25 +181,34 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     for n in 1..=40 {
-        trace.job(submission(&format!("run-{n}"), |s| s.pieces = 1));
+        trace.job(submission(&format!("run-{n}"), |s| s.tasks = 1));
         let id = trace.scheduler.jobs.find(&format!("run-{n}")).unwrap();
-        trace.scheduler.jobs.table.get_mut(&id).unwrap().settle(0);
+        trace
+            .scheduler
+            .jobs
+            .table
+            .get_mut(&id)
+            .unwrap()
+            .mark_done(0);
     }
-    trace.job(submission("run-99", |s| s.pieces = 1));
+    trace.job(submission("run-99", |s| s.tasks = 1));
     trace.scheduler.on_timer(at(1.0));
     let mut left = 12;
-    let mut writes = affordable(trace.scheduler.pending_watermark_writes(), &mut left);
-    writes.extend(affordable(
+    let mut writes = take_affordable(trace.scheduler.pending_watermark_writes(), &mut left);
+    writes.extend(take_affordable(
         trace.scheduler.pending_final_writes(12),
         &mut left,
     ));
     let changes: usize = writes.iter().map(|x| x.changes.len()).sum();
-    assert!(matches!(writes[0].kind, WriteKind::Claims(_)));
+    assert!(matches!(
+        writes[0].kind,
+        PendingWriteKind::StartWatermarks(_)
+    ));
     assert_eq!((writes.len(), changes, left), (6, 11, 1));
     // A large write that must wait isn't passed by later, smaller ones.
-    trace.scheduler.ask_cancel("run-99", trace.now);
+    trace.scheduler.request_cancellation("run-99", trace.now);
     let due = trace.scheduler.pending_final_writes(12);
-    assert_eq!(affordable(due, &mut 1).len(), 0);
+    assert_eq!(take_affordable(due, &mut 1).len(), 0);
 }
 
 /// A final state exists from the moment its transaction is applied, which may be before its writer
@@ -208,31 +218,31 @@
 fn a_final_state_on_its_way_is_not_talked_over() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.job(submission("run-1", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
         .at(6.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     trace.view("run-1");
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     let writes = trace.scheduler.pending_final_writes(12);
-    trace.scheduler.sending(&writes);
+    trace.scheduler.mark_sent(&writes);
     trace.note("the cancellation is sent").view("run-1");
-    trace.scheduler.not_written(&writes);
+    trace.scheduler.mark_not_written(&writes);
     trace.at(6.1).note("it was surely refused").view("run-1");
-    trace.scheduler.sending(&writes);
-    trace.scheduler.unanswered(&writes);
+    trace.scheduler.mark_sent(&writes);
+    trace.scheduler.mark_unanswered(&writes);
     trace
         .at(6.2)
         .note("sent again, it got no answer")
         .view("run-1");
-    trace.scheduler.sending(&writes);
-    trace.scheduler.not_written(&writes);
+    trace.scheduler.mark_sent(&writes);
+    trace.scheduler.mark_not_written(&writes);
     trace
         .at(6.3)
         .note("sent once more, that one was refused")
         .view("run-1");
-    trace.scheduler.written(&writes[0], 200);
+    trace.scheduler.apply_written(&writes[0], 200);
     trace.at(6.4).note("the fourth was written").view("run-1");
     assert_snapshot!(trace.log);
 }
@@ -243,11 +253,11 @@
 fn a_cancellation_waits_for_starts_under_way() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
-    trace.at(0.5).job(submission("run-1", |s| s.pieces = 2));
+    trace.at(0.5).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
     let call = trace.scheduler.next_direct(at(1.0)).unwrap();
     trace.note("a direct call with its starts is under way");
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).round(true);
     let report = trace.report(
         "big-east-1",
@@ -264,8 +274,8 @@
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &stopped))
     });
     trace.at(2.0).round(true);
-    trace.job(submission("run-2", |s| s.pieces = 1));
-    trace.scheduler.ask_cancel("run-2", trace.now);
+    trace.job(submission("run-2", |s| s.tasks = 1));
+    trace.scheduler.request_cancellation("run-2", trace.now);
     trace
         .note("run-2 is cancelled before anything of it starts")
         .round(true);
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,7 +1,7 @@
 //! Which task starts where, and which one is preempted for it.
 
 use crate::trace::{LeaderTrace, decimal, one_team, submission, team};
-use aspenreel::jobs::spec::Priority;
+use aspenreel::jobs::Priority;
 use insta::assert_snapshot;
 
 /// `spread`: at most half of the tasks, rounded up, in a zone. `samePlace`: all in one.
@@ -12,12 +12,12 @@
         trace.heartbeat(name, &[]);
     }
     trace.job(submission("run-1", |s| {
-        s.pieces = 5;
+        s.tasks = 5;
         s.spread = true;
     }));
     trace.job(submission("run-2", |s| {
-        s.pieces = 4;
-        s.same_place = true;
+        s.tasks = 4;
+        s.same_zone = true;
     }));
     trace.on_timer(1.0).bound();
     assert_snapshot!(trace.log);
@@ -30,7 +30,7 @@
     let mut trace = LeaderTrace::new(2, teams);
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.cpus = decimal(8.0);
     }));
     trace.at(1.0).heartbeat("big-east-1", &[]);
@@ -42,8 +42,8 @@
     ];
     trace.at(2.0).heartbeat("big-east-1", &running);
     trace.at(5.0).job(submission("run-2", |s| {
-        s.crew = "b".into();
-        s.pieces = 1;
+        s.team = "b".into();
+        s.tasks = 1;
         s.cpus = decimal(16.0);
     }));
     trace.at(5.1).heartbeat("big-east-1", &running);
@@ -56,9 +56,9 @@
     ];
     trace.at(8.0).heartbeat("big-east-1", &both);
     trace.job(submission("run-3", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     trace.at(9.0).heartbeat("big-east-1", &both);
     assert_snapshot!(trace.log);
@@ -68,8 +68,8 @@
 #[test]
 fn failures() {
     let mut trace = LeaderTrace::new(2, one_team());
-    trace.job(submission("run-1", |s| s.pieces = 1));
-    trace.job(submission("run-2", |s| s.pieces = 1));
+    trace.job(submission("run-1", |s| s.tasks = 1));
+    trace.job(submission("run-2", |s| s.tasks = 1));
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace
@@ -92,7 +92,7 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("small-east-1", &[]);
     trace.job(submission("run-1", |s| {
-        s.pieces = 2;
+        s.tasks = 2;
         s.cpus = decimal(8.0);
     }));
     trace.at(3.0).heartbeat("small-east-1", &[]);
@@ -101,9 +101,9 @@
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     for n in 2..60 {
         trace.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(8.0);
-            s.rank = Priority::High;
+            s.priority = Priority::High;
         }));
     }
     trace
@@ -112,7 +112,7 @@
     trace
         .at(12.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 stopped"]);
-    let begun = |trace: &LeaderTrace| trace.scheduler.jobs.get("run-1").unwrap().begun();
+    let begun = |trace: &LeaderTrace| trace.scheduler.jobs.get("run-1").unwrap().has_begun();
     let early = begun(&trace);
     trace.note(&format!("run-1 has begun: {early}"));
     trace
@@ -137,19 +137,19 @@
         trace.heartbeat(name, &[]);
     }
     // Each machine has a task that can't be stopped for it, and one that could.
-    trace.job(submission("run-1", |s| s.rank = Priority::High));
+    trace.job(submission("run-1", |s| s.priority = Priority::High));
     trace.at(1.0).heartbeat("small-east-1", &[]);
     trace.heartbeat("small-east-2", &[]);
-    trace.job(submission("run-2", |s| s.rank = Priority::Low));
+    trace.job(submission("run-2", |s| s.priority = Priority::Low));
     trace
         .at(2.0)
         .heartbeat("small-east-1", &["run-1/1#2.2 running"]);
     trace.heartbeat("small-east-2", &["run-1/0#2.1 running"]);
     trace.at(2.1).bound();
     trace.job(submission("run-3", |s| {
-        s.pieces = 1;
+        s.tasks = 1;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     trace.on_timer(3.0).bound();
     let both = [
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -8,8 +8,8 @@
 fn quota_counts_unseen_machines() {
     let mut trace = LeaderTrace::new(2, vec![team("a", 8.0, 12.0)]);
     trace.recorded("big-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 2));
-    trace.at(0.1).job(submission("run-2", |s| s.pieces = 3));
+    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.at(0.1).job(submission("run-2", |s| s.tasks = 3));
     trace
         .at(1.0)
         .heartbeat("big-east-1", &[])
@@ -26,11 +26,11 @@
 fn limits_count_what_unseen_machines_can_hold() {
     let mut trace = LeaderTrace::new(5, vec![team("a", 40.0, 40.0)]);
     trace.recorded("small-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.pieces = 3));
+    trace.old_job(submission("run-1", |s| s.tasks = 3));
     trace
         .scheduler
-        .load_done("run-1", 0, &done_record("0-1"), 50);
-    trace.job(submission("run-2", |s| s.pieces = 10));
+        .apply_done_record("run-1", 0, &done_record("0-1"), 50);
+    trace.job(submission("run-2", |s| s.tasks = 10));
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
     let old = trace.report("small-east-9", 4, 1, &[]);
@@ -57,8 +57,8 @@
     for (id, one_zone) in [("run-1", true), ("run-2", false)] {
         trace.accepted(
             submission(id, |s| {
-                s.pieces = 6;
-                s.same_place = one_zone;
+                s.tasks = 6;
+                s.same_zone = one_zone;
                 s.spread = !one_zone;
             }),
             2,
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -1,7 +1,7 @@
 //! Machines are rented and returned.
 
 use crate::trace::{LeaderTrace, at, decimal, one_team, submission};
-use aspenreel::jobs::spec::Shape;
+use aspenreel::jobs::JobKind;
 use aspenreel::provisioning::RentalResult;
 use aspenreel::settings::Objective;
 use insta::assert_snapshot;
@@ -35,9 +35,9 @@
 fn renting() {
     let mut trace = LeaderTrace::new(4, one_team());
     trace.job(submission("run-1", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.yard = Some("west".into());
+        s.zone = Some("west".into());
     }));
     trace.rentals();
     trace.at(1.0).list(&[]).rentals();
@@ -49,8 +49,8 @@
     trace.at(2.0).rentals();
     trace.at(3.0).job(submission("run-2", |s| {
         s.cpus = decimal(8.0);
-        s.pieces = 1;
-        s.loaners = false;
+        s.tasks = 1;
+        s.spot = false;
     }));
     trace.rentals();
     trace
@@ -94,7 +94,7 @@
         trace.heartbeat(name, &[]);
     }
     trace.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.spread = true;
     }));
     trace.on_timer(1.0).bound();
@@ -135,10 +135,10 @@
     trace.at(6.0).rentals();
     for n in 1..4 {
         trace.job(submission(&format!("run-{n}"), |s| {
-            s.shape = Shape::Standing;
-            s.lane = "portal".into();
-            s.loaners = false;
-            s.pieces = 1;
+            s.kind = JobKind::Standing;
+            s.class = "portal".into();
+            s.spot = false;
+            s.tasks = 1;
         }));
     }
     trace.on_timer(7.0).bound().rentals();
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of standing jobs run again.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
-use aspenreel::jobs::spec::Shape;
+use aspenreel::jobs::JobKind;
 use insta::assert_snapshot;
 
 /// Replicas of a standing job run again when they end, whatever the end; the job is never done. Those
@@ -11,8 +11,8 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 2;
+        s.kind = JobKind::Standing;
+        s.tasks = 2;
     }));
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace
@@ -37,7 +37,7 @@
         .at(69.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    trace.scheduler.ask_cancel("run-1", trace.now);
+    trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(70.0).round(true).view("run-1");
     assert_snapshot!(trace.log);
 }
@@ -83,10 +83,10 @@
     let mut trace = LeaderTrace::new(2, one_team());
     heartbeats_of_all_but(&mut trace, &[]);
     trace.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
-    trace.job(submission("run-2", |s| s.pieces = 12));
+    trace.job(submission("run-2", |s| s.tasks = 12));
     trace.on_timer(1.0).bound();
     let replica_on = machines_with(&trace, "run-1");
     let array_only = machines_with(&trace, "run-2")
@@ -138,12 +138,12 @@
 fn replicas_that_fail_everywhere_back_off() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
     let wait = |trace: &LeaderTrace| {
         let job = trace.scheduler.jobs.get("run-1").unwrap();
-        (job.retry_at - trace.now).as_secs_f64()
+        (job.retry_after - trace.now).as_secs_f64()
     };
     let mut waits = Vec::new();
     for k in 1..6u32 {
