--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/run.rs
@@ -1,7 +1,9 @@
-//! Plays a plan on many seeds at once.
+//! Runs a plan on many seeds at once.
 
-use crate::sched;
-use crate::world::{Setup, Summary, World};
+use crate::scheduler;
+use crate::setup::Setup;
+use crate::simulation::Simulation;
+use crate::summary::Summary;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
@@ -14,7 +16,7 @@
 impl Permit {
     fn wait() -> Permit {
         let most = std::thread::available_parallelism().map_or(2, |n| n.get());
-        let mut played = sched::lock(&PERMITS_TAKEN);
+        let mut played = scheduler::lock(&PERMITS_TAKEN);
         while *played >= most {
             played = PERMIT_RETURNED
                 .wait(played)
@@ -27,24 +29,24 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        *sched::lock(&PERMITS_TAKEN) -= 1;
+        *scheduler::lock(&PERMITS_TAKEN) -= 1;
         PERMIT_RETURNED.notify_one();
     }
 }
 
-/// Plays a model with each seed, or with the one that `MODEL_SEED` names, several at once, and
+/// Runs a simulation with each seed, or with the one that `MODEL_SEED` names, several at once, and
 /// returns how each ended. No rule may break in any.
 #[track_caller]
-pub fn play(
+pub fn run(
     seeds: u64,
     setup: &Setup,
-    plan: impl Fn(&Arc<World>, &mut fastrand::Rng) + Sync,
+    plan: impl Fn(&Arc<Simulation>, &mut fastrand::Rng) + Sync,
 ) -> Vec<Summary> {
     let seeds: Vec<u64> = match std::env::var("MODEL_SEED") {
         Ok(seed) => vec![seed.parse().unwrap()],
         Err(_) => (1..=seeds).collect(),
     };
-    let ends = play_seeds(&seeds, setup, plan);
+    let ends = run_seeds(&seeds, setup, plan);
     let mut broken = Vec::new();
     for (seed, end) in seeds.iter().zip(&ends) {
         println!("seed {seed}: {end:?}");
@@ -54,11 +56,11 @@
     ends
 }
 
-/// Plays a model with each of these seeds, several at once; how each ended, in their order.
-pub fn play_seeds(
+/// Runs a simulation with each of these seeds, several at once; how each ended, in their order.
+pub fn run_seeds(
     seeds: &[u64],
     setup: &Setup,
-    plan: impl Fn(&Arc<World>, &mut fastrand::Rng) + Sync,
+    plan: impl Fn(&Arc<Simulation>, &mut fastrand::Rng) + Sync,
 ) -> Vec<Summary> {
     let next = AtomicUsize::new(0);
     let ends: Mutex<Vec<(u64, Summary)>> = Mutex::default();
@@ -68,15 +70,15 @@
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let _room = Permit::wait();
-                    let w = World::new(*seed, setup.clone());
-                    plan(&w, &mut fastrand::Rng::with_seed(*seed));
-                    let end = w.finish();
-                    sched::lock(&ends).push((*seed, end));
+                    let sim = Simulation::new(*seed, setup.clone());
+                    plan(&sim, &mut fastrand::Rng::with_seed(*seed));
+                    let end = sim.finish();
+                    scheduler::lock(&ends).push((*seed, end));
                 }
             });
         }
     });
-    let mut ends = std::mem::take(&mut *sched::lock(&ends));
+    let mut ends = std::mem::take(&mut *scheduler::lock(&ends));
     ends.sort_by_key(|(seed, _)| *seed);
     ends.into_iter().map(|(_, end)| end).collect()
 }
