--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -10,9 +10,6 @@
 use crate::link_health::ObservationQueue;
 use crate::os::Os;
 use crate::time::{Micros, Moment};
-use ciborium::Value;
-use serde::Serialize;
-use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,16 +41,6 @@
     connection: Connection,
 }
 
-/// A message as a value of the store. Types whose serialization fails become null; no derived type does.
-pub fn to_value<T: Serialize>(value: &T) -> Value {
-    Value::serialized(value).unwrap_or(Value::Null)
-}
-
-/// A value of the store as a message; None if it has another form.
-pub fn from_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
-    value.deserialized().ok()
-}
-
 impl Store {
     /// A client of the store at `addr`. `rate` is this controller's share of the store's request rate, in
     /// requests per second.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - `client`: [`Store`], the operations: reads, transactions, leases, watches;
 //! - `connection`: what all requests share: the request rate, availability, observations of links;
-//! - `wire`: the messages of the store's API;
+//! - `wire`: the messages of the store's API; `value`: stored values;
 //! - `error`: [`StoreError`], which tells whether a request may have been executed;
 //! - [`paged_map`]: many small entries packed into few values;
 //! - [`token_bucket`]: rate limits.
@@ -15,9 +15,11 @@
 mod error;
 pub mod paged_map;
 pub mod token_bucket;
+mod value;
 mod wire;
 
-pub use client::{Store, TransactionOutcome, from_value, to_value};
+pub use client::{Store, TransactionOutcome};
 pub use connection::StorePriority;
 pub use error::{MissingResponse, Rejection, StoreError};
+pub use value::{from_value, to_value};
 pub use wire::{Change, KeyValue, Precondition, RangePage, WatchBatch, WatchEvent};
