--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -10,7 +10,7 @@
         match request {
             PeerRequest::Status { id } => self.status_for_peer(&id),
             PeerRequest::Ping => PeerReply::Unknown,
-            PeerRequest::Cancel { id } => self.cancel_here(&id),
+            PeerRequest::Cancel { id } => self.cancel_as_leader(&id),
             PeerRequest::Read { id } => self.read_for_peer(&id),
             PeerRequest::Accept { body } => self.accept_for_peer(&body),
             PeerRequest::Links { view } => self.answer_view(&view),
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{Controller, ControllerState};
 use crate::jobs::JOBS_PREFIX;
-use crate::jobs::spec::Submission;
+use crate::jobs::Submission;
 use crate::store::{StoreError, StorePriority, WatchBatch, from_value};
 use crate::time::Micros;
 use std::time::Duration;
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Small parts by themselves: clocks, kept connections, done sets, links to peers.
 
-use aspenreel::jobs::doneset::TaskSet;
+use aspenreel::jobs::TaskSet;
 use aspenreel::os::{EventCount, HttpClient, Os, System};
 use aspenreel::peer::{PeerClient, PeerRequest};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
@@ -143,6 +143,6 @@
     }
     assert_eq!(small.chunk_text(0), "0-2,7,9-10");
     for rubbish in ["5-", "x1g", "30", "2-99", "a"] {
-        assert_eq!(TaskSet::new(20).add_chunk(0, rubbish), None, "{rubbish}");
+        assert!(TaskSet::new(20).add_chunk(0, rubbish).is_err(), "{rubbish}");
     }
 }
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -13,7 +13,7 @@
     w.raises_tokens = false;
     w.heartbeat("big-east-1", &[]);
     w.heartbeat("big-east-2", &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown).bound();
     let name = w
         .scheduler
@@ -22,7 +22,7 @@
         .find(|m| m.busy())
         .map(|m| m.name.clone())
         .unwrap();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true).view("run-1");
     w.at(3.0).heartbeat(&name, &[]);
     w.at(6.0).heartbeat(&name, &[]).bound();
@@ -40,12 +40,12 @@
 fn lost_answers() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 2));
+    w.job(submission("run-1", |s| s.tasks = 2));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.round(true);
     w.at(9.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
@@ -62,11 +62,11 @@
     let mut w = World::new(2, one_team());
     let first = w.report("big-east-1", 2, 1, &[]);
     w.scheduler.heartbeat(&first, at(0.0));
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 9));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 9));
     w.scheduler.on_timer(at(1.0));
     w.bound();
     for write in w.scheduler.pending_registry_writes(false) {
-        w.scheduler.written(&write, 7);
+        w.scheduler.apply_written(&write, 7);
     }
     w.scheduler.on_timer(at(1.01));
     w.bound().direct(|_| unreachable!());
@@ -75,9 +75,9 @@
         w.note(&format!("to be written: {:?}", write.kind));
     }
     // The page changes while it is being written: it stays due, over its own revision.
-    w.job(submission("run-2", |s| s.pieces = 1));
+    w.job(submission("run-2", |s| s.tasks = 1));
     w.scheduler.on_timer(at(1.02));
-    w.scheduler.written(&start_watermarks[0], 8);
+    w.scheduler.apply_written(&start_watermarks[0], 8);
     for write in w.scheduler.pending_watermark_writes() {
         w.note(&format!("to be written: {:?}", write.kind));
     }
@@ -92,7 +92,7 @@
 fn unreached_machines() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     w.scheduler.place(at(1.0));
     w.record_fleet();
     w.bound().direct(|_| DirectResult::Unreached);
@@ -119,7 +119,7 @@
     }
     for n in 1..=9 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(10.0);
             s.ram_gb = decimal(100.0);
         }));
@@ -154,7 +154,7 @@
     w.recorded("big-east-1", -60.0);
     w.on_timer(21.0);
     w.record_fleet();
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     let due = |w: &World| w.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
         let report = w.report("big-east-1", 5, 2, &[]);
@@ -178,9 +178,9 @@
 fn an_undelivered_start_has_an_end() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
+    w.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -9,7 +9,7 @@
 fn late_reports() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     let overtaken = w.report("big-east-1", 2, 1, &[]);
     w.at(1.0).on_timer(1.0);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 running"])));
@@ -51,7 +51,7 @@
     let mut w = World::new(2, one_team());
     w.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     w.on_timer(1.0);
     w.direct(|_| DirectResult::Unknown).bound();
     // Its lease runs out, and each session looks healthy.
@@ -83,7 +83,7 @@
 fn starts_that_never_show() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.at(1.0).job(submission("run-1", |s| s.pieces = 1));
+    w.at(1.0).job(submission("run-1", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]).bound();
     w.at(6.0).heartbeat("big-east-1", &[]).bound();
     w.heartbeat("big-east-2", &[]).bound();
@@ -98,7 +98,7 @@
 fn late_copies() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).on_timer(1.0);
     let idle = w.report("big-east-1", 2, 1, &[]);
     w.at(3.0).send(&idle);
@@ -126,13 +126,13 @@
 fn a_mute_machine_gets_no_work() {
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(4.0).heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     w.at(9.9);
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
-    w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
+    w.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     w.on_timer(10.5).direct(|_| DirectResult::Unknown).bound();
     w.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(w.log);
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of standing jobs run again.
 
 use crate::trace::{World, at, one_team, submission};
-use aspenreel::jobs::spec::Shape;
+use aspenreel::jobs::JobKind;
 use insta::assert_snapshot;
 
 /// Replicas of a standing job run again when they end, whatever the end; the job is never done. Those
@@ -11,8 +11,8 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 2;
+        s.kind = JobKind::Standing;
+        s.tasks = 2;
     }));
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.at(6.0)
@@ -31,7 +31,7 @@
     w.at(69.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
-    w.scheduler.ask_cancel("run-1", w.now);
+    w.scheduler.request_cancellation("run-1", w.now);
     w.at(70.0).round(true).view("run-1");
     assert_snapshot!(w.log);
 }
@@ -66,10 +66,10 @@
     };
     all_but(&mut w, &[]);
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
-    w.job(submission("run-2", |s| s.pieces = 12));
+    w.job(submission("run-2", |s| s.tasks = 12));
     w.on_timer(1.0).bound();
     let holds = |w: &World, job: &str| -> Vec<String> {
         let id = w.scheduler.jobs.find(job).unwrap();
@@ -125,12 +125,12 @@
 fn replicas_that_fail_everywhere_back_off() {
     let mut w = World::new(2, one_team());
     w.job(submission("run-1", |s| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     }));
     let wait = |w: &World| {
         let job = w.scheduler.jobs.get("run-1").unwrap();
-        (job.retry_at - w.now).as_secs_f64()
+        (job.retry_after - w.now).as_secs_f64()
     };
     let mut waits = Vec::new();
     for k in 1..6u32 {
