--- a/src/controller.rs
+++ b/src/controller.rs
@@ -10,6 +10,7 @@
 mod peer_requests;
 mod process;
 mod routes;
+mod term_access;
 mod terminal_states;
 mod timer_loop;
 
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -17,7 +17,6 @@
 mod completion;
 mod feasibility;
 mod job;
-mod leader_term;
 mod pending_write;
 mod pending_writes;
 mod read_back;
