--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -91,7 +91,7 @@
     /// A leader that hears too few workers steps down, once in a candidacy pause.
     fn step_down_unless_paused(&self, state: &mut ControllerState, now: Moment) {
         if self.steps_down_without_successor() && state.candidacy_paused_until <= now {
-            log::info!(reason = "most workers are silent"; "stepping down");
+            log::info!(reason = "most_workers_silent"; "stepping down");
             state.step_down_for_others(now);
         }
     }
