--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,10 +1,10 @@
-//! What the controllers of the model log, with simulated time, when `MODEL_LOG` asks for it.
+//! What the controllers of the simulation log, with simulated time, when `MODEL_LOG` asks for it.
 
-use crate::sched::Sched;
+use crate::scheduler::DeterministicScheduler;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::sync::{Arc, Mutex, Weak};
 
-struct Lines(Mutex<Weak<Sched>>);
+struct Lines(Mutex<Weak<DeterministicScheduler>>);
 
 static LINES: Lines = Lines(Mutex::new(Weak::new()));
 
@@ -14,7 +14,9 @@
     }
 
     fn log(&self, record: &Record) {
-        let now = crate::sched::lock(&self.0).upgrade().map_or(0, |s| s.now());
+        let now = crate::scheduler::lock(&self.0)
+            .upgrade()
+            .map_or(0, |s| s.now());
         let text = aspenreel::logging::Event(record);
         eprintln!("{:>9.3} {text}", now as f64 / 1e6);
     }
@@ -22,7 +24,8 @@
     fn flush(&self) {}
 }
 
-pub fn follow(sched: &Arc<Sched>) {
+/// Prints what controllers log from now on, with the time of this simulation, if `MODEL_LOG` is set.
+pub fn follow(scheduler: &Arc<DeterministicScheduler>) {
     let Ok(level) = std::env::var("MODEL_LOG") else {
         return;
     };
@@ -33,5 +36,5 @@
         LevelFilter::Info
     });
     let _ = log::set_logger(&LINES);
-    *crate::sched::lock(&LINES.0) = Arc::downgrade(sched);
+    *crate::scheduler::lock(&LINES.0) = Arc::downgrade(scheduler);
 }
