--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -138,12 +138,12 @@
             log::info!(job = id, reason = "too_large"; "submission not recorded");
             return AcceptResult::NotRecorded;
         }
-        let guards = self.acceptance_guards(&submission);
+        let preconditions = self.acceptance_preconditions(&submission);
         let changes = [Change::write(job_key(id), data)];
         let term = leading_term(&self.state());
         match self
             .store
-            .transact(&guards, &changes, StorePriority::Admitted)
+            .transact(&preconditions, &changes, StorePriority::Admitted)
         {
             Ok(TransactionOutcome::Committed { revision }) => {
                 self.add_accepted_job(&submission, revision, wall, term);
@@ -170,17 +170,17 @@
     }
 
     /// The preconditions of an acceptance: the job is neither accepted nor over, and the leader isn't full.
-    fn acceptance_guards(&self, submission: &Submission) -> Vec<Precondition> {
-        let mut guards = vec![
+    fn acceptance_preconditions(&self, submission: &Submission) -> Vec<Precondition> {
+        let mut preconditions = vec![
             Precondition::new(job_key(&submission.id), 0),
             Precondition::new(final_key(&submission.id), 0),
             Precondition::new(FULL_KEY, 0),
         ];
         if submission.kind == JobKind::Standing {
             // What was known when this process looked may have been taken back since.
-            guards.push(self.feature_level().precondition());
+            preconditions.push(self.feature_level().precondition());
         }
-        guards
+        preconditions
     }
 
     /// Adds a job that this controller recorded, if it leads as it did before (`term`).
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -14,8 +14,10 @@
 mod admission;
 mod admission_gate;
 mod api;
+mod committed_writes;
 mod completion;
 mod feasibility;
+mod gate_writer;
 mod job;
 mod pending_write;
 mod pending_writes;
@@ -29,6 +31,7 @@
 mod task_set;
 mod transactions;
 mod wire;
+mod write_authority;
 mod write_results;
 
 pub use admission_gate::AdmissionGate;
--- a/src/jobs/pending_write.rs
+++ b/src/jobs/pending_write.rs
@@ -12,7 +12,7 @@
     /// What it records, for whoever applies its result.
     pub kind: PendingWriteKind,
     /// The preconditions of the write.
-    pub guards: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
     /// What it changes.
     pub changes: Vec<Change>,
 }
@@ -47,7 +47,7 @@
 
     /// What it takes of a transaction, in bytes of JSON.
     pub(super) fn json_len(&self) -> usize {
-        json_len(&to_value(&self.guards)) + json_len(&to_value(&self.changes))
+        json_len(&to_value(&self.preconditions)) + json_len(&to_value(&self.changes))
     }
 }
 
@@ -59,7 +59,7 @@
 ) -> PendingWrite {
     let key = format!("{prefix}{}", image.number);
     PendingWrite {
-        guards: vec![Precondition::new(key.clone(), image.revision)],
+        preconditions: vec![Precondition::new(key.clone(), image.revision)],
         changes: vec![Change::write(key, to_value(&image.entries))],
         kind: kind(image),
     }
--- a/src/jobs/pending_writes.rs
+++ b/src/jobs/pending_writes.rs
@@ -63,7 +63,7 @@
             kind: PendingWriteKind::FinalState(id, outcome),
             // The revision keeps done and cancelled apart even if an unanswered transaction of this
             // leader is applied late.
-            guards: vec![Precondition::new(key.clone(), job.revisions[0])],
+            preconditions: vec![Precondition::new(key.clone(), job.revisions[0])],
             changes: vec![Change::write(key, to_value(&record))],
         }
     }
@@ -115,7 +115,7 @@
                 chunk,
                 text,
             },
-            guards: vec![Precondition::new(
+            preconditions: vec![Precondition::new(
                 key.clone(),
                 job.revisions[chunk as usize],
             )],
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -1,12 +1,12 @@
 //! The record writer: the loop that writes what is due to the key-value store.
 
-use super::{AdmissionGate, FULL_KEY, JobView, PendingWrite, PendingWriteKind};
-use super::{pack_transactions, take_affordable};
+use super::write_authority::WriteAuthority;
+use super::{AdmissionGate, PendingWrite, pack_transactions, take_affordable};
 use crate::controller::{Controller, ControllerState};
 use crate::leadership::LeaderLease;
 use crate::scheduler::SchedulerState;
 use crate::store::token_bucket::TokenBucket;
-use crate::store::{Change, Precondition, StoreError, StorePriority, TransactionOutcome, to_value};
+use crate::store::{StoreError, StorePriority, TransactionOutcome};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -43,36 +43,18 @@
 enum Step {
     /// Nothing until something changes, or for so long.
     Wait(Duration),
+    /// Unconfirmed starts are to be revoked by a higher fencing token.
     RaiseFencingToken(LeaderLease),
     WriteGate {
-        lead: Leading,
+        authority: WriteAuthority,
         closed: bool,
     },
     WriteRecords {
-        lead: Leading,
+        authority: WriteAuthority,
         writes: Vec<PendingWrite>,
     },
 }
 
-/// The lead under which something is written.
-struct Leading {
-    term: u64,
-    /// The leader's lease in the store.
-    lease_id: u64,
-    /// The precondition that this controller leads.
-    guard: Precondition,
-}
-
-impl Leading {
-    fn of(lead: &LeaderLease) -> Leading {
-        Leading {
-            term: lead.term,
-            lease_id: lead.lease_id,
-            guard: lead.precondition(),
-        }
-    }
-}
-
 /// What the loop remembers. Tokens stand for changes: the store takes so many in a second.
 struct RecordWriter<'a> {
     controller: &'a Controller,
@@ -124,13 +106,13 @@
                 self.tokens.force(1.0, now);
                 controller.raise_fencing_token(&lead);
             }
-            Step::WriteGate { lead, closed } => {
+            Step::WriteGate { authority, closed } => {
                 drop(state);
-                self.write_gate(&lead, closed);
+                controller.write_gate(&authority, &mut self.gate, closed);
             }
-            Step::WriteRecords { lead, writes } => {
+            Step::WriteRecords { authority, writes } => {
                 drop(state);
-                self.write_records(&lead, writes);
+                self.write_records(&authority, writes);
             }
         }
     }
@@ -150,8 +132,8 @@
         }
         let is_full = scheduler.is_full(self.gate.closed);
         if let Some(closed) = self.gate.next_write(is_full) {
-            let lead = Leading::of(lead);
-            return Step::WriteGate { lead, closed };
+            let authority = WriteAuthority::of(lead);
+            return Step::WriteGate { authority, closed };
         }
         let writes = self.collect_due(scheduler, now);
         if writes.is_empty() || now < self.not_before {
@@ -159,8 +141,8 @@
         }
         // From here on nobody is told anything older than what may be on record soon.
         scheduler.mark_sent(&writes);
-        let lead = Leading::of(lead);
-        Step::WriteRecords { lead, writes }
+        let authority = WriteAuthority::of(lead);
+        Step::WriteRecords { authority, writes }
     }
 
     /// The writes that are due, as far as there are tokens for them. First what somebody waits for: starts
@@ -213,145 +195,90 @@
     }
 
     /// Writes records in as few transactions as possible, up to the first that the store doesn't answer.
-    fn write_records(&mut self, lead: &Leading, writes: Vec<PendingWrite>) {
+    fn write_records(&mut self, authority: &WriteAuthority, writes: Vec<PendingWrite>) {
         let transactions = pack_transactions(writes, self.max_changes, TRANSACTION_BYTES);
         let mut transactions = transactions.into_iter();
         for writes in transactions.by_ref() {
-            let result = self.send(lead, &writes);
-            if self.apply_result(lead, &writes, result).is_err() {
+            let result = self.send(authority, &writes);
+            if self.apply_result(authority, &writes, result).is_err() {
                 break;
             }
         }
         for unsent in transactions {
-            self.mark_not_written(lead, &unsent);
+            self.mark_not_written(authority, &unsent);
         }
         self.controller.state_changed.notify_all();
     }
 
     fn send(
         &mut self,
-        lead: &Leading,
+        authority: &WriteAuthority,
         writes: &[PendingWrite],
     ) -> Result<TransactionOutcome, StoreError> {
-        let mut guards = vec![lead.guard.clone()];
-        guards.extend(writes.iter().flat_map(|w| w.guards.iter().cloned()));
+        let mut preconditions = vec![authority.precondition.clone()];
+        preconditions.extend(writes.iter().flat_map(|w| w.preconditions.iter().cloned()));
         let changes: Vec<_> = writes.iter().flat_map(|w| w.changes.clone()).collect();
         let controller = self.controller;
         self.tokens.force(changes.len() as f64, controller.now());
         controller
             .store
-            .transact(&guards, &changes, StorePriority::Admitted)
+            .transact(&preconditions, &changes, StorePriority::Admitted)
     }
 
     /// Takes in what came of one transaction; an error if the store refused it or gave no answer.
     fn apply_result(
         &mut self,
-        lead: &Leading,
+        authority: &WriteAuthority,
         writes: &[PendingWrite],
         result: Result<TransactionOutcome, StoreError>,
     ) -> Result<(), StoreError> {
         let controller = self.controller;
         match result {
             Ok(TransactionOutcome::Committed { revision }) => {
-                controller.note_written(lead.term, writes, revision);
+                controller.note_written(authority.term, writes, revision);
                 Ok(())
             }
-            Ok(TransactionOutcome::Conflict { failed }) if failed.contains(&lead.guard.key) => {
-                controller.lose_leadership(lead.term);
+            Ok(TransactionOutcome::Conflict { failed })
+                if failed.contains(&authority.precondition.key) =>
+            {
+                controller.lose_leadership(authority.term);
                 Ok(())
             }
             Ok(TransactionOutcome::Conflict { failed }) => {
-                controller.read_back(lead.term, &failed);
-                self.mark_not_written(lead, writes);
+                controller.read_back(authority.term, &failed);
+                self.mark_not_written(authority, writes);
                 Ok(())
             }
             Err(error) => {
-                log::debug!(term = lead.term, error:%; "records not written");
-                self.pause_after(&error, lead, writes);
+                log::debug!(term = authority.term, error:%; "records not written");
+                self.pause_after(&error, authority, writes);
                 Err(error)
             }
         }
     }
 
     /// After an error nothing is written for a while.
-    fn pause_after(&mut self, error: &StoreError, lead: &Leading, writes: &[PendingWrite]) {
+    fn pause_after(
+        &mut self,
+        error: &StoreError,
+        authority: &WriteAuthority,
+        writes: &[PendingWrite],
+    ) {
         let now = self.controller.now();
         if matches!(error, StoreError::NotExecuted { .. }) {
             self.not_before = now + REFUSED_PAUSE;
-            self.mark_not_written(lead, writes);
+            self.mark_not_written(authority, writes);
         } else {
             self.not_before = now + UNANSWERED_PAUSE;
-            self.controller
-                .with_scheduler(lead.term, |scheduler| scheduler.mark_unanswered(writes));
-        }
-    }
-
-    fn mark_not_written(&self, lead: &Leading, writes: &[PendingWrite]) {
-        self.controller
-            .with_scheduler(lead.term, |scheduler| scheduler.mark_not_written(writes));
-    }
-
-    /// Writes that no more jobs are to be accepted (`closed`), or that they are again.
-    fn write_gate(&mut self, lead: &Leading, closed: bool) {
-        let change = match closed {
-            true => Change::write_with_lease(FULL_KEY, to_value(&true), lead.lease_id),
-            false => Change::delete(FULL_KEY),
-        };
-        let guards = [
-            lead.guard.clone(),
-            Precondition::new(FULL_KEY, self.gate.revision),
-        ];
-        let store = &self.controller.store;
-        match store.transact(&guards, &[change], StorePriority::Admitted) {
-            Ok(TransactionOutcome::Committed { revision }) => {
-                let revision = if closed { revision } else { 0 };
-                self.gate.confirm(closed, revision);
-            }
-            Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
-                // An earlier write without an answer was carried out.
-                if let Ok(row) = store.get(FULL_KEY, StorePriority::Normal) {
-                    let revision = row.as_ref().map_or(0, |row| row.revision);
-                    self.gate.confirm(row.is_some(), revision);
-                }
-            }
-            Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted { .. }) => {}
-            Err(error) => {
-                log::debug!(term = lead.term, error:%; "admission gate not written");
-                self.gate.unconfirmed = Some(closed);
-            }
+            self.controller.with_scheduler(authority.term, |scheduler| {
+                scheduler.mark_unanswered(writes)
+            });
         }
     }
-}
 
-impl Controller {
-    /// Takes in that these writes were committed at this revision.
-    fn note_written(&self, term: u64, writes: &[PendingWrite], revision: u64) {
-        self.with_state_of(term, |state| {
-            self.apply_all_written(state, writes, revision);
+    fn mark_not_written(&self, authority: &WriteAuthority, writes: &[PendingWrite]) {
+        self.controller.with_scheduler(authority.term, |scheduler| {
+            scheduler.mark_not_written(writes)
         });
-        self.state_changed.notify_all();
-    }
-
-    fn apply_all_written(
-        &self,
-        state: &mut ControllerState,
-        writes: &[PendingWrite],
-        revision: u64,
-    ) {
-        let Some(scheduler) = &mut state.scheduler else {
-            return;
-        };
-        for write in writes {
-            if let PendingWriteKind::FinalState(job, outcome)
-            | PendingWriteKind::Retirement(job, outcome) = &write.kind
-                && let Some(job) = scheduler.jobs.table.get(job)
-            {
-                let view = JobView::of_final(*outcome, job.spec.tasks);
-                state.terminal_states.note(&job.spec.id, view);
-            }
-            scheduler.apply_written(write, revision);
-        }
-        scheduler.place_soon(self.now());
-        self.wake(scheduler);
     }
 }
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -98,13 +98,13 @@
     if chunks.len() + CHANGES_BESIDE_CHUNKS > max_changes {
         return None;
     }
-    let (mut guards, mut changes) = deletions(job, chunks);
+    let (mut preconditions, mut changes) = deletions(job, chunks);
     let name = &job.spec.id;
     if job.revisions[0] == 0 {
         // Else a cancellation of this leader that got no answer could stand beside this.
-        guards.push(Precondition::new(done_key(name, 0), 0));
+        preconditions.push(Precondition::new(done_key(name, 0), 0));
     }
-    guards.push(Precondition::new(job_key(name), job.job_revision));
+    preconditions.push(Precondition::new(job_key(name), job.job_revision));
     let record = FinalRecord {
         state: outcome,
         tasks: job.spec.tasks,
@@ -113,7 +113,7 @@
     changes.push(Change::delete(job_key(name)));
     Some(PendingWrite {
         kind: PendingWriteKind::Retirement(id, outcome),
-        guards,
+        preconditions,
         changes,
     })
 }
@@ -122,14 +122,14 @@
 /// chunk 0, goes last.
 fn chunk_deletion(id: JobId, job: &Job, max_changes: usize) -> PendingWrite {
     let chunks = stored_chunks(job).filter(|chunk| *chunk > 0);
-    let (guards, changes) = deletions(job, chunks.take(max_changes));
+    let (preconditions, changes) = deletions(job, chunks.take(max_changes));
     PendingWrite {
         kind: PendingWriteKind::DoneSet {
             job: id,
             chunk: 0,
             text: String::new(),
         },
-        guards,
+        preconditions,
         changes,
     }
 }
@@ -138,8 +138,8 @@
 fn deletions(job: &Job, chunks: impl IntoIterator<Item = u32>) -> (Vec<Precondition>, Vec<Change>) {
     let deletion = |chunk: u32| {
         let key = done_key(&job.spec.id, chunk);
-        let guard = Precondition::new(key.clone(), job.revisions[chunk as usize]);
-        (guard, Change::delete(key))
+        let precondition = Precondition::new(key.clone(), job.revisions[chunk as usize]);
+        (precondition, Change::delete(key))
     };
     chunks.into_iter().map(deletion).unzip()
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -401,7 +401,7 @@
     assert!(packs.len() > 1, "they don't fit into one");
     for pack in &packs {
         let changes: Vec<&Change> = pack.iter().flat_map(|w| &w.changes).collect();
-        let guards: Vec<&Precondition> = pack.iter().flat_map(|w| &w.guards).collect();
+        let guards: Vec<&Precondition> = pack.iter().flat_map(|w| &w.preconditions).collect();
         let size = json_len(&to_value(&(guards, changes)));
         assert!(pack.len() <= 24 && size <= 64 * 1024, "{size}");
     }
