--- a/src/jobs/read_back.rs
+++ b/src/jobs/read_back.rs
@@ -41,7 +41,9 @@
                 });
             }
             Ok(None) => {
-                self.with_scheduler(term, |scheduler| scheduler.note_done_key_absent(id, chunk));
+                self.with_scheduler(term, |scheduler| {
+                    scheduler.jobs.note_done_key_absent(id, chunk)
+                });
                 self.read_back_job(term, &job_key(id));
             }
             Err(error) => log::debug!(key, error:%; "not read back"),
--- a/src/jobs/write_results.rs
+++ b/src/jobs/write_results.rs
@@ -1,15 +1,43 @@
 //! What became of writes that were sent.
 
 use super::records::parse_done_key;
-use super::{FinalWrite, JobId, Outcome, PendingWrite, PendingWriteKind};
+use super::{FinalWrite, JobId, JobTable, Outcome, PendingWrite, PendingWriteKind};
 use crate::scheduler::SchedulerState;
 use crate::store::Change;
 use crate::store::paged_map::PageImage;
 
+impl JobTable {
+    /// Changes what is known of the final writes among these.
+    fn update_final_writes(
+        &mut self,
+        writes: &[PendingWrite],
+        next: impl Fn(FinalWrite) -> FinalWrite,
+    ) {
+        for write in writes {
+            if let PendingWriteKind::FinalState(id, _) | PendingWriteKind::Retirement(id, _) =
+                &write.kind
+                && let Some(job) = self.table.get_mut(id)
+            {
+                job.final_write = next(job.final_write);
+            }
+        }
+    }
+
+    /// A done set's key turned out to be absent.
+    pub(super) fn note_done_key_absent(&mut self, id: &str, chunk: u32) {
+        if let Some(job_id) = self.find(id)
+            && let Some(job) = self.table.get_mut(&job_id)
+            && let Some(revision) = job.revisions.get_mut(chunk as usize)
+        {
+            *revision = 0;
+        }
+    }
+}
+
 impl SchedulerState {
     /// These writes are about to be sent.
     pub fn mark_sent(&mut self, writes: &[PendingWrite]) {
-        self.update_final_writes(writes, |state| match state {
+        self.jobs.update_final_writes(writes, |state| match state {
             FinalWrite::Idle => FinalWrite::Sent,
             other => other,
         });
@@ -17,7 +45,7 @@
 
     /// These writes were surely not carried out.
     pub fn mark_not_written(&mut self, writes: &[PendingWrite]) {
-        self.update_final_writes(writes, |state| match state {
+        self.jobs.update_final_writes(writes, |state| match state {
             FinalWrite::Sent => FinalWrite::Idle,
             other => other,
         });
@@ -25,22 +53,8 @@
 
     /// These writes got no answer: they may have been carried out, or may yet be.
     pub fn mark_unanswered(&mut self, writes: &[PendingWrite]) {
-        self.update_final_writes(writes, |_| FinalWrite::Unknown);
-    }
-
-    fn update_final_writes(
-        &mut self,
-        writes: &[PendingWrite],
-        next: impl Fn(FinalWrite) -> FinalWrite,
-    ) {
-        for write in writes {
-            if let PendingWriteKind::FinalState(id, _) | PendingWriteKind::Retirement(id, _) =
-                &write.kind
-                && let Some(job) = self.jobs.table.get_mut(id)
-            {
-                job.final_write = next(job.final_write);
-            }
-        }
+        self.jobs
+            .update_final_writes(writes, |_| FinalWrite::Unknown);
     }
 
     /// A write was committed at this revision.
@@ -137,14 +151,4 @@
             }
         }
     }
-
-    /// A done set's key turned out to be absent.
-    pub(super) fn note_done_key_absent(&mut self, id: &str, chunk: u32) {
-        if let Some(job_id) = self.jobs.find(id)
-            && let Some(job) = self.jobs.table.get_mut(&job_id)
-            && let Some(revision) = job.revisions.get_mut(chunk as usize)
-        {
-            *revision = 0;
-        }
-    }
 }
