--- a/src/leadership/feature_level_loop.rs
+++ b/src/leadership/feature_level_loop.rs
@@ -24,8 +24,9 @@
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Statements that are read, at most.
 const MAX_STATEMENTS: usize = 100;
-/// The wait between two rounds, in milliseconds.
-const ROUND_PAUSE_MS: (u64, u64) = (1000, 2000);
+/// The bounds of the random pause between two rounds, in milliseconds.
+const MIN_ROUND_PAUSE_MS: u64 = 1000;
+const MAX_ROUND_PAUSE_MS: u64 = 2000;
 /// How often the log tells which members are waited for.
 const LOG_INTERVAL: Micros = Micros::from_secs(60);
 
@@ -74,7 +75,7 @@
                 log::debug!(error:%; "feature level unknown");
             }
             if self.feature_level().format < CURRENT_FORMAT {
-                self.pause(ROUND_PAUSE_MS.0, ROUND_PAUSE_MS.1);
+                self.pause(MIN_ROUND_PAUSE_MS, MAX_ROUND_PAUSE_MS);
             }
         }
         if let Some(lease_id) = own.lease_id {
