--- a/src/controller.rs
+++ b/src/controller.rs
@@ -19,7 +19,7 @@
 use crate::state_store::Store;
 use crate::state_store::bucket::TokenBucket;
 use crate::time::{Micros, Moment};
-use crate::workers::edge::WorkerClients;
+use crate::workers::edge::WorkerClientPool;
 use aspenreel_links::evidence::{Link, NodeName};
 use aspenreel_links::handover::{HandoverPlanner, HandoverRecord};
 use std::collections::{BTreeMap, VecDeque};
@@ -93,8 +93,8 @@
     /// Signalled when records are due and when they were written.
     pub changed: Arc<dyn Signal>,
     /// Signalled when orders may go straight to workers.
-    pub direct_due: Arc<dyn Signal>,
-    pub workers: WorkerClients,
+    pub commands_due: Arc<dyn Signal>,
+    pub workers: WorkerClientPool,
     pub peers: BTreeMap<String, PeerClient>,
     pub submit_tokens: Mutex<TokenBucket>,
     pub cloud_tokens: Mutex<TokenBucket>,
@@ -146,8 +146,8 @@
                 ..ControllerState::default()
             }),
             changed: os.signal(),
-            direct_due: os.signal(),
-            workers: WorkerClients::default(),
+            commands_due: os.signal(),
+            workers: WorkerClientPool::default(),
             peers,
             submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
             cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
@@ -227,7 +227,7 @@
             duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
-            duties.push(("direct", duty(Controller::direct_loop)));
+            duties.push(("direct", duty(Controller::command_sender_loop)));
         }
         duties
     }
@@ -299,9 +299,10 @@
                     log::debug!("{}", scheduler.summary(now));
                     log::debug!("{}", scheduler.command_summary());
                 }
-                self.wake(scheduler);
-                let unheard = acting_since.is_some_and(|since| scheduler.unheard(since, now));
-                if unheard && self.stands_down_unasked() && state.abstain_until <= now {
+                self.wake_loops(scheduler);
+                let cut_off =
+                    acting_since.is_some_and(|since| scheduler.is_cut_off_from_workers(since, now));
+                if cut_off && self.stands_down_unasked() && state.abstain_until <= now {
                     log::info!("most workers are silent: standing down");
                     state.step_down = true;
                     state.abstain_until = now + ABSTAIN;
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -84,7 +84,7 @@
                         ..Fullness::default()
                     };
                 }
-                if scheduler.token_raise_due(now) && tokens.available(now) >= 1.0 {
+                if scheduler.fencing_token_raise_due(now) && tokens.available(now) >= 1.0 {
                     let lead = lead.clone();
                     drop(state);
                     tokens.force(1.0, now);
@@ -252,7 +252,7 @@
             scheduler.written(write, revision);
         }
         scheduler.place_soon(self.now());
-        self.wake(scheduler);
+        self.wake_loops(scheduler);
     }
 
     /// Keys whose revisions were not as expected: an unanswered write of ours was applied.
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -293,7 +293,7 @@
                 {
                     scheduler.add_job(&submission, revision, now, wall);
                     scheduler.place_soon(now);
-                    self.wake(scheduler);
+                    self.wake_loops(scheduler);
                 }
                 Accepted::New
             }
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -276,7 +276,7 @@
                     }
                     if now < lead.valid_until {
                         scheduler.place_soon(now);
-                        self.wake(scheduler);
+                        self.wake_loops(scheduler);
                     }
                 }
                 Err(StoreError::TooOld) => {
--- a/src/links/watch.rs
+++ b/src/links/watch.rs
@@ -34,7 +34,7 @@
         let mut state = self.state();
         let hearing = state
             .acting(now)
-            .map(|(_, scheduler)| scheduler.hearing_both_ways(now));
+            .map(|(_, scheduler)| scheduler.two_way_reachability(now));
         let hearing = hearing.unwrap_or(Hearing {
             heard: refused,
             known: 0,
@@ -70,7 +70,7 @@
             return;
         };
         let (term, wall) = (lead.term, self.os.wall());
-        let settled = scheduler.hearing_is_settled(now);
+        let settled = scheduler.reachability_is_settled(now);
         let silent_beyond = links.silent_beyond(&scheduler.silent_by_zone(now));
         let state_writes = lock(&links.tracker).state(&Link::StateWrites);
         // While it is new, or falls behind, it can't tell that workers are silent.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -66,9 +66,9 @@
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
         m.reconciled
             && m.recorded
-            && m.suspicion.is_none()
-            && !m.lost
-            && !m.returning
+            && m.quarantine.is_none()
+            && !m.unreachable
+            && !m.draining
             && !m.faulty
             && !m.has_preemption_notice
             && m.is_alive(self.config.report, now)
@@ -213,7 +213,7 @@
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
         machine.attempts.insert((id, task, number), attempt);
-        machine.rooms.set(None);
+        machine.free_resources.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
             self.commands.due.insert(place.name.clone());
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -31,7 +31,7 @@
                 continue;
             };
             for (key, a) in &m.attempts {
-                if !a.holds()
+                if !a.holds_resources()
                     || a.desired != DesiredState::Run
                     || a.status == Some(TaskStatus::Flushing)
                 {
@@ -180,7 +180,7 @@
             && let Some(a) = m.attempts.get_mut(&key)
         {
             a.desired = DesiredState::Stop { grace_period };
-            m.rooms.set(None);
+            m.free_resources.set(None);
             log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
             self.commands.due.insert(machine.to_string());
         }
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -13,8 +13,11 @@
 
     /// What is left on a machine, and what will be free there once what is being stopped is gone.
     pub(super) fn rooms(&self, m: &Machine) -> (Resources, Resources) {
-        let rooms = m.rooms.get().unwrap_or_else(|| self.count_rooms(m));
-        m.rooms.set(Some(rooms));
+        let rooms = m
+            .free_resources
+            .get()
+            .unwrap_or_else(|| self.count_rooms(m));
+        m.free_resources.set(Some(rooms));
         rooms
     }
 
@@ -25,7 +28,7 @@
         }
         let (mut free, mut stopping) = (m.total, Resources::default());
         let mut last: Option<(JobId, Resources)> = None;
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
             let need = match last {
                 Some((id, need)) if id == key.0 => need,
                 _ => match self.jobs.table.get(&key.0) {
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -36,7 +36,7 @@
             let here = m
                 .attempts
                 .range((id, 0, 0)..=(id, u32::MAX, u64::MAX))
-                .filter(|(_, a)| a.holds())
+                .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if here > 0 {
                 *zones.entry(m.zone.clone()).or_insert(0) += here;
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -208,7 +208,7 @@
         let now = self.now();
         if let Some((_, scheduler)) = self.state().acting(now) {
             scheduler.listed(&list, asked, now);
-            self.wake(scheduler);
+            self.wake_loops(scheduler);
         }
         pages
     }
--- a/src/provisioning/list.rs
+++ b/src/provisioning/list.rs
@@ -46,7 +46,7 @@
                     );
                     m.list_status = Some(ListStatus::Starting);
                     m.last_listed = Some(now);
-                    m.exists_since = Some(now);
+                    m.existed_at = Some(now);
                     self.machines.insert(machine, m);
                 }
             }
@@ -85,19 +85,19 @@
                     total,
                     now,
                 );
-                m.lease_from = started;
+                m.lease_renewed_at = started;
                 m.known_since = Moment(now.0.saturating_sub(held.0));
                 m
             });
-            m.exists_since = Some(m.exists_since.map_or(existed, |t| t.min(existed)));
+            m.existed_at = Some(m.existed_at.map_or(existed, |t| t.min(existed)));
             m.list_status = Some(l.status);
             m.last_listed = Some(now);
-            if l.status == ListStatus::Failed && !m.lost {
+            if l.status == ListStatus::Failed && !m.unreachable {
                 // It stopped by itself, and everything on it with it.
                 log::info!("machine {}: failed", l.name);
-                m.lost = true;
-                m.epoch_over = true;
-                m.returning = true;
+                m.unreachable = true;
+                m.epoch_ended = true;
+                m.draining = true;
                 self.end_epoch(&l.name);
             }
         }
@@ -124,7 +124,7 @@
             .collect();
         for name in names {
             let existed = match self.machines.get(name) {
-                Some(m) => m.exists_since,
+                Some(m) => m.existed_at,
                 None => self.prior_term.machines.get(name).copied(),
             };
             if existed.is_some_and(|t| t + oldest < asked) {
@@ -152,9 +152,9 @@
         let gone: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.lost || m.last_report.is_none())
+            .filter(|m| m.unreachable || m.last_seen.is_none())
             .filter(|m| now - m.last_listed.unwrap_or(m.known_since) > lag)
-            .filter(|m| now - m.lease_from >= self.lease_span())
+            .filter(|m| now - m.lease_renewed_at >= self.lease_span())
             .map(|m| m.name.clone())
             .collect();
         for name in gone {
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -104,7 +104,7 @@
         let mut bins: Vec<Bin> = self
             .machines
             .values()
-            .filter(|m| !m.returning && !m.faulty && !m.has_preemption_notice && !m.lost)
+            .filter(|m| !m.draining && !m.faulty && !m.has_preemption_notice && !m.unreachable)
             .filter(|m| m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now))
             .filter_map(|m| self.bin_of(m, now))
             .collect();
@@ -233,13 +233,13 @@
             .iter()
             .position(|t| t.name == m.type_name)?;
         let mut releases = Vec::new();
-        if m.last_report.is_none() {
+        if m.last_seen.is_none() {
             let boot = self.provisioning.catalog[type_index].boot;
             let up = (m.known_since + boot).max(now + Micros::from_secs(2));
             releases.push((up, self.provisioning.catalog[type_index].room));
         } else {
             releases.push((now, self.free_room(m)));
-            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
                 let Some(job) = self.jobs.table.get(&key.0) else {
                     continue;
                 };
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -41,7 +41,7 @@
 impl Machine {
     /// It may still take work, or will once it is up.
     fn stays(&self) -> bool {
-        !self.returning && !self.faulty && !self.has_preemption_notice && !self.lost
+        !self.draining && !self.faulty && !self.has_preemption_notice && !self.unreachable
     }
 }
 
@@ -79,7 +79,7 @@
         for m in self.machines.values().filter(|m| m.stays()) {
             let room = self.provisioning.room_of(&m.type_name);
             total += room.cpu;
-            free += if m.last_report.is_none() {
+            free += if m.last_seen.is_none() {
                 room.cpu
             } else {
                 self.free_room(m).cpu
@@ -143,7 +143,7 @@
             job.map_or(0, |j| j.spec.need.cpu)
         };
         let room = |m: &Machine| {
-            let held = m.attempts.iter().filter(|(_, a)| a.holds());
+            let held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
             self.provisioning.room_of(&m.type_name).cpu
                 - held.map(|(key, _)| replica(key)).sum::<i64>()
         };
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -30,14 +30,13 @@
 
 impl SchedulerState {
     /// True for a machine whose reports arrive but which answers don't seem to reach: it takes no
-    /// work, so another one is rented in its place. A short suspicion changes nothing.
+    /// work, so another one is rented in its place. A short quarantine changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
-        let uncounted = m.last_report.is_some()
-            && !m.reconciled
-            && now - m.known_since.max(self.started) > lease;
+        let uncounted =
+            m.last_seen.is_some() && !m.reconciled && now - m.known_since.max(self.started) > lease;
         uncounted
-            || m.suspicion
+            || m.quarantine
                 .is_some_and(|s| now - s.since > lease.scaled(0.5))
     }
 
@@ -46,7 +45,7 @@
         let mut spare_cpu = self.spare_cpu();
         let mut replica_room = self.replica_room(now).unwrap_or(i64::MAX);
         let mut chosen = Vec::new();
-        for m in self.machines.values().filter(|m| !m.returning) {
+        for m in self.machines.values().filter(|m| !m.draining) {
             let reason = self.defect(m, now).or_else(|| {
                 // What is kept ready stays, also while it is idle.
                 let kept = spare_cpu < m.total.cpu || (!m.spot && replica_room < m.total.cpu);
@@ -64,11 +63,11 @@
         for (name, reason) in chosen {
             log::info!("machine {name}: to be returned ({reason:?})");
             if let Some(m) = self.machines.get_mut(&name) {
-                m.returning = true;
+                m.draining = true;
             }
         }
         let due = self.machines.values();
-        let due = due.filter(|m| m.returning && (!m.busy() || m.lost));
+        let due = due.filter(|m| m.draining && (!m.is_busy() || m.unreachable));
         let due = due.map(|m| m.name.clone());
         due.chain(self.silent_with_replicas(now))
             .take(MAX_RETURN)
@@ -83,7 +82,7 @@
         } else {
             self.config.idle.scaled(ON_DEMAND_IDLE)
         };
-        m.reconciled && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
+        m.reconciled && !m.is_busy() && m.idle_since.is_some_and(|t| now - t > time)
     }
 
     /// Why a machine is of no use any more.
@@ -98,7 +97,7 @@
             .unwrap_or(self.config.idle);
         let leading_for = now - self.started;
         let known_for = now - m.known_since;
-        if m.last_report.is_none() {
+        if m.last_seen.is_none() {
             let long_known = known_for > boot.scaled(4.0) + Micros::from_secs(10);
             if m.list_status != Some(ListStatus::Running) && leading_for > lease && long_known {
                 return Some(ReturnReason::NeverUp);
@@ -107,10 +106,10 @@
             return (both > lease.scaled(2.0) + boot.scaled(4.0))
                 .then_some(ReturnReason::NeverReported);
         }
-        if m.lost && m.last_report.is_some_and(|t| now - t > lease.scaled(1.5)) {
+        if m.unreachable && m.last_seen.is_some_and(|t| now - t > lease.scaled(1.5)) {
             return Some(ReturnReason::Silent);
         }
-        if m.busy() {
+        if m.is_busy() {
             return None;
         }
         if m.faulty {
@@ -123,7 +122,7 @@
         // Its reports arrive, but it hears nothing, and not only for a while.
         let uncounted = !m.reconciled && leading_for.min(known_for) > lease.scaled(2.0);
         let suspected = m
-            .suspicion
+            .quarantine
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
         (uncounted || suspected).then_some(ReturnReason::Unreached)
     }
@@ -145,7 +144,7 @@
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.reconciled && !m.lost && m.last_heartbeat.is_some())
+            .filter(|m| m.reconciled && !m.unreachable && m.last_heartbeat.is_some())
             .collect();
         let is_silent = |m: &&Machine| m.last_heartbeat.is_some_and(|t| now - t > patience);
         let silent: Vec<&Machine> = known.iter().copied().filter(is_silent).collect();
@@ -153,7 +152,7 @@
             return Vec::new();
         }
         let has_replicas = |m: &&&Machine| {
-            let mut held = m.attempts.iter().filter(|(_, a)| a.holds());
+            let mut held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
             held.any(|(key, _)| {
                 let job = self.jobs.table.get(&key.0);
                 job.is_some_and(|j| j.spec.standing && !j.is_closed())
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -226,7 +226,7 @@
                 };
             }
             if any {
-                m.rooms.set(None);
+                m.free_resources.set(None);
                 self.commands.due.insert(m.name.clone());
             }
         }
@@ -288,7 +288,7 @@
         self.prior_term.unreconciled.retain(|name| {
             let seen = machines
                 .get(name)
-                .is_some_and(|m| m.reconciled || m.epoch_over);
+                .is_some_and(|m| m.reconciled || m.epoch_ended);
             !seen && !provisioning.is_gone(name)
         });
         let lease_over = now - self.started >= self.lease_span();
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -13,9 +13,9 @@
     /// while every lease runs out. A leader that falls behind is not cut off: reports wait here,
     /// unread, and the next leader would have no more processor, and hundreds of workers coming
     /// over besides.
-    pub fn unheard(&self, acting_since: Moment, now: Moment) -> bool {
+    pub fn is_cut_off_from_workers(&self, acting_since: Moment, now: Moment) -> bool {
         now - acting_since >= self.silence().scaled(2.0)
-            && self.hearing_is_settled(now)
+            && self.reachability_is_settled(now)
             && self.hearing(now).is_blind()
     }
 
@@ -25,29 +25,29 @@
     }
 
     /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
-    pub fn hearing_is_settled(&self, now: Moment) -> bool {
+    pub fn reachability_is_settled(&self, now: Moment) -> bool {
         now - self.started.max(self.overload.last_overloaded()) >= self.silence().scaled(2.0)
     }
 
     /// How many of the machines that should report do.
     fn hearing(&self, now: Moment) -> Hearing {
-        self.hearing_where(now, |_| true)
+        self.reachability_where(now, |_| true)
     }
 
     /// The same, but only of those whose heartbeats come as regularly as from a worker that is answered.
-    pub fn hearing_both_ways(&self, now: Moment) -> Hearing {
+    pub fn two_way_reachability(&self, now: Moment) -> Hearing {
         let patience = self.silence();
-        self.hearing_where(now, |m| m.heartbeat_gap <= patience)
+        self.reachability_where(now, |m| m.heartbeat_gap <= patience)
     }
 
-    fn hearing_where(&self, now: Moment, counts: impl Fn(&Machine) -> bool) -> Hearing {
+    fn reachability_where(&self, now: Moment, counts: impl Fn(&Machine) -> bool) -> Hearing {
         let patience = self.silence();
-        let silent_at = |m: &&Machine| m.last_report.is_none_or(|t| now - t > patience);
+        let silent_at = |m: &&Machine| m.last_seen.is_none_or(|t| now - t > patience);
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| !m.lost && !m.returning && !m.has_preemption_notice)
-            .filter(|m| m.last_report.is_some() || self.prior_term.unreconciled.contains(&m.name))
+            .filter(|m| !m.unreachable && !m.draining && !m.has_preemption_notice)
+            .filter(|m| m.last_seen.is_some() || self.prior_term.unreconciled.contains(&m.name))
             .collect();
         let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
         let silent = silent.count();
@@ -69,7 +69,7 @@
         let patience = self.silence();
         let mut zones = BTreeMap::new();
         for m in self.machines.values() {
-            if m.last_report.is_none_or(|t| now - t > patience) {
+            if m.last_seen.is_none_or(|t| now - t > patience) {
                 *zones.entry(m.zone.as_str()).or_insert(0) += 1;
             }
         }
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -52,7 +52,7 @@
             counters.calls,
             counters.unconfirmed_starts,
             counters.ended_by_token,
-            counters.ended_by_session,
+            counters.ended_by_epoch,
             self.fencing.unconfirmed_machines(),
             counters.raises,
             counters.withheld,
@@ -64,14 +64,14 @@
     pub fn summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut by_state: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_report.is_some()) {
+        for m in self.machines.values().filter(|m| m.last_seen.is_some()) {
             total += m.total.cpu;
             if self.usable(m, now) {
                 free += self.free_room(m).cpu;
             } else {
                 unusable += m.total.cpu;
             }
-            for (key, a) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+            for (key, a) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
                 let state = match (a.desired, a.status) {
                     (DesiredState::Stop { .. }, _) => "stopping",
                     (_, None) => "starting",
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -68,7 +68,7 @@
         }
         for (key, absence) in dropped {
             if absence == Absence::Lost {
-                machine.note_loss(now);
+                machine.note_undelivered(now);
             }
             let Some(attempt) = machine.attempts.remove(&key) else {
                 continue;
@@ -78,7 +78,7 @@
                 _ => "not_in_report",
             };
             log_release(&report.machine, key.1, key.2, why, attempt.placed_at, now);
-            if attempt.holds()
+            if attempt.holds_resources()
                 && let Some(job) = self.jobs.table.get_mut(&key.0)
             {
                 job.unbind(key.1);
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -29,9 +29,9 @@
                 grace_period_s: (!orphan.exited).then_some(0.0),
             });
         }
-        machine.rooms.set(None);
+        machine.free_resources.set(None);
         // Answers that may not arrive carry no starts.
-        let is_suspected = machine.suspicion.is_some();
+        let is_quarantined = machine.quarantine.is_some();
         let here = (machine.agent_epoch, machine.sequence);
         let mut starts = Vec::new();
         let mut dropped = Vec::new();
@@ -76,7 +76,7 @@
                         }
                         continue;
                     }
-                    if is_suspected && attempt.sent.is_none() && !attempt.delivery.may_arrive() {
+                    if is_quarantined && attempt.sent.is_none() && !attempt.delivery.may_arrive() {
                         // It was never sent: it can start elsewhere.
                         dropped.push(*key);
                         continue;
--- a/src/workers/delivery.rs
+++ b/src/workers/delivery.rs
@@ -19,7 +19,7 @@
 //! Sent again on purpose, a start is no doubt of its own: it names the same attempt, which the worker runs
 //! once until it is cleared.
 //!
-//! `SchedulerState::fence_doubted` makes one of the two come true, in time for cancelled jobs.
+//! `SchedulerState::fence_unconfirmed` makes one of the two come true, in time for cancelled jobs.
 
 use crate::time::Moment;
 
@@ -40,7 +40,7 @@
     /// The call that carries it is under way.
     InFlight,
     /// The call was given up, and nothing proves that the order won't be executed.
-    InDoubt(UnconfirmedStart),
+    Unconfirmed(UnconfirmedStart),
 }
 
 impl DeliveryStatus {
@@ -52,14 +52,14 @@
     /// The order, if it is in doubt.
     pub fn unconfirmed(self) -> Option<UnconfirmedStart> {
         match self {
-            DeliveryStatus::InDoubt(command) => Some(command),
+            DeliveryStatus::Unconfirmed(command) => Some(command),
             DeliveryStatus::Settled | DeliveryStatus::InFlight => None,
         }
     }
 
     /// A start whose call got no answer, on a worker whose newest report told that token.
     pub fn unanswered(command: UnconfirmedStart, seen_fencing_token: u64) -> DeliveryStatus {
-        DeliveryStatus::InDoubt(command).after_token(seen_fencing_token)
+        DeliveryStatus::Unconfirmed(command).after_token(seen_fencing_token)
     }
 
     /// True if a report that tells this token proves that the order in doubt won't be executed any more.
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -80,7 +80,7 @@
 
 impl SchedulerState {
     /// The next machine with orders that need not wait for its heartbeat.
-    pub fn next_direct(&mut self, now: Moment) -> Option<DirectCall> {
+    pub fn next_direct_call(&mut self, now: Moment) -> Option<DirectCall> {
         let prompt = |t: &&Moment| now - **t < SILENT_AFTER;
         if self.overload.is_overloaded()
             || self.commands.calls_in_flight.iter().filter(prompt).count() >= CALLS_AT_ONCE
@@ -106,16 +106,16 @@
         let report = self.config.report;
         let machine = self.machines.get_mut(name)?;
         let heard = machine
-            .last_report
+            .last_seen
             .is_some_and(|t| now - t < report.scaled(2.0));
-        if machine.calling || machine.lost || !heard {
+        if machine.call_in_flight || machine.unreachable || !heard {
             return None;
         }
-        if let Some(suspicion) = &mut machine.suspicion {
-            if !suspicion.may_probe(now) {
+        if let Some(quarantine) = &mut machine.quarantine {
+            if !quarantine.may_probe(now) {
                 return None;
             }
-            suspicion.note_probe(now);
+            quarantine.note_probe(now);
             return self.begin_call(name, DirectCommandBatch::default(), now);
         }
         if !machine.reconciled {
@@ -137,7 +137,7 @@
     ) -> Option<DirectCall> {
         let (term, fencing_token) = (self.term, self.fencing_token_for(name));
         let machine = self.machines.get_mut(name)?;
-        machine.calling = true;
+        machine.call_in_flight = true;
         Some(DirectCall {
             machine: name.to_string(),
             addr: machine.addr.clone(),
@@ -195,7 +195,7 @@
             .filter(|(_, a)| unsent(a))
             .map(|(k, _)| *k)
             .collect();
-        machine.rooms.set(None);
+        machine.free_resources.set(None);
         for key in keys {
             machine.attempts.remove(&key);
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
@@ -206,7 +206,7 @@
     }
 
     /// Settles a direct call. It renews no lease.
-    pub fn direct_done(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
+    pub fn direct_call_finished(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
         if let Some(at) = self
             .commands
             .calls_in_flight
@@ -219,7 +219,7 @@
         let Some(machine) = self.machines.get_mut(&call.machine) else {
             return;
         };
-        machine.calling = false;
+        machine.call_in_flight = false;
         let delivery = match result {
             DirectResult::Unknown => {
                 let command = UnconfirmedStart {
@@ -236,24 +236,24 @@
             }
         }
         let lost = matches!(result, DirectResult::Unknown | DirectResult::Unreached);
-        if lost && !machine.lost && !call.probe {
-            machine.note_loss(now);
+        if lost && !machine.unreachable && !call.probe {
+            machine.note_undelivered(now);
         }
         if let DirectResult::Answered(report) = &result
             && call.is_answered_by(report)
             && report.agent_epoch == machine.agent_epoch
         {
             // It hears.
-            self.placement.due |= machine.suspicion.take().is_some();
+            self.placement.due |= machine.quarantine.take().is_some();
         }
         let answered = matches!(result, DirectResult::Answered(_));
         if let DirectResult::Answered(report) = result
             && report.machine == call.machine
             && report.fencing_token <= self.fencing.newest()
-            && !machine.lost
+            && !machine.unreachable
             && (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence)
         {
-            self.take_in(&report, false, now);
+            self.reconcile(&report, false, now);
             self.place_soon(now);
         }
         self.note_delivery(call, delivery, now);
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -27,11 +27,11 @@
 
 /// Kept-open connections to workers, by address, and when they were last used.
 #[derive(Default)]
-pub struct WorkerClients(Mutex<HashMap<SocketAddr, KeptClient>>);
+pub struct WorkerClientPool(Mutex<HashMap<SocketAddr, KeptClient>>);
 
 type KeptClient = (Arc<dyn HttpClient>, Moment);
 
-impl WorkerClients {
+impl WorkerClientPool {
     /// A kept client, or one for this call only when there are as many as sockets allow. When they
     /// allow fewer than there are, since more workers and users have come in, those that were not
     /// used for longest are closed.
@@ -101,7 +101,7 @@
                 fencing_token,
                 commands,
             } => {
-                self.wake(scheduler);
+                self.wake_loops(scheduler);
                 drop(state);
                 let body = encode(&HeartbeatReplyBody {
                     fencing_token,
@@ -144,38 +144,38 @@
     }
 
     /// Wakes the threads that have something to do after a decision.
-    pub fn wake(&self, scheduler: &mut crate::scheduler::SchedulerState) {
+    pub fn wake_loops(&self, scheduler: &mut crate::scheduler::SchedulerState) {
         if std::mem::take(&mut scheduler.writes_due) {
             self.changed.notify_all();
         }
         if !scheduler.commands.due.is_empty() {
-            self.direct_due.notify_one();
+            self.commands_due.notify_one();
         }
     }
 
     /// One of the threads that send orders straight to workers.
-    pub fn direct_loop(&self) {
+    pub fn command_sender_loop(&self) {
         loop {
             let call = {
                 let mut state = self.state();
                 let now = self.now();
                 let call = state
                     .acting(now)
-                    .and_then(|(_, scheduler)| scheduler.next_direct(now));
+                    .and_then(|(_, scheduler)| scheduler.next_direct_call(now));
                 match call {
                     Some(call) => {
                         if state
                             .acting(now)
                             .is_some_and(|(_, c)| !c.commands.due.is_empty())
                         {
-                            self.direct_due.notify_one();
+                            self.commands_due.notify_one();
                         }
                         call
                     }
                     None => {
-                        let ticket = self.direct_due.ticket();
+                        let ticket = self.commands_due.ticket();
                         drop(state);
-                        self.direct_due.wait(ticket, Duration::from_secs(60));
+                        self.commands_due.wait(ticket, Duration::from_secs(60));
                         continue;
                     }
                 }
@@ -187,8 +187,8 @@
             let Some(scheduler) = state.scheduler.as_mut().filter(|c| c.term == call.term) else {
                 continue;
             };
-            scheduler.direct_done(&call, result, now);
-            self.wake(scheduler);
+            scheduler.direct_call_finished(&call, result, now);
+            self.wake_loops(scheduler);
         }
     }
 
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -15,7 +15,7 @@
 impl SchedulerState {
     /// Takes in a report that is newer than what is known. `checked_in`: it came as a heartbeat,
     /// not as the answer of a direct call.
-    pub(super) fn take_in(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
+    pub(super) fn reconcile(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
         let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
@@ -28,15 +28,15 @@
         };
         if new_session {
             // It may have been away. It may also hear nothing of what is answered.
-            machine.note_loss(now);
+            machine.note_undelivered(now);
         }
         machine.agent_epoch = report.agent_epoch;
         machine.sequence = report.sequence;
-        machine.lost = false;
-        if machine.last_report.is_none() {
+        machine.unreachable = false;
+        if machine.last_seen.is_none() {
             machine.known_since = now;
         }
-        machine.last_report = Some(now);
+        machine.last_seen = Some(now);
         machine.addr.clone_from(&report.addr);
         machine.type_name.clone_from(&report.type_name);
         machine.zone.clone_from(&report.zone);
@@ -52,7 +52,7 @@
             log::debug!("machine {} counted in", machine.name);
             self.placement.due = true;
         }
-        self.settle_doubts(&report.machine, now);
+        self.settle_unconfirmed(&report.machine, now);
         self.apply_tasks(report, by_heartbeat, now);
         self.drain_recalled(&report.machine, now);
     }
@@ -69,7 +69,7 @@
         let doomed: Vec<AttemptKey> = machine
             .attempts
             .iter()
-            .filter(|(_, a)| a.holds() && a.desired == DesiredState::Run)
+            .filter(|(_, a)| a.holds_resources() && a.desired == DesiredState::Run)
             .filter(|(k, a)| {
                 let run = self
                     .jobs
@@ -93,7 +93,7 @@
             match self.key_of(task) {
                 Some(key) => {
                     shown.insert(key);
-                    self.take_task(report, key, task, now);
+                    self.reconcile_task(report, key, task, now);
                 }
                 None => {
                     self.check_orphan(&report.machine, task, now);
@@ -110,8 +110,8 @@
             return;
         };
         machine.orphans = orphans;
-        machine.rooms.set(None);
-        if machine.busy() {
+        machine.free_resources.set(None);
+        if machine.is_busy() {
             machine.idle_since = None;
         } else {
             machine.idle_since.get_or_insert(now);
@@ -125,7 +125,13 @@
     }
 
     /// What one task's line in a report shows.
-    fn take_task(&mut self, report: &Heartbeat, key: AttemptKey, task: &ReportedTask, now: Moment) {
+    fn reconcile_task(
+        &mut self,
+        report: &Heartbeat,
+        key: AttemptKey,
+        task: &ReportedTask,
+        now: Moment,
+    ) {
         let (job_id, number, _) = key;
         let cache_gb = self.provisioning.cache_of(&report.type_name);
         let (Some(job), Some(machine)) = (
@@ -135,7 +141,7 @@
             return;
         };
         let known = machine.attempts.get(&key).cloned();
-        let mut attempt = known.unwrap_or_else(|| found_attempt(job, number, task, now));
+        let mut attempt = known.unwrap_or_else(|| discovered_attempt(job, number, task, now));
         let before = attempt.status.replace(task.status);
         if before.is_none() {
             check_start(job, task, &report.machine, self.config.cancel, now);
@@ -182,7 +188,7 @@
 }
 
 /// An earlier leader's attempt, or one of an order thought lost.
-fn found_attempt(job: &mut Job, number: u32, task: &ReportedTask, now: Moment) -> Attempt {
+fn discovered_attempt(job: &mut Job, number: u32, task: &ReportedTask, now: Moment) -> Attempt {
     let bound = task.status != TaskStatus::Exited;
     if bound {
         job.bind(number);
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -35,7 +35,7 @@
     /// Doubts that ended since the worker told a higher token.
     pub ended_by_token: u64,
     /// Doubts that ended with the worker's session or its machine.
-    pub ended_by_session: u64,
+    pub ended_by_epoch: u64,
     /// Tokens raised.
     pub raises: u64,
     /// Heartbeats that were not answered so that a session would end.
@@ -99,7 +99,7 @@
 
     /// Gives the newest token to machines whose starts in doubt it fences off. True if some need a higher
     /// one than there is.
-    pub fn fence_doubted(&mut self) -> bool {
+    pub fn fence_unconfirmed(&mut self) -> bool {
         let newest = self.fencing.newest;
         let mut needs_higher = false;
         for (name, unconfirmed) in &self.fencing.unconfirmed_machines {
@@ -113,8 +113,8 @@
     }
 
     /// True if a higher token is to be put on record now.
-    pub fn token_raise_due(&mut self, now: Moment) -> bool {
-        self.fence_doubted() && now >= self.fencing.not_before
+    pub fn fencing_token_raise_due(&mut self, now: Moment) -> bool {
+        self.fence_unconfirmed() && now >= self.fencing.not_before
     }
 
     /// A higher token is on record for this leader alone.
@@ -122,7 +122,7 @@
         self.fencing.newest = self.fencing.newest.max(fencing_token);
         self.fencing.not_before = now + RAISE_PAUSE;
         self.fencing.counters.raises += 1;
-        self.fence_doubted();
+        self.fence_unconfirmed();
         log::debug!(
             "token raised: term={} token={fencing_token} machines_in_doubt={}",
             self.term,
@@ -136,7 +136,7 @@
     }
 
     /// A report told the highest token that its worker has seen: doubts about orders with lower ones end.
-    pub(super) fn settle_doubts(&mut self, name: &str, now: Moment) {
+    pub(super) fn settle_unconfirmed(&mut self, name: &str, now: Moment) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -174,9 +174,9 @@
             // Any answer that the worker takes fences the order off.
             return false;
         }
-        let overdue = self.has_overdue_doubt(name, now, self.revocation_time());
+        let overdue = self.has_overdue_unconfirmed_start(name, now, self.revocation_time());
         if overdue && let Some(machine) = self.machines.get_mut(name) {
-            machine.note_loss(now);
+            machine.note_undelivered(now);
             self.fencing.counters.withheld += 1;
             log::info!("heartbeat withheld: machine={name} reason=start_in_doubt_of_cancelled_job");
         }
@@ -191,7 +191,7 @@
 
     /// A start is in doubt here that no report showed, of a job whose cancellation was asked for that
     /// long ago.
-    fn has_overdue_doubt(&self, name: &str, now: Moment, span: Micros) -> bool {
+    fn has_overdue_unconfirmed_start(&self, name: &str, now: Moment, span: Micros) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return false;
         };
@@ -216,8 +216,8 @@
             .map(|(name, _)| name)
             .collect();
         for name in answered {
-            let alive = self.machines.get(name).is_some_and(|m| !m.lost);
-            if alive && self.has_overdue_doubt(name, now, longest) {
+            let alive = self.machines.get(name).is_some_and(|m| !m.unreachable);
+            if alive && self.has_overdue_unconfirmed_start(name, now, longest) {
                 invariants::violated(
                     Invariant::CancelledStartNotRevoked,
                     format_args!("term={} machine={name}", self.term),
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -69,7 +69,7 @@
     }
 
     /// False once it surely no longer holds anything on the machine.
-    pub fn holds(&self) -> bool {
+    pub fn holds_resources(&self) -> bool {
         self.bound
     }
 }
@@ -94,7 +94,7 @@
 /// Reports of a machine may arrive although answers and orders don't reach it. Each report then looks
 /// healthy, but its session ends again and again. Such a machine is suspected until it is proven to hear.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspicion {
+pub struct Quarantine {
     pub since: Moment,
     /// When the session began, or the last sign that something was lost.
     last_sign: Moment,
@@ -103,9 +103,9 @@
     probe_wait: Micros,
 }
 
-impl Suspicion {
-    fn new(now: Moment) -> Suspicion {
-        Suspicion {
+impl Quarantine {
+    fn new(now: Moment) -> Quarantine {
+        Quarantine {
             since: now,
             last_sign: now,
             probe_at: now,
@@ -155,21 +155,21 @@
     /// A report carried the current token: no older leader's order can land here any more.
     pub reconciled: bool,
     /// Its lease ran out without a report: nothing is on it.
-    pub lost: bool,
+    pub unreachable: bool,
     /// Its lease ran out under this term, or it stopped for good: nothing of an earlier term can be
     /// on it, though it may not be counted in. A larger session in a report doesn't prove that: the
     /// smaller one may be known from a late copy only, and orders of the last leader for the larger
     /// one may be on their way.
-    pub epoch_over: bool,
+    pub epoch_ended: bool,
     /// It is on the roster in the state service: tasks may start here.
     pub recorded: bool,
     /// The newest heartbeat taken: whatever is no newer is a copy.
     pub newest_heartbeat: (u64, u64),
     /// Set while it is suspected not to hear answers and orders.
-    pub suspicion: Option<Suspicion>,
+    pub quarantine: Option<Quarantine>,
     /// The lease can't have been renewed by anyone after this.
-    pub lease_from: Moment,
-    pub last_report: Option<Moment>,
+    pub lease_renewed_at: Moment,
+    pub last_seen: Option<Moment>,
     /// When it last checked in. Direct answers prove neither that its lease is renewed nor that it
     /// reaches anybody: a machine that only answers loses one session after the other.
     pub last_heartbeat: Option<Moment>,
@@ -183,7 +183,7 @@
     pub orphans: Vec<Orphan>,
     pub images: BTreeMap<String, Image>,
     /// Being returned: nothing starts here any more.
-    pub returning: bool,
+    pub draining: bool,
     pub faulty: bool,
     pub error_streak: BTreeSet<JobId>,
     pub known_since: Moment,
@@ -191,12 +191,12 @@
     pub list_status: Option<crate::provisioning::ListStatus>,
     pub last_listed: Option<Moment>,
     /// It existed at this moment, at the latest.
-    pub exists_since: Option<Moment>,
+    pub existed_at: Option<Moment>,
     /// A direct call to it is under way.
-    pub calling: bool,
+    pub call_in_flight: bool,
     /// What is free, and what will be, as last worked out: a pass looks at every machine, and few
     /// changed since the one before. Whatever changes its attempts forgets it.
-    pub rooms: Cell<Option<(Resources, Resources)>>,
+    pub free_resources: Cell<Option<(Resources, Resources)>>,
 }
 
 impl Machine {
@@ -220,13 +220,13 @@
             fencing_token: 0,
             seen_fencing_token: 0,
             reconciled: false,
-            lost: false,
-            epoch_over: false,
+            unreachable: false,
+            epoch_ended: false,
             recorded: false,
             newest_heartbeat: (0, 0),
-            suspicion: None,
-            lease_from: now,
-            last_report: None,
+            quarantine: None,
+            lease_renewed_at: now,
+            last_seen: None,
             last_heartbeat: None,
             heartbeat_gap: Micros::ZERO,
             has_preemption_notice: false,
@@ -234,16 +234,16 @@
             attempts: BTreeMap::new(),
             orphans: Vec::new(),
             images: BTreeMap::new(),
-            returning: false,
+            draining: false,
             faulty: false,
             error_streak: BTreeSet::new(),
             known_since: now,
             idle_since: None,
             list_status: None,
             last_listed: None,
-            exists_since: None,
-            calling: false,
-            rooms: Cell::new(None),
+            existed_at: None,
+            call_in_flight: false,
+            free_resources: Cell::new(None),
         }
     }
 
@@ -253,14 +253,15 @@
         self.last_heartbeat.is_some_and(fresh) && self.newest_heartbeat.0 == self.agent_epoch
     }
 
-    pub fn busy(&self) -> bool {
-        self.attempts.values().any(|a| a.holds()) || self.orphans.iter().any(|g| !g.exited)
+    pub fn is_busy(&self) -> bool {
+        self.attempts.values().any(|a| a.holds_resources())
+            || self.orphans.iter().any(|g| !g.exited)
     }
 
     /// Something that was sent to it was surely lost.
-    pub(super) fn note_loss(&mut self, now: Moment) {
-        let suspicion = self.suspicion.get_or_insert(Suspicion::new(now));
-        suspicion.last_sign = now;
+    pub(super) fn note_undelivered(&mut self, now: Moment) {
+        let quarantine = self.quarantine.get_or_insert(Quarantine::new(now));
+        quarantine.last_sign = now;
     }
 
     /// Marks an image as used; the least recently used ones leave a full cache.
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -17,7 +17,7 @@
 
 pub use command_queue::CommandQueue;
 pub use delivery::DeliveryStatus;
-pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Suspicion};
+pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Quarantine};
 
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -62,9 +62,9 @@
                 total,
                 now,
             );
-            machine.lease_from = self.started;
+            machine.lease_renewed_at = self.started;
             // A report may be late, and its machine gone: only a list or a rental proves more.
-            machine.exists_since = self.prior_term.machines.get(&report.machine).copied();
+            machine.existed_at = self.prior_term.machines.get(&report.machine).copied();
             self.machines.insert(report.machine.clone(), machine);
         }
         let recorded = self.register(&report.machine, now);
@@ -75,7 +75,7 @@
             return HeartbeatReply::Stale;
         };
         if report.agent_epoch < machine.agent_epoch
-            || (machine.lost && report.agent_epoch <= machine.agent_epoch)
+            || (machine.unreachable && report.agent_epoch <= machine.agent_epoch)
         {
             // After an expired lease the session is over, whatever a late report says.
             return HeartbeatReply::Stale;
@@ -91,7 +91,7 @@
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
         if (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence) {
-            self.take_in(report, true, now);
+            self.reconcile(report, true, now);
         }
         // Else the answer of a direct call overtook this report, whose task list is older than
         // what is known; the answer to it is as good as any.
@@ -99,9 +99,9 @@
             return HeartbeatReply::Withheld;
         }
         if let Some(machine) = self.machines.get_mut(&report.machine) {
-            machine.lease_from = now;
+            machine.lease_renewed_at = now;
         }
-        self.review_suspicion(&report.machine, now);
+        self.review_quarantine(&report.machine, now);
         self.release_prior_term(now);
         self.place_soon(now);
         let fencing_token = self.fencing_token_for(&report.machine);
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -5,18 +5,18 @@
 
 impl SchedulerState {
     /// A suspected machine is asked directly; one whose session lasts is heard and hears.
-    pub(super) fn review_suspicion(&mut self, name: &str, now: Moment) {
+    pub(super) fn review_quarantine(&mut self, name: &str, now: Moment) {
         let span = self.lease_span();
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let Some(suspicion) = machine.suspicion else {
+        let Some(quarantine) = machine.quarantine else {
             return;
         };
-        if suspicion.is_refuted(span, now) {
-            machine.suspicion = None;
+        if quarantine.is_refuted(span, now) {
+            machine.quarantine = None;
             self.placement.due = true;
-        } else if suspicion.may_probe(now) {
+        } else if quarantine.may_probe(now) {
             self.commands.due.insert(name.to_string());
         }
     }
@@ -26,14 +26,14 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.rooms.set(None);
+        machine.free_resources.set(None);
         machine.orphans.clear();
         self.fencing.forget(name);
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
             if attempt.delivery.unconfirmed().is_some() {
-                self.fencing.counters.ended_by_session += 1;
+                self.fencing.counters.ended_by_epoch += 1;
             }
-            if attempt.holds()
+            if attempt.holds_resources()
                 && let Some(job) = self.jobs.table.get_mut(&key.0)
             {
                 job.unbind(key.1);
@@ -48,7 +48,7 @@
         let expired: Vec<String> = self
             .machines
             .values()
-            .filter(|m| !m.lost && m.last_report.is_some() && now - m.lease_from >= span)
+            .filter(|m| !m.unreachable && m.last_seen.is_some() && now - m.lease_renewed_at >= span)
             .map(|m| m.name.clone())
             .collect();
         for name in expired {
@@ -56,10 +56,10 @@
                 log::info!(
                     "session over: machine={name} session={} reason=lease renewed_s_ago={:.3}",
                     machine.agent_epoch,
-                    (now - machine.lease_from).as_secs_f64()
+                    (now - machine.lease_renewed_at).as_secs_f64()
                 );
-                machine.lost = true;
-                machine.epoch_over = true;
+                machine.unreachable = true;
+                machine.epoch_ended = true;
                 machine.idle_since = None;
             }
             self.end_epoch(&name);
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -275,7 +275,7 @@
 
     /// Puts a higher token on record, if one is wanted.
     fn raise_fencing_token(&mut self) {
-        if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
+        if self.raises_tokens && self.scheduler.fencing_token_raise_due(self.now) {
             let fencing_token = self.scheduler.fencing.newest() + 1;
             self.scheduler.fencing_token_raised(fencing_token, self.now);
             self.note(&format!("token {fencing_token} is on record"));
@@ -315,7 +315,7 @@
 
     /// Sends one direct call, if there is one, and ends it as told.
     pub fn direct(&mut self, result: impl FnOnce(&mut World) -> DirectResult) -> &mut Self {
-        let Some(call) = self.scheduler.next_direct(self.now) else {
+        let Some(call) = self.scheduler.next_direct_call(self.now) else {
             self.note("no direct call");
             return self;
         };
@@ -332,7 +332,7 @@
             call.machine,
             commands.join(", ")
         ));
-        self.scheduler.direct_done(&call, result, self.now);
+        self.scheduler.direct_call_finished(&call, result, self.now);
         self
     }
 
@@ -424,7 +424,7 @@
             let tasks: Vec<String> = m
                 .attempts
                 .iter()
-                .filter(|(_, a)| a.holds())
+                .filter(|(_, a)| a.holds_resources())
                 .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.0].spec.id, k.1))
                 .collect();
             lines.push(format!("{}: {}", m.name, tasks.join(" ")));
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -94,7 +94,7 @@
             "{end:?}"
         );
         assert!(end.commands.raises <= 3, "{end:?}");
-        let for_doubt = (end.commands.withheld, end.commands.ended_by_session);
+        let for_doubt = (end.commands.withheld, end.commands.ended_by_epoch);
         assert_eq!(for_doubt, (0, 0), "{end:?}");
     }
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -4,7 +4,7 @@
 use aspenreel::leadership::peer::{PeerClient, PeerRequest};
 use aspenreel::os::{HttpClient, Os, Signal, System};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
-use aspenreel::workers::edge::WorkerClients;
+use aspenreel::workers::edge::WorkerClientPool;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -82,7 +82,7 @@
 /// not given up for others that are wanted as much.
 #[test]
 fn kept_connections_make_room() {
-    let clients = WorkerClients::default();
+    let clients = WorkerClientPool::default();
     let os = SetClock(System::default(), AtomicU64::new(0));
     let addr = |n: u8| SocketAddr::from(([10, 0, 0, n], 9000));
     let get = |n: u8, at: u64, most: usize| {
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -284,14 +284,14 @@
     }
 
     fn direct_calls(&mut self) {
-        while let Some(call) = self.scheduler.next_direct(self.now()) {
+        while let Some(call) = self.scheduler.next_direct_call(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
             self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
             self.scheduler
-                .direct_done(&call, DirectResult::Answered(report), now);
+                .direct_call_finished(&call, DirectResult::Answered(report), now);
         }
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -248,7 +248,7 @@
         .scheduler
         .machines
         .values()
-        .find(|m| m.busy())
+        .find(|m| m.is_busy())
         .map(|m| m.name.clone())
         .unwrap();
     w.scheduler.ask_cancel("run-1", w.now);
@@ -590,7 +590,8 @@
     w.scheduler.place(at(0.0));
     w.record_fleet();
     let calls = |w: &mut World, seconds: f64| {
-        let calls: Vec<_> = std::iter::from_fn(|| w.scheduler.next_direct(at(seconds))).collect();
+        let calls: Vec<_> =
+            std::iter::from_fn(|| w.scheduler.next_direct_call(at(seconds))).collect();
         let names: Vec<&str> = calls.iter().map(|c| c.machine.as_str()).collect();
         let text = format!("called: [{}]", names.join(", "));
         w.at(seconds).note(&text);
@@ -598,7 +599,7 @@
     };
     let first = calls(&mut w, 1.0);
     w.scheduler
-        .direct_done(&first[0], DirectResult::Unsent, at(1.01));
+        .direct_call_finished(&first[0], DirectResult::Unsent, at(1.01));
     calls(&mut w, 1.02);
     calls(&mut w, 1.15);
     w.scheduler.overload.note(true, at(1.3));
@@ -618,7 +619,7 @@
             w.heartbeat(&format!("big-east-{n}"), &[]);
         }
         w.scheduler.overload.note(overloaded, at(4.0));
-        w.scheduler.unheard(at(0.0), at(at_seconds))
+        w.scheduler.is_cut_off_from_workers(at(0.0), at(at_seconds))
     };
     assert!(!silent(false, 4.0), "nobody is silent yet");
     assert!(silent(false, 10.0));
@@ -1091,7 +1092,7 @@
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 2));
     w.on_timer(1.0);
-    let call = w.scheduler.next_direct(at(1.0)).unwrap();
+    let call = w.scheduler.next_direct_call(at(1.0)).unwrap();
     w.note("a direct call with its starts is under way");
     w.scheduler.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
@@ -1102,7 +1103,7 @@
         &["run-1/0#2.1 fetching", "run-1/1#2.2 fetching"],
     );
     w.scheduler
-        .direct_done(&call, DirectResult::Answered(report), at(1.2));
+        .direct_call_finished(&call, DirectResult::Answered(report), at(1.2));
     w.at(1.2).note("answered").round(true).view("run-1");
     w.direct(|w| {
         let stopped = ["run-1/0#2.1 stopped", "run-1/1#2.2 stopped"];
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -116,7 +116,7 @@
         let is_bound = w.scheduler.machines["big-east-1"]
             .attempts
             .get(&key)
-            .is_some_and(|attempt| attempt.holds());
+            .is_some_and(|attempt| attempt.holds_resources());
         assert!(
             is_bound || !worker.executes(held),
             "its task is free at {second} s"
@@ -151,12 +151,13 @@
     worker.heartbeat(&mut w, 0.0, &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
     w.on_timer(1.0);
-    let call = w.scheduler.next_direct(w.now).unwrap();
+    let call = w.scheduler.next_direct_call(w.now).unwrap();
     assert_eq!(call.fencing_token, 2);
     w.scheduler.fencing_token_raised(3, w.now);
     worker.fencing_token = 3;
     worker.heartbeat(&mut w, 2.0, &[]);
-    w.scheduler.direct_done(&call, DirectResult::Unknown, w.now);
+    w.scheduler
+        .direct_call_finished(&call, DirectResult::Unknown, w.now);
     assert_eq!(w.scheduler.fencing.unconfirmed_machines(), 0);
     worker.heartbeat(&mut w, 5.0, &[]);
     w.bound();
@@ -197,7 +198,7 @@
         (0, 1)
     );
     assert_eq!(counters.ended_by_token, u64::from(MACHINES));
-    assert!(w.scheduler.machines.values().all(|m| !m.busy()));
+    assert!(w.scheduler.machines.values().all(|m| !m.is_busy()));
 }
 
 /// A task takes all of a machine.
