--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -9,7 +9,7 @@
 use crate::http::cbor::{decode, encode, json_len};
 use crate::http::server::Response;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest};
-use crate::os::left;
+use crate::os::time_left;
 use crate::state_store::{Change, Commit, Guard, StoreError, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
@@ -244,7 +244,7 @@
         (0..peers.len())
             .map(|i| peers[(first + i) % peers.len()])
             .filter_map(|peer| {
-                let left = left(&*self.os, deadline)?;
+                let left = time_left(&*self.os, deadline)?;
                 peer.call(request, PEER_TIME.duration().min(left)).ok()
             })
             .find(|reply| !matches!(reply, PeerReply::Busy))
@@ -380,7 +380,7 @@
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
             }
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
             };
             self.await_change(state, left);
@@ -408,7 +408,7 @@
         loop {
             let mut state = self.state();
             let known = self.known_of(&mut state, id);
-            match left(&*self.os, deadline) {
+            match time_left(&*self.os, deadline) {
                 Some(left) if known == LocalStatus::FinalWriteInFlight => {
                     self.await_change(state, left)
                 }
@@ -467,7 +467,7 @@
     /// transaction that writes its final one, so whoever misses the first finds the second.
     fn read_job(&self, id: &str, deadline: Moment) -> Result<Option<JobView>, StoreError> {
         let get = |key: &str| {
-            let Some(left) = left(&*self.os, deadline) else {
+            let Some(left) = time_left(&*self.os, deadline) else {
                 return Err(StoreError::Refused("no time left".into()));
             };
             self.store
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -1,7 +1,7 @@
 //! What the leader tells of jobs and of its machines.
 
 use super::SchedulerState;
-use crate::invariants::violations;
+use crate::invariants::violation_count;
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
 use crate::workers::DesiredState;
@@ -56,7 +56,7 @@
             self.fencing.unconfirmed_machines(),
             counters.raises,
             counters.withheld,
-            violations()
+            violation_count()
         )
     }
 
