--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -140,9 +140,9 @@
 /// A machine's tasks as its worker would report them.
 fn running(scheduler: &SchedulerState, number: u32) -> Vec<ReportedTask> {
     let machine = &scheduler.machines[&name(number)];
-    let task = |key: &(aspenreel::jobs::JobId, u32, u64)| ReportedTask {
-        task_id: format!("run-1/{}", key.1),
-        attempt: key.2,
+    let task = |key: &aspenreel::workers::AttemptKey| ReportedTask {
+        task_id: format!("run-1/{}", key.task),
+        attempt: key.attempt,
         status: TaskStatus::Running,
         exit_reason: None,
         checkpointed: None,
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::SchedulerState;
 use crate::state_store::pages::PageImage;
 use crate::state_store::{Change, Guard, to_value};
-use crate::workers::DeliveryStatus;
+use crate::workers::{AttemptKey, DeliveryStatus};
 
 /// The key prefix of claims: which tasks of which jobs may have started.
 pub const WATERMARKS_PREFIX: &str = "claims/";
@@ -201,7 +201,7 @@
     fn any_start(&self, id: JobId, is: impl Fn(DeliveryStatus) -> bool) -> bool {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
             .any(|(_, a)| is(a.delivery))
     }
 
@@ -329,7 +329,7 @@
         self.commands.awaiting_watermark.remove(&job_id);
         for m in self.machines.values_mut() {
             let before = m.attempts.len();
-            m.attempts.retain(|k, _| k.0 != job_id);
+            m.attempts.retain(|k, _| k.job != job_id);
             if m.attempts.len() < before {
                 m.free_resources.set(None);
             }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -16,7 +16,7 @@
 use crate::jobs::spec::Priority;
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
-use crate::workers::{Attempt, Machine};
+use crate::workers::{Attempt, AttemptKey, Machine};
 use preemption::Victim;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -212,7 +212,12 @@
         let number = (self.term << 32) | u64::from(self.attempt_counter);
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
-        machine.attempts.insert((id, task, number), attempt);
+        let key = AttemptKey {
+            job: id,
+            task,
+            attempt: number,
+        };
+        machine.attempts.insert(key, attempt);
         machine.free_resources.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -37,7 +37,7 @@
                 {
                     continue;
                 }
-                let Some(v) = self.jobs.table.get(&key.0) else {
+                let Some(v) = self.jobs.table.get(&key.job) else {
                     continue;
                 };
                 // Else what begins at last would be stopped at once, again and again.
@@ -129,7 +129,7 @@
             let borrowed = !queue_order.beyond_guarantee
                 && v.team != team
                 && v.rank <= rank
-                && pass.beyond.contains(&v.key.0)
+                && pass.beyond.contains(&v.key.job)
                 && pass.over[v.team] >= v.need.cpu;
             if v.stopped || (v.rank >= rank && !borrowed) || !allowed(v.at, &pass.places) {
                 continue;
@@ -168,7 +168,7 @@
 
     /// Wants one attempt gone, with time to save where that keeps something.
     pub fn stop_attempt(&mut self, machine: &str, key: crate::workers::AttemptKey) {
-        let Some(job) = self.jobs.table.get(&key.0) else {
+        let Some(job) = self.jobs.table.get(&key.job) else {
             return;
         };
         let grace_period = if job.spec.checkpoint > Micros::ZERO {
@@ -181,7 +181,7 @@
         {
             a.desired = DesiredState::Stop { grace_period };
             m.free_resources.set(None);
-            log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
+            log::debug!("stopping {}/{} on {machine}", job.spec.id, key.task);
             self.commands.due.insert(machine.to_string());
         }
     }
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -30,13 +30,13 @@
         let mut last: Option<(JobId, Resources)> = None;
         for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
             let need = match last {
-                Some((id, need)) if id == key.0 => need,
-                _ => match self.jobs.table.get(&key.0) {
+                Some((id, need)) if id == key.job => need,
+                _ => match self.jobs.table.get(&key.job) {
                     Some(job) => job.spec.need,
                     None => continue,
                 },
             };
-            last = Some((key.0, need));
+            last = Some((key.job, need));
             free = free.minus(need);
             if attempt.desired != DesiredState::Run {
                 stopping = stopping.plus(need);
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -3,6 +3,7 @@
 use crate::jobs::spec::JobSpec;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
+use crate::workers::AttemptKey;
 use std::collections::BTreeMap;
 
 impl JobSpec {
@@ -35,7 +36,7 @@
         for m in self.machines.values() {
             let here = m
                 .attempts
-                .range((id, 0, 0)..=(id, u32::MAX, u64::MAX))
+                .range(AttemptKey::all_of(id))
                 .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if here > 0 {
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -240,7 +240,7 @@
         } else {
             releases.push((now, self.free_room(m)));
             for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
-                let Some(job) = self.jobs.table.get(&key.0) else {
+                let Some(job) = self.jobs.table.get(&key.job) else {
                     continue;
                 };
                 let from = attempt.running_since.unwrap_or(now);
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -139,7 +139,7 @@
     pub(super) fn replica_room(&self, now: Moment) -> Option<i64> {
         let reserve = self.replica_reserve(now)?;
         let replica = |key: &AttemptKey| {
-            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.standing);
+            let job = self.jobs.table.get(&key.job).filter(|j| j.spec.standing);
             job.map_or(0, |j| j.spec.need.cpu)
         };
         let room = |m: &Machine| {
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -154,7 +154,7 @@
         let has_replicas = |m: &&&Machine| {
             let mut held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
             held.any(|(key, _)| {
-                let job = self.jobs.table.get(&key.0);
+                let job = self.jobs.table.get(&key.job);
                 job.is_some_and(|j| j.spec.standing && !j.is_closed())
             })
         };
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -16,7 +16,7 @@
 use crate::settings::{Objective, TeamSettings};
 use crate::time::{Micros, Moment, WallTime, at_most};
 use crate::workers::fencing::Fencing;
-use crate::workers::{CommandQueue, DesiredState, Machine};
+use crate::workers::{AttemptKey, CommandQueue, DesiredState, Machine};
 use aspenreel_links::permissions::Permissions;
 use overload::OverloadMonitor;
 use prior_term::PriorTerm;
@@ -217,7 +217,7 @@
     /// Stops whatever there is of a job. Not even time to save: nobody has a use for what it does.
     fn stop_attempts_of(&mut self, id: JobId) {
         for m in self.machines.values_mut() {
-            let own = (id, 0, 0)..=(id, u32::MAX, u64::MAX);
+            let own = AttemptKey::all_of(id);
             let mut any = false;
             for (_, attempt) in m.attempts.range_mut(own) {
                 any = true;
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -4,8 +4,8 @@
 use crate::invariants::violation_count;
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
-use crate::workers::DesiredState;
 use crate::workers::wire::TaskStatus;
+use crate::workers::{AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
 impl SchedulerState {
@@ -38,7 +38,7 @@
     fn running_of(&self, id: JobId) -> u32 {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
             .filter(|(_, a)| a.status == Some(TaskStatus::Running))
             .count() as u32
     }
@@ -79,7 +79,7 @@
                     (_, Some(TaskStatus::Running)) => "running",
                     _ => "other",
                 };
-                let need = self.jobs.table.get(&key.0).map_or(0, |j| j.spec.need.cpu);
+                let need = self.jobs.table.get(&key.job).map_or(0, |j| j.spec.need.cpu);
                 *by_state.entry(state).or_insert(0) += need;
             }
         }
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -77,11 +77,18 @@
                 Absence::Lost => "start_lost_with_its_answer",
                 _ => "not_in_report",
             };
-            log_release(&report.machine, key.1, key.2, why, attempt.placed_at, now);
+            log_release(
+                &report.machine,
+                key.task,
+                key.attempt,
+                why,
+                attempt.placed_at,
+                now,
+            );
             if attempt.holds_resources()
-                && let Some(job) = self.jobs.table.get_mut(&key.0)
+                && let Some(job) = self.jobs.table.get_mut(&key.job)
             {
-                job.unbind(key.1);
+                job.unbind(key.task);
                 self.placement.due = true;
             }
         }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -36,7 +36,7 @@
         let mut starts = Vec::new();
         let mut dropped = Vec::new();
         for (key, attempt) in &mut machine.attempts {
-            let Some(job) = self.jobs.table.get(&key.0) else {
+            let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
             match (attempt.status, attempt.desired) {
@@ -44,7 +44,9 @@
                 (Some(TaskStatus::Exited), _) if attempt.delivery.may_arrive() => {}
                 (Some(TaskStatus::Exited), _) if !may_release => {}
                 (Some(TaskStatus::Exited), _)
-                    if !attempt.done || job.recorded.contains(key.1) || job.outcome.is_some() =>
+                    if !attempt.done
+                        || job.recorded.contains(key.task)
+                        || job.outcome.is_some() =>
                 {
                     commands.push(attempt.command(job, *key, CommandKind::Clear));
                 }
@@ -81,7 +83,7 @@
                         dropped.push(*key);
                         continue;
                     }
-                    if key.1 >= job.start_watermark || !machine.recorded {
+                    if key.task >= job.start_watermark || !machine.recorded {
                         continue;
                     }
                     attempt.sent = Some(here);
@@ -97,8 +99,8 @@
         }
         for key in dropped {
             machine.attempts.remove(&key);
-            if let Some(job) = self.jobs.table.get_mut(&key.0) {
-                job.unbind(key.1);
+            if let Some(job) = self.jobs.table.get_mut(&key.job) {
+                job.unbind(key.task);
                 self.placement.due = true;
             }
         }
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -158,10 +158,10 @@
         let takes_starts = machine.recorded && machine.is_alive(self.config.report, now);
         let mut content = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
-            let Some(job) = self.jobs.table.get(&key.0) else {
+            let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
-            let Some(kind) = direct_verb(job, key.1, attempt, takes_starts) else {
+            let Some(kind) = direct_verb(job, key.task, attempt, takes_starts) else {
                 continue;
             };
             content.commands.push(attempt.command(job, *key, kind));
@@ -198,8 +198,8 @@
         machine.free_resources.set(None);
         for key in keys {
             machine.attempts.remove(&key);
-            if let Some(job) = self.jobs.table.get_mut(&key.0) {
-                job.unbind(key.1);
+            if let Some(job) = self.jobs.table.get_mut(&key.job) {
+                job.unbind(key.task);
             }
             self.placement.due = true;
         }
@@ -280,7 +280,7 @@
             .note_unconfirmed(&call.machine, call.fencing_token);
         // A higher token is written by the loop that writes records.
         self.writes_due = true;
-        for (_, task, attempt) in &call.starts {
+        for AttemptKey { task, attempt, .. } in &call.starts {
             log::debug!(
                 "start in doubt: machine={} session={} token={} task={task} attempt={attempt} waited_s={:.3}",
                 call.machine,
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -74,7 +74,7 @@
                 let run = self
                     .jobs
                     .table
-                    .get(&k.0)
+                    .get(&k.job)
                     .map_or(Micros::ZERO, |j| self.expected_run(j));
                 a.running_since.unwrap_or(now) + run > preempted_at
             })
@@ -120,8 +120,12 @@
 
     /// The attempt that a worker tells of, if its job is known.
     fn key_of(&self, task: &ReportedTask) -> Option<AttemptKey> {
-        let (id, number) = task.parts()?;
-        Some((self.jobs.find(id)?, number, task.attempt))
+        let (job_id, number) = task.parts()?;
+        Some(AttemptKey {
+            job: self.jobs.find(job_id)?,
+            task: number,
+            attempt: task.attempt,
+        })
     }
 
     /// What one task's line in a report shows.
@@ -132,22 +136,21 @@
         task: &ReportedTask,
         now: Moment,
     ) {
-        let (job_id, number, _) = key;
         let cache_gb = self.provisioning.cache_of(&report.type_name);
         let (Some(job), Some(machine)) = (
-            self.jobs.table.get_mut(&job_id),
+            self.jobs.table.get_mut(&key.job),
             self.machines.get_mut(&report.machine),
         ) else {
             return;
         };
         let known = machine.attempts.get(&key).cloned();
-        let mut attempt = known.unwrap_or_else(|| discovered_attempt(job, number, task, now));
+        let mut attempt = known.unwrap_or_else(|| discovered_attempt(job, key.task, task, now));
         let before = attempt.status.replace(task.status);
         if before.is_none() {
             check_start(job, task, &report.machine, self.config.cancel, now);
         }
         note_running(job, &mut attempt, now);
-        stop_unwanted(job, number, &mut attempt);
+        stop_unwanted(job, key.task, &mut attempt);
         let mut ran = None;
         if task.status == TaskStatus::Exited && before != Some(TaskStatus::Exited) {
             let exit = Exit {
@@ -165,7 +168,7 @@
         machine.note_image(&image, gb, is_cached, cache_gb, now);
         machine.attempts.insert(key, attempt);
         if let Some(ran) = ran {
-            self.note_run(job_id, ran);
+            self.note_run(key.job, ran);
         }
     }
 
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -44,7 +44,7 @@
         settle_task(exit, since, job, machine)
     };
     if std::mem::take(&mut attempt.bound) {
-        job.unbind(exit.key.1);
+        job.unbind(exit.key.task);
     }
     effect
 }
@@ -68,7 +68,7 @@
 ) -> ExitEffect {
     match exit.exit_reason {
         ExitReason::Done => {
-            let is_first = job.settle(exit.key.1);
+            let is_first = job.settle(exit.key.task);
             job.failed_on.clear();
             machine.error_streak.clear();
             ExitEffect {
@@ -87,7 +87,7 @@
 /// An error mostly means a faulty machine, unless the job fails wherever it runs.
 fn note_error(exit: &Exit, job: &mut Job, machine: &mut Machine) {
     job.note_failure(&machine.name, exit.at);
-    machine.error_streak.insert(exit.key.0);
+    machine.error_streak.insert(exit.key.job);
     let suspects_machine = job.failed_on.len() < JOB_SUSPECTED_AFTER;
     if machine.error_streak.len() >= FAULTY_AFTER && suspects_machine {
         machine.faulty = true;
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -154,7 +154,7 @@
             self.fencing.counters.ended_by_token += 1;
             log::debug!(
                 "doubt over: machine={name} attempt={} token={} seen_token={seen} age_s={:.3}",
-                key.2,
+                key.attempt,
                 command.fencing_token,
                 (now - command.since).as_secs_f64()
             );
@@ -201,7 +201,7 @@
             .filter(|(_, attempt)| attempt.delivery.unconfirmed().is_some())
             .filter(|(_, attempt)| attempt.status.is_none());
         unconfirmed.any(|(key, _)| {
-            let job = self.jobs.table.get(&key.0);
+            let job = self.jobs.table.get(&key.job);
             let asked = job.and_then(|job| job.cancel_asked_at);
             asked.is_some_and(|at| now - at >= span)
         })
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -7,6 +7,7 @@
 use crate::time::{Micros, Moment};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::RangeInclusive;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DesiredState {
@@ -62,8 +63,8 @@
         };
         WorkerCommand {
             kind,
-            task_id: format!("{}/{}", job.spec.id, key.1),
-            attempt: key.2,
+            task_id: format!("{}/{}", job.spec.id, key.task),
+            attempt: key.attempt,
             grace_period_s: grace_period.map(Micros::as_secs_f64),
         }
     }
@@ -74,7 +75,33 @@
     }
 }
 
-pub type AttemptKey = (JobId, u32, u64);
+/// Which attempt of which task. Ordered by job, then task, then attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// The job that the task belongs to.
+    pub job: JobId,
+    /// The task's number within its job, from 0.
+    pub task: u32,
+    /// The attempt's number: it rises from attempt to attempt, also from leader to leader.
+    pub attempt: u64,
+}
+
+impl AttemptKey {
+    /// All keys that a job's attempts may have.
+    pub fn all_of(job: JobId) -> RangeInclusive<AttemptKey> {
+        let first = AttemptKey {
+            job,
+            task: 0,
+            attempt: 0,
+        };
+        let last = AttemptKey {
+            job,
+            task: u32::MAX,
+            attempt: u64::MAX,
+        };
+        first..=last
+    }
+}
 
 /// An attempt of a job that has no record any more: its job is over.
 #[derive(Clone, Debug)]
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -34,9 +34,9 @@
                 self.fencing.counters.ended_by_epoch += 1;
             }
             if attempt.holds_resources()
-                && let Some(job) = self.jobs.table.get_mut(&key.0)
+                && let Some(job) = self.jobs.table.get_mut(&key.job)
             {
-                job.unbind(key.1);
+                job.unbind(key.task);
             }
         }
         self.placement.due = true;
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -425,7 +425,7 @@
                 .attempts
                 .iter()
                 .filter(|(_, a)| a.holds_resources())
-                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.0].spec.id, k.1))
+                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.job].spec.id, k.task))
                 .collect();
             lines.push(format!("{}: {}", m.name, tasks.join(" ")));
         }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -9,6 +9,7 @@
 use aspenreel::jobs::spec::{Priority, Shape, Submission};
 use aspenreel::provisioning::RentalResult;
 use aspenreel::settings::Objective;
+use aspenreel::workers::AttemptKey;
 use aspenreel::workers::direct::DirectResult;
 use insta::assert_snapshot;
 use std::collections::BTreeMap;
@@ -1285,9 +1286,9 @@
         for name in names.iter().filter(|name| !silent.contains(name)) {
             let tasks: Vec<String> = w.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
                 let held = m.attempts.keys();
-                let text = |k: &(_, u32, u64)| {
-                    let job = &w.scheduler.jobs.table[&k.0].spec.id;
-                    format!("{job}/{}#2.{} running", k.1, k.2 & 0xffff_ffff)
+                let text = |k: &AttemptKey| {
+                    let job = &w.scheduler.jobs.table[&k.job].spec.id;
+                    format!("{job}/{}#2.{} running", k.task, k.attempt & 0xffff_ffff)
                 };
                 held.map(text).collect()
             });
@@ -1305,7 +1306,7 @@
     let holds = |w: &World, job: &str| -> Vec<String> {
         let id = w.scheduler.jobs.find(job).unwrap();
         let machines = w.scheduler.machines.values();
-        let holding = machines.filter(|m| m.attempts.keys().any(|k| k.0 == id));
+        let holding = machines.filter(|m| m.attempts.keys().any(|k| k.job == id));
         holding.map(|m| m.name.clone()).collect()
     };
     let replica_on = holds(&w, "run-1");
@@ -1409,8 +1410,10 @@
         let start = 100.0 * f64::from(k);
         w.at(start).heartbeat(&name, &[]);
         w.on_timer(start + 1.0);
-        let attempt = w.scheduler.machines[&name].attempts.keys().next().copied();
-        let (_, _, attempt) = attempt.expect("it is tried on the machine that is there");
+        let key = w.scheduler.machines[&name].attempts.keys().next().copied();
+        let attempt = key
+            .expect("it is tried on the machine that is there")
+            .attempt;
         let ended = format!("run-1/0#2.{} done", attempt & 0xffff_ffff);
         w.at(start + 3.0).heartbeat(&name, &[]);
         w.at(start + 6.0).heartbeat(&name, &[&ended]);
