--- a/src/controller.rs
+++ b/src/controller.rs
@@ -19,7 +19,7 @@
 use crate::state_store::Store;
 use crate::state_store::bucket::TokenBucket;
 use crate::time::{Micros, Moment};
-use crate::workers::edge::WorkerClientPool;
+use crate::workers::WorkerClientPool;
 use aspenreel_links::evidence::{Link, NodeName};
 use aspenreel_links::handover::{HandoverPlanner, HandoverRecord};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/workers/command_log.rs
+++ b/src/workers/command_log.rs
@@ -2,7 +2,7 @@
 //! go. One line an event, `key=value`, at `debug`: a report of an incident must tell which order was given when,
 //! under which token and session, and on what evidence it was believed to be over.
 
-use super::direct::{DirectCall, DirectResult};
+use super::direct_calls::{DirectCall, DirectResult};
 use super::wire::{CommandKind, WorkerCommand};
 use crate::time::Moment;
 use std::fmt;
--- a/src/workers/direct.rs
+++ b/src/workers/direct_calls.rs
@@ -2,7 +2,7 @@
 
 use super::command_log::{CommandPath, Recipient, log_call_result, log_commands};
 use super::commands::MAX_COMMANDS;
-use super::delivery::{DeliveryStatus, UnconfirmedStart};
+use super::delivery_status::{DeliveryStatus, UnconfirmedStart};
 use super::wire::{CommandKind, Heartbeat, TaskStatus, WorkerCommand};
 use super::{Attempt, AttemptKey, DesiredState};
 use crate::jobs::Job;
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,6 +1,6 @@
 //! What the end of an attempt means for its task, its job and its machine.
 
-use super::evidence::COUNTS_AFTER;
+use super::reconciliation::COUNTS_AFTER;
 use super::wire::ExitReason;
 use super::{Attempt, AttemptKey, Machine};
 use crate::jobs::Job;
--- a/src/workers/edge.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -1,7 +1,7 @@
 //! Heartbeats as they arrive, and direct calls as they leave.
 
 use super::HeartbeatReply;
-use super::direct::{DirectCall, DirectResult};
+use super::direct_calls::{DirectCall, DirectResult};
 use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,6 +1,6 @@
 //! What is known of one machine and of the attempts on it.
 
-use super::delivery::DeliveryStatus;
+use super::delivery_status::DeliveryStatus;
 use super::wire::{CommandKind, TaskStatus, WorkerCommand};
 use crate::jobs::{Job, JobId};
 use crate::placement::Resources;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,22 +1,24 @@
 //! Workers: their reports, sessions and leases, and the orders that follow from the difference
 //! between what is wanted of a machine and what it reports.
 
-mod absence;
+mod agent_epochs;
 mod command_log;
 mod command_queue;
 mod commands;
-pub mod delivery;
-pub mod direct;
-pub mod edge;
-mod evidence;
+mod delivery_status;
+mod direct_calls;
 mod exits;
 pub mod fencing;
+mod heartbeat_handler;
 mod machine;
-mod sessions;
+mod missing_attempts;
+mod reconciliation;
 pub mod wire;
 
 pub use command_queue::CommandQueue;
-pub use delivery::DeliveryStatus;
+pub use delivery_status::{DeliveryStatus, UnconfirmedStart};
+pub use direct_calls::{DirectCall, DirectResult};
+pub use heartbeat_handler::WorkerClientPool;
 pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Quarantine};
 
 use crate::scheduler::SchedulerState;
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -8,8 +8,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::DirectResult;
 use aspenreel::workers::HeartbeatReply;
-use aspenreel::workers::direct::DirectResult;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
 };
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -8,7 +8,7 @@
 
 use aspenreel::invariants::violation_count;
 use aspenreel::time::Micros;
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use trace::{World, submission, team};
 
 fn world() -> World {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -4,7 +4,7 @@
 use aspenreel::leadership::peer::{PeerClient, PeerRequest};
 use aspenreel::os::{EventCount, HttpClient, Os, System};
 use aspenreel::time::{Clock, Micros, Moment, WallTime};
-use aspenreel::workers::edge::WorkerClientPool;
+use aspenreel::workers::WorkerClientPool;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -14,8 +14,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::DirectResult;
 use aspenreel::workers::HeartbeatReply;
-use aspenreel::workers::direct::DirectResult;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -1,7 +1,7 @@
 //! Orders that the network holds back: when a leader may count on them not to arrive any more.
 
 use crate::trace::{World, submission, team};
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
 /// As long as a cancellation may take, in the trace's settings.
