--- a/crates/testbed/src/machines.rs
+++ b/crates/testbed/src/machines.rs
@@ -7,7 +7,7 @@
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::http::server::{Handler, Request};
 use aspenreel::workers::wire::{
-    CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
+    CommandKind, DirectCommands, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
 };
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -510,25 +510,18 @@
             }
             return;
         }
-        #[derive(Deserialize)]
-        struct DirectCommands {
-            baton: u64,
-            shift: u64,
-            #[serde(rename = "orders")]
-            commands: Vec<WorkerCommand>,
-        }
-        let commands: DirectCommands = decode(&body).unwrap();
+        let commands: DirectCommands<'_> = decode(&body).unwrap();
         let name = {
             let mut state = self.state();
             let Some(m) = state.machine_at(addr) else {
                 return;
             };
-            if commands.baton < m.fencing_token || commands.shift != m.agent_epoch {
+            if commands.fencing_token < m.fencing_token || commands.agent_epoch != m.agent_epoch {
                 let report = m.report(now);
                 drop(state);
                 return then(self, (409, encode(&report)));
             }
-            m.fencing_token = commands.baton;
+            m.fencing_token = commands.fencing_token;
             m.name.clone()
         };
         self.execute(&name, &commands.commands);
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -7,9 +7,9 @@
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::workers::wire::{
-    CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
+    CommandKind, DirectCommands, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask,
+    TaskStatus, WorkerCommand,
 };
-use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -321,14 +321,7 @@
 
 impl Handler for Worker {
     fn handle(&self, r: Request) -> Response {
-        #[derive(Deserialize)]
-        struct DirectCommands {
-            baton: u64,
-            shift: u64,
-            #[serde(rename = "orders")]
-            commands: Vec<WorkerCommand>,
-        }
-        let commands: DirectCommands = decode(&r.body).unwrap();
+        let commands: DirectCommands<'_> = decode(&r.body).unwrap();
         let controller = self.at.load(Ordering::Relaxed);
         // A lease that is over is over before anything else happens, also for an order that was held back.
         self.end_lease();
@@ -336,10 +329,10 @@
         let is_refused = {
             let mut inner = self.inner.lock().unwrap();
             let refused = inner.gone
-                || commands.baton < inner.fencing_token
-                || commands.shift != inner.agent_epoch;
+                || commands.fencing_token < inner.fencing_token
+                || commands.agent_epoch != inner.agent_epoch;
             if !refused {
-                inner.fencing_token = commands.baton;
+                inner.fencing_token = commands.fencing_token;
             }
             refused
         };
--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -301,9 +301,9 @@
                     .written(image.number, image.version, revision);
                 for (name, _) in &image.entries {
                     if let Some(m) = self.machines.get_mut(name)
-                        && !m.recorded
+                        && !m.registered
                     {
-                        m.recorded = true;
+                        m.registered = true;
                         self.placement.due = true;
                     }
                 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -65,7 +65,7 @@
 impl SchedulerState {
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
         m.reconciled
-            && m.recorded
+            && m.registered
             && m.quarantine.is_none()
             && !m.unreachable
             && !m.draining
@@ -228,7 +228,9 @@
             waiting.insert(place.name.clone());
         }
         let cache_gb = self.provisioning.cache_of(&machine.type_name);
-        machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
+        machine
+            .images
+            .note_use(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         place.free = place.free.minus(job.spec.need);
         place.promised = place.promised.minus(job.spec.need);
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -53,7 +53,7 @@
             counters.unconfirmed_starts,
             counters.ended_by_token,
             counters.ended_by_epoch,
-            self.fencing.unconfirmed_machines(),
+            self.fencing.unconfirmed_machine_count(),
             counters.raises,
             counters.withheld,
             violation_count()
--- a/src/workers/agent_epochs.rs
+++ b/src/workers/agent_epochs.rs
@@ -1,19 +1,23 @@
-//! Worker sessions: they end with their lease, and everything on the machine with them.
+//! The end of agent epochs: when a machine's lease expires, its worker ends the epoch and everything in it.
 
+use super::command_log::Seconds;
+use super::{Attempt, AttemptKey, Machine};
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
+use std::collections::BTreeMap;
 
 impl SchedulerState {
-    /// A suspected machine is asked directly; one whose session lasts is heard and hears.
+    /// Ends a quarantine once the agent epoch has outlasted a lease, or else has the machine probed when the
+    /// next probe is due.
     pub(super) fn review_quarantine(&mut self, name: &str, now: Moment) {
-        let span = self.lease_span();
+        let lease = self.lease_span();
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let Some(quarantine) = machine.quarantine else {
             return;
         };
-        if quarantine.is_refuted(span, now) {
+        if quarantine.is_refuted(lease, now) {
             machine.quarantine = None;
             self.placement.due = true;
         } else if quarantine.may_probe(now) {
@@ -21,7 +25,7 @@
         }
     }
 
-    /// Everything the machine had in its session is gone.
+    /// Forgets everything that the machine held in its agent epoch, which is over.
     pub fn end_epoch(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -29,7 +33,13 @@
         machine.free_resources.set(None);
         machine.orphans.clear();
         self.fencing.forget(name);
-        for (key, attempt) in std::mem::take(&mut machine.attempts) {
+        let ended = std::mem::take(&mut machine.attempts);
+        self.release_ended(ended);
+        self.placement.due = true;
+    }
+
+    fn release_ended(&mut self, attempts: BTreeMap<AttemptKey, Attempt>) {
+        for (key, attempt) in attempts {
             if attempt.delivery.unconfirmed().is_some() {
                 self.fencing.counters.ended_by_epoch += 1;
             }
@@ -39,31 +49,43 @@
                 job.unbind(key.task);
             }
         }
-        self.placement.due = true;
     }
 
-    /// Sessions end when nobody can have renewed their lease for its full time.
+    /// Ends the agent epochs of machines whose lease can't have been renewed for its full duration.
     pub fn expire_leases(&mut self, now: Moment) {
-        let span = self.lease_span();
+        let lease = self.lease_span();
+        let has_expired = |machine: &&Machine| {
+            !machine.unreachable
+                && machine.last_seen.is_some()
+                && now - machine.lease_renewed_at >= lease
+        };
         let expired: Vec<String> = self
             .machines
             .values()
-            .filter(|m| !m.unreachable && m.last_seen.is_some() && now - m.lease_renewed_at >= span)
-            .map(|m| m.name.clone())
+            .filter(has_expired)
+            .map(|machine| machine.name.clone())
             .collect();
         for name in expired {
             if let Some(machine) = self.machines.get_mut(&name) {
-                log::info!(
-                    "session over: machine={name} session={} reason=lease renewed_s_ago={:.3}",
-                    machine.agent_epoch,
-                    (now - machine.lease_renewed_at).as_secs_f64()
-                );
-                machine.unreachable = true;
-                machine.epoch_ended = true;
-                machine.idle_since = None;
+                machine.expire_lease(now);
             }
             self.end_epoch(&name);
         }
         self.release_prior_term(now);
     }
 }
+
+impl Machine {
+    fn expire_lease(&mut self, now: Moment) {
+        log::info!(
+            machine = self.name,
+            agent_epoch = self.agent_epoch(),
+            reason = "lease_expired",
+            renewed_s_ago:% = Seconds(now - self.lease_renewed_at);
+            "agent epoch over"
+        );
+        self.unreachable = true;
+        self.epoch_ended = true;
+        self.idle_since = None;
+    }
+}
--- a/src/workers/command_log.rs
+++ b/src/workers/command_log.rs
@@ -1,82 +1,126 @@
-//! What the log tells of orders: each that is sent with its path, what became of it, and why an attempt was let
-//! go. One line an event, `key=value`, at `debug`: a report of an incident must tell which order was given when,
-//! under which token and session, and on what evidence it was believed to be over.
+//! Log lines on commands: each that is sent and its path, what became of it, and why an attempt was released.
+//!
+//! One event a line, at level `debug`. After an incident they tell which command was sent when, with which
+//! fencing token and agent epoch, and on what evidence it was believed to be over.
 
-use super::direct_calls::{DirectCall, DirectResult};
 use super::wire::{CommandKind, WorkerCommand};
-use crate::time::Moment;
+use super::{AttemptKey, DirectCall, DirectResult};
+use crate::time::Micros;
 use std::fmt;
 
-/// How an order reaches a worker.
+/// How a command reaches a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommandPath {
-    /// In the answer to a heartbeat: dropped by the worker if it comes late.
-    HeartbeatAnswer,
-    /// Straight to the worker's address: executed however late, while token and session match.
+    /// In the reply to a heartbeat. The worker drops it if it is late.
+    HeartbeatReply,
+    /// In a direct call. The worker executes it however late it is, if fencing token and agent epoch match.
     Direct,
 }
 
 impl fmt::Display for CommandPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CommandPath::HeartbeatAnswer => "heartbeat_answer",
+            CommandPath::HeartbeatReply => "heartbeat_reply",
             CommandPath::Direct => "direct",
         })
     }
 }
 
-/// For whom orders are, and what they carry beside themselves.
+/// Why an attempt was released, so that its task may start elsewhere.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReleaseReason {
+    /// The reply that carried its start command was lost.
+    StartLost,
+    /// A report doesn't list it.
+    NotInReport,
+}
+
+impl fmt::Display for ReleaseReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReleaseReason::StartLost => "start_lost_with_reply",
+            ReleaseReason::NotInReport => "not_in_report",
+        })
+    }
+}
+
+/// Whom commands are for, and what they carry besides themselves.
 pub(super) struct Recipient<'a> {
     pub machine: &'a str,
     pub agent_epoch: u64,
     pub fencing_token: u64,
 }
 
-/// Orders that are about to be sent.
-pub(super) fn log_commands(path: CommandPath, to: &Recipient<'_>, commands: &[WorkerCommand]) {
+/// Logs commands that are about to be sent.
+pub(super) fn log_commands(
+    path: CommandPath,
+    recipient: &Recipient<'_>,
+    commands: &[WorkerCommand],
+) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
     for command in commands {
         log::debug!(
-            "order sent: path={path} machine={} session={} token={} verb={} task={} attempt={}",
-            to.machine,
-            to.agent_epoch,
-            to.fencing_token,
-            kind_name(command.kind),
-            command.task_id,
-            command.attempt
+            path:% = path,
+            machine = recipient.machine,
+            agent_epoch = recipient.agent_epoch,
+            fencing_token = recipient.fencing_token,
+            kind = kind_name(command.kind),
+            task = command.task_id,
+            attempt = command.attempt;
+            "command sent"
         );
     }
 }
 
-/// How a direct call ended.
-pub(super) fn log_call_result(call: &DirectCall, result: &DirectResult, took_s: f64) {
+/// Logs how a direct call ended.
+pub(super) fn log_call_result(call: &DirectCall, result: &DirectResult, took: Micros) {
     log::debug!(
-        "direct call over: machine={} session={} token={} orders={} result={} took_s={took_s:.3}",
-        call.machine,
-        call.agent_epoch,
-        call.fencing_token,
-        call.commands.len(),
-        result_name(result)
+        machine = call.machine,
+        agent_epoch = call.agent_epoch,
+        fencing_token = call.fencing_token,
+        commands = call.commands.len(),
+        result = result.name(),
+        took_s:% = Seconds(took);
+        "direct call finished"
     );
 }
 
-/// An attempt was let go, so that its task may start elsewhere.
-pub(super) fn log_release(
-    machine: &str,
-    task: u32,
-    attempt: u64,
-    why: &str,
-    placed: Moment,
-    now: Moment,
-) {
+/// Logs that no answer came to the call that carried a start command.
+pub(super) fn log_unconfirmed_start(call: &DirectCall, key: AttemptKey, waited: Micros) {
     log::debug!(
-        "attempt let go: machine={machine} task={task} attempt={attempt} reason={why} age_s={:.3}",
-        (now - placed).as_secs_f64()
+        machine = call.machine,
+        agent_epoch = call.agent_epoch,
+        fencing_token = call.fencing_token,
+        task = key.task,
+        attempt = key.attempt,
+        waited_s:% = Seconds(waited);
+        "start unconfirmed"
     );
 }
 
+/// Logs that an attempt was released. `age` is the time since it was placed.
+pub(super) fn log_release(machine: &str, key: AttemptKey, reason: ReleaseReason, age: Micros) {
+    log::debug!(
+        machine = machine,
+        task = key.task,
+        attempt = key.attempt,
+        reason:% = reason,
+        age_s:% = Seconds(age);
+        "attempt released"
+    );
+}
+
+/// Displays a time in seconds, to the millisecond.
+pub(super) struct Seconds(pub Micros);
+
+impl fmt::Display for Seconds {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:.3}", self.0.as_secs_f64())
+    }
+}
+
 fn kind_name(kind: CommandKind) -> &'static str {
     match kind {
         CommandKind::Run => "run",
@@ -84,12 +128,3 @@
         CommandKind::Clear => "clear",
     }
 }
-
-fn result_name(result: &DirectResult) -> &'static str {
-    match result {
-        DirectResult::Answered(_) => "answered",
-        DirectResult::Unsent => "not_sent",
-        DirectResult::Unreached => "not_reached",
-        DirectResult::Unknown => "no_answer",
-    }
-}
--- /dev/null
+++ b/src/workers/command_sender.rs
@@ -0,0 +1,119 @@
+//! The loop that sends commands directly to workers.
+
+use super::wire::DirectCommands;
+use super::{DirectCall, DirectResult};
+use crate::controller::Controller;
+use crate::http::cbor::{decode, encode};
+use crate::http::client::{CallError, ClientResponse};
+use std::borrow::Cow;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+/// How long a call waits for its answer. A worker that is slower gets the commands by its next heartbeat.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a probe waits for its answer. Many machines may be quarantined at once, and probes of them must
+/// not delay commands for other machines.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a sender waits for commands before it looks again.
+const IDLE_WAIT: Duration = Duration::from_secs(60);
+
+const OK: u16 = 200;
+/// The worker refuses the commands, by their fencing token or agent epoch.
+const CONFLICT: u16 = 409;
+
+impl Controller {
+    /// Sends commands directly to workers. Several threads run this loop.
+    pub fn command_sender_loop(&self) {
+        loop {
+            let Some(call) = self.next_call_or_wait() else {
+                continue;
+            };
+            let result = self.call_worker(&call);
+            self.apply_call_result(&call, result);
+        }
+    }
+
+    /// The next call to be made, or `None` after a wait for one.
+    fn next_call_or_wait(&self) -> Option<DirectCall> {
+        let mut state = self.state();
+        let now = self.now();
+        let acting = state.acting(now);
+        let call = acting.and_then(|(_, scheduler)| scheduler.next_direct_call(now));
+        if call.is_none() {
+            let observed = self.commands_due.prepare_wait();
+            drop(state);
+            self.commands_due.wait(observed, IDLE_WAIT);
+            return None;
+        }
+        let has_more =
+            |scheduler: &crate::scheduler::SchedulerState| !scheduler.commands.due.is_empty();
+        if state
+            .acting(now)
+            .is_some_and(|(_, scheduler)| has_more(scheduler))
+        {
+            self.commands_due.notify_one();
+        }
+        call
+    }
+
+    /// Applies a call's result under the term that decided on the call, even if this controller's lease is in
+    /// doubt by now: what is known of the starts must be kept.
+    fn apply_call_result(&self, call: &DirectCall, result: DirectResult) {
+        let mut state = self.state();
+        let now = self.now();
+        let scheduler = state.scheduler.as_mut();
+        if let Some(scheduler) = scheduler.filter(|scheduler| scheduler.term == call.term) {
+            scheduler.direct_call_finished(call, result, now);
+            self.wake_loops(scheduler);
+        }
+    }
+
+    fn call_worker(&self, call: &DirectCall) -> DirectResult {
+        let Ok(addr) = call.addr.parse::<SocketAddr>() else {
+            return DirectResult::NotSent;
+        };
+        let open_connections = self.open.load(Ordering::Relaxed);
+        let max_clients = self.settings.settings.quota.kept_clients(open_connections);
+        let client = self.workers.get(&*self.os, addr, max_clients);
+        let body = encode(&DirectCommands {
+            fencing_token: call.fencing_token,
+            agent_epoch: call.agent_epoch,
+            commands: Cow::Borrowed(&call.commands),
+        });
+        let timeout = if call.probe {
+            PROBE_TIMEOUT
+        } else {
+            CALL_TIMEOUT
+        };
+        match client.call("POST", "/commands", &body, timeout) {
+            Ok(ClientResponse {
+                status: OK | CONFLICT,
+                body,
+            }) => read_answer(call, &body),
+            Ok(ClientResponse { status, .. }) => {
+                log::info!(machine = call.machine, status = status; "direct call refused");
+                DirectResult::OutcomeUnknown
+            }
+            Err(error) => {
+                log::debug!(machine = call.machine, reason:% = error; "direct call failed");
+                match error {
+                    CallError::NotSent { .. } => DirectResult::NotSent,
+                    CallError::Unreachable { .. } => DirectResult::Unreachable,
+                    CallError::OutcomeUnknown { .. } => DirectResult::OutcomeUnknown,
+                }
+            }
+        }
+    }
+}
+
+/// Reads the worker's report in its answer.
+fn read_answer(call: &DirectCall, body: &[u8]) -> DirectResult {
+    match decode(body) {
+        Ok(report) => DirectResult::Answered(report),
+        Err(error) => {
+            log::info!(machine = call.machine, reason:% = error; "malformed answer to a direct call");
+            DirectResult::OutcomeUnknown
+        }
+    }
+}
--- a/src/workers/delivery_status.rs
+++ b/src/workers/delivery_status.rs
@@ -1,78 +1,78 @@
-//! Whether a start that went straight to a worker's address may still be executed.
+//! Whether a start command that went directly to a worker may still be executed.
 //!
-//! This is the one place that decides it; every path that forgets an attempt, clears it, frees its task
-//! or retires its job asks here.
+//! This is the one place that decides it. Every path that forgets an attempt, clears it, starts its task
+//! elsewhere or retires its job asks here.
 //!
 //! # Proof
 //!
-//! A worker executes a direct start, however late it arrives, if the order's session is its own, the
-//! order's token is no lower than the highest it has seen, and it doesn't hold the attempt already. So a
-//! start without an answer is a permission without an end of its own: neither time, nor a later answer, nor
-//! a report without the attempt takes it away, since heartbeats renew the session meanwhile. What does:
+//! A worker executes a start command of a direct call, however late it arrives, if the command's agent epoch
+//! is its own, the command's fencing token is no lower than the highest it has seen, and it doesn't hold the
+//! attempt already. So a start command without an answer stays executable without a limit in time: neither
+//! time, nor a later answer, nor a heartbeat without the attempt ends that, since heartbeats renew the agent
+//! epoch meanwhile. Two events do:
 //!
-//! - The session is over, or the machine is gone. All attempts of the session are dropped then
-//!   (`SchedulerState::end_epoch`), so that none is left in doubt.
-//! - A report of the same session tells a token above the order's ([`DeliveryStatus::settled_by`]). The
-//!   worker refuses the order from before that report on. If it had executed it earlier, the report, which
-//!   is taken in as a whole, shows the attempt: it isn't cleared while the start is in doubt.
+//! - The agent epoch is over, or the machine is gone. All attempts of the epoch are dropped then
+//!   (`SchedulerState::end_epoch`), with their unconfirmed starts.
+//! - A report of the same agent epoch shows a fencing token above the command's
+//!   ([`DeliveryStatus::settled_by`]). The worker refuses the command from before that report on. If it had
+//!   executed the command earlier, the report, which lists all attempts, shows the attempt: an attempt isn't
+//!   cleared while its start is unconfirmed.
 //!
-//! Sent again on purpose, a start is no doubt of its own: it names the same attempt, which the worker runs
-//! once until it is cleared.
+//! A start command that is sent again on purpose needs no status of its own: it names the same attempt, which
+//! the worker runs once until it is cleared.
 //!
-//! `SchedulerState::fence_unconfirmed` makes one of the two come true, in time for cancelled jobs.
+//! `SchedulerState::fence_unconfirmed` makes one of the two events happen, in time for cancelled jobs.
 
 use crate::time::Moment;
 
-/// An order that may still be executed: no answer came to the call that carried it.
+/// A start command that may still be executed: no answer came to the call that carried it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedStart {
-    /// The token that the order carries.
+    /// The fencing token that the command carries.
     pub fencing_token: u64,
     /// When the call began.
     pub since: Moment,
 }
 
-/// What became of a start that went straight to the worker's address.
+/// What became of a start command that went directly to the worker's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// None is under way: it was answered, never sent, or can't be executed any more.
+    /// None is in flight: it was answered, was never sent, or can't be executed any more.
     Settled,
-    /// The call that carries it is under way.
+    /// The call that carries it is in flight.
     InFlight,
-    /// The call was given up, and nothing proves that the order won't be executed.
+    /// The call was given up, and nothing proves that the command won't be executed.
     Unconfirmed(UnconfirmedStart),
 }
 
 impl DeliveryStatus {
-    /// True while the order may arrive and be executed.
+    /// The status after a call without an answer, for a worker that has seen this fencing token.
+    pub(super) fn unanswered(start: UnconfirmedStart, seen_fencing_token: u64) -> DeliveryStatus {
+        let status = DeliveryStatus::Unconfirmed(start);
+        if status.settled_by(seen_fencing_token) {
+            DeliveryStatus::Settled
+        } else {
+            status
+        }
+    }
+
+    /// True while the command may arrive and be executed.
     pub fn may_arrive(self) -> bool {
         self != DeliveryStatus::Settled
     }
 
-    /// The order, if it is in doubt.
+    /// The start command, if it is unconfirmed.
     pub fn unconfirmed(self) -> Option<UnconfirmedStart> {
         match self {
-            DeliveryStatus::Unconfirmed(command) => Some(command),
+            DeliveryStatus::Unconfirmed(start) => Some(start),
             DeliveryStatus::Settled | DeliveryStatus::InFlight => None,
         }
     }
 
-    /// A start whose call got no answer, on a worker whose newest report told that token.
-    pub fn unanswered(command: UnconfirmedStart, seen_fencing_token: u64) -> DeliveryStatus {
-        DeliveryStatus::Unconfirmed(command).after_token(seen_fencing_token)
-    }
-
-    /// True if a report that tells this token proves that the order in doubt won't be executed any more.
-    pub fn settled_by(self, seen_fencing_token: u64) -> bool {
+    /// True if a report that shows this fencing token proves that the unconfirmed command won't be executed
+    /// any more.
+    pub(super) fn settled_by(self, seen_fencing_token: u64) -> bool {
         self.unconfirmed()
-            .is_some_and(|command| seen_fencing_token > command.fencing_token)
-    }
-
-    fn after_token(self, seen_fencing_token: u64) -> DeliveryStatus {
-        if self.settled_by(seen_fencing_token) {
-            DeliveryStatus::Settled
-        } else {
-            self
-        }
+            .is_some_and(|start| seen_fencing_token > start.fencing_token)
     }
 }
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -1,77 +1,36 @@
-//! Orders that go straight to a worker's address: which may, and what their answers prove.
+//! Which commands go directly to a worker's address, and when.
 
-use super::command_log::{CommandPath, Recipient, log_call_result, log_commands};
-use super::commands::MAX_COMMANDS;
-use super::delivery_status::{DeliveryStatus, UnconfirmedStart};
-use super::wire::{CommandKind, Heartbeat, TaskStatus, WorkerCommand};
-use super::{Attempt, AttemptKey, DesiredState};
+use super::command_log::{CommandPath, Recipient, log_commands};
+use super::delivery_status::DeliveryStatus;
+use super::heartbeat_commands::MAX_COMMANDS;
+use super::wire::{CommandKind, TaskStatus, WorkerCommand};
+use super::{Attempt, AttemptKey, DesiredState, DirectCall};
 use crate::jobs::Job;
 use crate::scheduler::SchedulerState;
-use crate::time::{Micros, Moment};
+use crate::time::Moment;
 
-/// Direct calls that may be under way at once, but for those that have waited so long that the
-/// machine must be silent. An answer takes milliseconds; more at once only queue for the processor,
-/// and everything else with them.
-const CALLS_AT_ONCE: usize = 4;
-const SILENT_AFTER: Micros = Micros::from_millis(200);
-
-/// Orders for one machine that go straight to its address.
-#[derive(Debug)]
-pub struct DirectCall {
-    pub machine: String,
-    pub addr: String,
-    /// The term of the leader that decided on it.
-    pub term: u64,
-    pub fencing_token: u64,
-    pub agent_epoch: u64,
-    pub commands: Vec<WorkerCommand>,
-    starts: Vec<AttemptKey>,
-    began: Moment,
-    /// Only asks whether orders reach the machine.
-    pub probe: bool,
-}
-
-impl DirectCall {
-    /// Only the machine itself, in the session that it was called in, shows that the call reached it.
-    fn is_answered_by(&self, report: &Heartbeat) -> bool {
-        report.machine == self.machine && report.agent_epoch == self.agent_epoch
-    }
-}
-
-/// How a direct call ended.
-#[derive(Debug)]
-pub enum DirectResult {
-    /// Executed, or surely refused: the worker's report after it.
-    Answered(Heartbeat),
-    /// Never sent, for want of a socket here.
-    Unsent,
-    /// Never sent: no connection to the machine came about.
-    Unreached,
-    Unknown,
-}
-
-/// What one call carries.
+/// The commands of one direct call.
 #[derive(Default)]
 struct DirectCommandBatch {
     commands: Vec<WorkerCommand>,
+    /// The attempts that the commands start.
     starts: Vec<AttemptKey>,
 }
 
-/// What an attempt needs to be told before the next heartbeat, if anything.
-fn direct_verb(
+/// The command that can't wait for the machine's next heartbeat, if there is one for this attempt.
+fn urgent_command(
     job: &Job,
-    number: u32,
+    key: AttemptKey,
     attempt: &Attempt,
     takes_starts: bool,
 ) -> Option<CommandKind> {
     match (attempt.status, attempt.desired) {
         (None, DesiredState::Run) => {
-            let was_sent = attempt.sent.is_some() || attempt.delivery.may_arrive();
-            let may_start = takes_starts && number < job.start_watermark && !job.is_closed();
-            (may_start && !was_sent).then_some(CommandKind::Run)
+            let may_start = takes_starts && key.task < job.start_watermark && !job.is_closed();
+            (may_start && attempt.was_never_sent()).then_some(CommandKind::Run)
         }
         (Some(status), DesiredState::Stop { .. }) => {
-            let runs_on = status != TaskStatus::Exited && attempt.stop_sent.is_none();
+            let runs_on = status != TaskStatus::Exited && attempt.stop_sent_at.is_none();
             runs_on.then_some(CommandKind::Stop)
         }
         _ => None,
@@ -79,36 +38,35 @@
 }
 
 impl SchedulerState {
-    /// The next machine with orders that need not wait for its heartbeat.
+    /// The next direct call to be made, if one is due and another one may be in flight now. Starts in it are
+    /// in flight from here on: `direct_call_finished` must follow.
     pub fn next_direct_call(&mut self, now: Moment) -> Option<DirectCall> {
-        let prompt = |t: &&Moment| now - **t < SILENT_AFTER;
-        if self.overload.is_overloaded()
-            || self.commands.calls_in_flight.iter().filter(prompt).count() >= CALLS_AT_ONCE
-        {
+        if self.overload.is_overloaded() || !self.commands.may_call(now) {
             return None;
         }
         while let Some(name) = self.commands.due.pop_first() {
             if let Some(call) = self.direct_call(&name, now) {
-                let to = Recipient {
+                let recipient = Recipient {
                     machine: &call.machine,
                     agent_epoch: call.agent_epoch,
                     fencing_token: call.fencing_token,
                 };
-                log_commands(CommandPath::Direct, &to, &call.commands);
-                self.commands.calls_in_flight.push(call.began);
+                log_commands(CommandPath::Direct, &recipient, &call.commands);
+                self.commands.calls_in_flight.push(call.began_at);
                 return Some(call);
             }
         }
         None
     }
 
+    /// The call to this machine, if it may be called and has urgent commands or is to be probed.
     fn direct_call(&mut self, name: &str, now: Moment) -> Option<DirectCall> {
-        let report = self.config.report;
+        let heartbeat_interval = self.config.report;
         let machine = self.machines.get_mut(name)?;
-        let heard = machine
+        let was_seen_lately = machine
             .last_seen
-            .is_some_and(|t| now - t < report.scaled(2.0));
-        if machine.call_in_flight || machine.unreachable || !heard {
+            .is_some_and(|t| now - t < heartbeat_interval.scaled(2.0));
+        if machine.call_in_flight || machine.unreachable || !was_seen_lately {
             return None;
         }
         if let Some(quarantine) = &mut machine.quarantine {
@@ -121,18 +79,18 @@
         if !machine.reconciled {
             return None;
         }
-        let content = self.direct_command_batch(name, now)?;
-        if content.commands.is_empty() {
+        let batch = self.direct_command_batch(name, now)?;
+        if batch.commands.is_empty() {
             return None;
         }
-        self.begin_call(name, content, now)
+        self.begin_call(name, batch, now)
     }
 
-    /// A call with these orders, or a probe if there are none.
+    /// A call with these commands, or a probe if there are none.
     fn begin_call(
         &mut self,
         name: &str,
-        content: DirectCommandBatch,
+        batch: DirectCommandBatch,
         now: Moment,
     ) -> Option<DirectCall> {
         let (term, fencing_token) = (self.term, self.fencing_token_for(name));
@@ -143,151 +101,41 @@
             addr: machine.addr.clone(),
             term,
             fencing_token,
-            agent_epoch: machine.agent_epoch,
-            probe: content.commands.is_empty(),
-            commands: content.commands,
-            starts: content.starts,
-            began: now,
+            agent_epoch: machine.agent_epoch(),
+            probe: batch.commands.is_empty(),
+            commands: batch.commands,
+            starts: batch.starts,
+            began_at: now,
         })
     }
 
-    /// What is to be said to a machine at once. Starts are under way from here on.
+    /// The urgent commands for a machine, stops first: they free the resources that the starts need.
     fn direct_command_batch(&mut self, name: &str, now: Moment) -> Option<DirectCommandBatch> {
         let machine = self.machines.get_mut(name)?;
-        // Stops go to whoever answers; starts only where the lease is known to last.
-        let takes_starts = machine.recorded && machine.is_alive(self.config.report, now);
-        let mut content = DirectCommandBatch::default();
+        // Stops may go to any worker that answers; starts only where the lease is known to last.
+        let takes_starts = machine.registered && machine.is_alive(self.config.report, now);
+        let mut batch = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
             let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
-            let Some(kind) = direct_verb(job, key.task, attempt, takes_starts) else {
+            let Some(kind) = urgent_command(job, *key, attempt, takes_starts) else {
                 continue;
             };
-            content.commands.push(attempt.command(job, *key, kind));
+            batch.commands.push(attempt.command(job, *key, kind));
             if kind == CommandKind::Run {
                 attempt.delivery = DeliveryStatus::InFlight;
-                content.starts.push(*key);
+                batch.starts.push(*key);
             } else {
-                attempt.stop_sent = Some(now);
+                attempt.stop_sent_at = Some(now);
             }
-            if content.commands.len() >= MAX_COMMANDS {
+            if batch.commands.len() >= MAX_COMMANDS {
                 break;
             }
         }
-        // Stops go first: they make the room that the starts need.
-        content.commands.sort_by_key(|o| o.kind == CommandKind::Run);
-        Some(content)
-    }
-
-    /// Starts that never left, on a machine that isn't reached: they go elsewhere at once instead
-    /// of when its lease is over. A connection attempt that was given up never completes.
-    fn drop_unsent(&mut self, name: &str) {
-        let Some(machine) = self.machines.get_mut(name) else {
-            return;
-        };
-        let unsent = |a: &Attempt| {
-            a.status.is_none() && a.sent.is_none() && !a.delivery.may_arrive() && a.bound
-        };
-        let keys: Vec<AttemptKey> = machine
-            .attempts
-            .iter()
-            .filter(|(_, a)| unsent(a))
-            .map(|(k, _)| *k)
-            .collect();
-        machine.free_resources.set(None);
-        for key in keys {
-            machine.attempts.remove(&key);
-            if let Some(job) = self.jobs.table.get_mut(&key.job) {
-                job.unbind(key.task);
-            }
-            self.placement.due = true;
-        }
-    }
-
-    /// Settles a direct call. It renews no lease.
-    pub fn direct_call_finished(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
-        if let Some(at) = self
+        batch
             .commands
-            .calls_in_flight
-            .iter()
-            .position(|t| *t == call.began)
-        {
-            self.commands.calls_in_flight.swap_remove(at);
-        }
-        log_call_result(call, &result, (now - call.began).as_secs_f64());
-        let Some(machine) = self.machines.get_mut(&call.machine) else {
-            return;
-        };
-        machine.call_in_flight = false;
-        let delivery = match result {
-            DirectResult::Unknown => {
-                let command = UnconfirmedStart {
-                    fencing_token: call.fencing_token,
-                    since: call.began,
-                };
-                DeliveryStatus::unanswered(command, machine.seen_fencing_token)
-            }
-            _ => DeliveryStatus::Settled,
-        };
-        for key in &call.starts {
-            if let Some(attempt) = machine.attempts.get_mut(key) {
-                attempt.delivery = delivery;
-            }
-        }
-        let lost = matches!(result, DirectResult::Unknown | DirectResult::Unreached);
-        if lost && !machine.unreachable && !call.probe {
-            machine.note_undelivered(now);
-        }
-        if let DirectResult::Answered(report) = &result
-            && call.is_answered_by(report)
-            && report.agent_epoch == machine.agent_epoch
-        {
-            // It hears.
-            self.placement.due |= machine.quarantine.take().is_some();
-        }
-        let answered = matches!(result, DirectResult::Answered(_));
-        if let DirectResult::Answered(report) = result
-            && report.machine == call.machine
-            && report.fencing_token <= self.fencing.newest()
-            && !machine.unreachable
-            && (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence)
-        {
-            self.reconcile(&report, false, now);
-            self.place_soon(now);
-        }
-        self.note_delivery(call, delivery, now);
-        if lost {
-            self.drop_unsent(&call.machine);
-        } else if answered && !call.probe {
-            // What was decided meanwhile waits for the next call. Without an answer it waits for
-            // a heartbeat: a machine that refuses connections would be called without end.
-            self.commands.due.insert(call.machine.clone());
-        }
-    }
-
-    /// Keeps count of starts without an answer, and notes where they are in doubt.
-    fn note_delivery(&mut self, call: &DirectCall, delivery: DeliveryStatus, now: Moment) {
-        if call.starts.is_empty() {
-            return;
-        }
-        self.fencing.counters.calls += 1;
-        if !delivery.may_arrive() {
-            return;
-        }
-        self.fencing.counters.unconfirmed_starts += call.starts.len() as u64;
-        self.fencing
-            .note_unconfirmed(&call.machine, call.fencing_token);
-        // A higher token is written by the loop that writes records.
-        self.writes_due = true;
-        for AttemptKey { task, attempt, .. } in &call.starts {
-            log::debug!(
-                "start in doubt: machine={} session={} token={} task={task} attempt={attempt} waited_s={:.3}",
-                call.machine,
-                call.agent_epoch,
-                call.fencing_token,
-                (now - call.began).as_secs_f64()
-            );
-        }
+            .sort_by_key(|command| command.kind == CommandKind::Run);
+        Some(batch)
     }
 }
--- /dev/null
+++ b/src/workers/direct_results.rs
@@ -0,0 +1,120 @@
+//! What follows from the result of a direct call.
+
+use super::command_log::{log_call_result, log_unconfirmed_start};
+use super::delivery_status::{DeliveryStatus, UnconfirmedStart};
+use super::reconciliation::ReportSource;
+use super::wire::Heartbeat;
+use super::{AttemptKey, DirectCall, DirectResult, Machine};
+use crate::scheduler::SchedulerState;
+use crate::time::Moment;
+
+impl SchedulerState {
+    /// Applies the result of a direct call. It doesn't renew the machine's lease.
+    pub fn direct_call_finished(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
+        self.commands.call_ended(call.began_at);
+        log_call_result(call, &result, now - call.began_at);
+        let Some(machine) = self.machines.get_mut(&call.machine) else {
+            return;
+        };
+        let is_undelivered = result.is_undelivered();
+        let delivery = settle_starts(machine, call, &result);
+        if is_undelivered && !machine.unreachable && !call.probe {
+            machine.note_undelivered(now);
+        }
+        let is_answered = matches!(result, DirectResult::Answered(_));
+        if let DirectResult::Answered(report) = result {
+            self.apply_answer(call, &report, now);
+        }
+        self.note_delivery(call, delivery, now);
+        if is_undelivered {
+            self.drop_unsent(&call.machine);
+        } else if is_answered && !call.probe {
+            // What was decided meanwhile waits for the next call. Without an answer it waits for a
+            // heartbeat: a machine that refuses connections would be called without end.
+            self.commands.due.insert(call.machine.clone());
+        }
+    }
+
+    /// Applies the report in a call's answer.
+    fn apply_answer(&mut self, call: &DirectCall, report: &Heartbeat, now: Moment) {
+        let Some(machine) = self.machines.get_mut(&call.machine) else {
+            return;
+        };
+        if call.is_answered_by(report) && report.agent_epoch == machine.agent_epoch() {
+            // The machine receives commands.
+            self.placement.due |= machine.quarantine.take().is_some();
+        }
+        if report.machine == call.machine
+            && report.fencing_token <= self.fencing.newest()
+            && !machine.unreachable
+            && report.position() > machine.reconciled_position
+        {
+            self.reconcile(report, ReportSource::DirectCall, now);
+            self.place_soon(now);
+        }
+    }
+
+    /// Drops attempts whose start commands were never sent, on a machine that isn't reached: their tasks may
+    /// start elsewhere at once instead of when its lease has expired. A connection attempt that was given up
+    /// never completes.
+    fn drop_unsent(&mut self, name: &str) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        machine.free_resources.set(None);
+        let unsent: Vec<AttemptKey> = machine
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.status.is_none() && attempt.was_never_sent())
+            .filter(|(_, attempt)| attempt.holds_resources())
+            .map(|(key, _)| *key)
+            .collect();
+        self.drop_never_sent(name, unsent);
+    }
+
+    /// Counts calls with starts, and has unconfirmed starts revoked.
+    fn note_delivery(&mut self, call: &DirectCall, delivery: DeliveryStatus, now: Moment) {
+        if call.starts.is_empty() {
+            return;
+        }
+        self.fencing.counters.calls += 1;
+        if !delivery.may_arrive() {
+            return;
+        }
+        self.fencing.counters.unconfirmed_starts += call.starts.len() as u64;
+        self.fencing
+            .note_unconfirmed(&call.machine, call.fencing_token);
+        // The record writer raises the fencing token.
+        self.writes_due = true;
+        for key in &call.starts {
+            log_unconfirmed_start(call, *key, now - call.began_at);
+        }
+    }
+}
+
+/// Notes what became of the call's starts.
+fn settle_starts(
+    machine: &mut Machine,
+    call: &DirectCall,
+    result: &DirectResult,
+) -> DeliveryStatus {
+    machine.call_in_flight = false;
+    let delivery = match result {
+        DirectResult::OutcomeUnknown => {
+            let start = UnconfirmedStart {
+                fencing_token: call.fencing_token,
+                since: call.began_at,
+            };
+            DeliveryStatus::unanswered(start, machine.seen_fencing_token)
+        }
+        DirectResult::Answered(_) | DirectResult::NotSent | DirectResult::Unreachable => {
+            DeliveryStatus::Settled
+        }
+    };
+    for key in &call.starts {
+        if let Some(attempt) = machine.attempts.get_mut(key) {
+            attempt.delivery = delivery;
+        }
+    }
+    delivery
+}
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,15 +1,15 @@
 //! What the end of an attempt means for its task, its job and its machine.
 
-use super::reconciliation::COUNTS_AFTER;
+use super::reported_tasks::MIN_COUNTED_RUN;
 use super::wire::ExitReason;
 use super::{Attempt, AttemptKey, Machine};
 use crate::jobs::Job;
 use crate::time::{Micros, Moment};
 
-/// After errors on fewer machines than this the machines are suspected, not the job.
-const JOB_SUSPECTED_AFTER: usize = 3;
-/// Jobs in a row whose tasks fail on a machine that is then taken to be faulty.
-const FAULTY_AFTER: usize = 2;
+/// A job that failed on at least this many machines is taken to be the cause of its errors, not the machines.
+const JOB_AT_FAULT_FROM: usize = 3;
+/// A machine on which tasks of at least this many jobs failed one after the other is taken to be faulty.
+const MACHINE_AT_FAULT_FROM: usize = 2;
 
 /// An attempt that a report shows as exited for the first time.
 pub(super) struct Exit {
@@ -21,13 +21,14 @@
 /// What follows from an exit beyond its job and machine.
 #[derive(Default)]
 pub(super) struct ExitEffect {
-    /// The job's last outcome came in: its final state waits to be recorded.
+    /// True if the job's last task completed: its final state is to be recorded.
     pub completes_job: bool,
-    /// How long the task ran, if it got done.
-    pub ran: Option<Micros>,
+    /// How long the attempt ran, if its task completed.
+    pub run_time: Option<Micros>,
 }
 
-/// Settles an exit. The first settle of a task wins; its place is free again.
+/// Settles an exit: the attempt's resources are free again. The first attempt of a task that completes
+/// decides the task's outcome.
 pub(super) fn settle_exit(
     exit: &Exit,
     job: &mut Job,
@@ -35,13 +36,13 @@
     attempt: &mut Attempt,
 ) -> ExitEffect {
     attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.standing;
-    let since = attempt.running_since;
+    let running_since = attempt.running_since;
     let effect = if job.spec.standing {
-        let lasted = since.is_some_and(|t| exit.at - t > COUNTS_AFTER);
+        let lasted = running_since.is_some_and(|since| exit.at - since > MIN_COUNTED_RUN);
         settle_replica(exit, lasted, job, machine);
         ExitEffect::default()
     } else {
-        settle_task(exit, since, job, machine)
+        settle_task(exit, running_since, job, machine)
     };
     if std::mem::take(&mut attempt.bound) {
         job.unbind(exit.key.task);
@@ -49,8 +50,8 @@
     effect
 }
 
-/// A replica's end is no outcome: it runs again elsewhere. One that ends soon after its start, on one
-/// machine after the other, waits longer and longer.
+/// The exit of a standing job's replica is no outcome: it runs again elsewhere. If replicas exit soon after
+/// their start, on one machine after the other, the job waits longer and longer.
 fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
@@ -62,7 +63,7 @@
 
 fn settle_task(
     exit: &Exit,
-    since: Option<Moment>,
+    running_since: Option<Moment>,
     job: &mut Job,
     machine: &mut Machine,
 ) -> ExitEffect {
@@ -73,7 +74,7 @@
             machine.error_streak.clear();
             ExitEffect {
                 completes_job: is_first && job.complete(),
-                ran: since.map(|t| exit.at - t),
+                run_time: running_since.map(|since| exit.at - since),
             }
         }
         ExitReason::Error => {
@@ -84,12 +85,12 @@
     }
 }
 
-/// An error mostly means a faulty machine, unless the job fails wherever it runs.
+/// An error mostly means that the machine is faulty, unless the job fails wherever it runs.
 fn note_error(exit: &Exit, job: &mut Job, machine: &mut Machine) {
     job.note_failure(&machine.name, exit.at);
     machine.error_streak.insert(exit.key.job);
-    let suspects_machine = job.failed_on.len() < JOB_SUSPECTED_AFTER;
-    if machine.error_streak.len() >= FAULTY_AFTER && suspects_machine {
+    let is_job_at_fault = job.failed_on.len() >= JOB_AT_FAULT_FROM;
+    if machine.error_streak.len() >= MACHINE_AT_FAULT_FROM && !is_job_at_fault {
         machine.faulty = true;
     }
 }
--- /dev/null
+++ b/src/workers/heartbeat_commands.rs
@@ -0,0 +1,187 @@
+//! The commands in the reply to a heartbeat: the difference between what is desired of a machine and what
+//! its worker reports.
+
+use super::wire::{CommandKind, TaskStatus, WorkerCommand};
+use super::{Attempt, AttemptKey, DesiredState, HeartbeatPosition, Machine, Orphan};
+use crate::jobs::Job;
+use crate::scheduler::SchedulerState;
+use crate::time::{Micros, Moment};
+
+/// The number of commands that one message may carry: it must stay below 64 KiB.
+pub(super) const MAX_COMMANDS: usize = 300;
+
+/// A task that saves its checkpoint for this much longer than its grace period is killed.
+const GRACE_PERIOD_MARGIN: Micros = Micros::from_secs(5);
+
+/// What holds for all attempts of a machine while the reply is made.
+struct ReplyContext {
+    /// The heartbeat that is replied to, or a newer answer of a direct call.
+    position: HeartbeatPosition,
+    /// Exited attempts may be cleared.
+    may_release: bool,
+    /// Replies may not reach the machine: they carry no starts.
+    is_quarantined: bool,
+    /// The machine is on record: tasks may start on it.
+    is_registered: bool,
+    now: Moment,
+}
+
+/// What a reply does about one attempt.
+enum NextStep {
+    /// Nothing is to be said.
+    Nothing,
+    /// The command to be sent.
+    Send(WorkerCommand),
+    /// The start command to be sent, after all other commands.
+    Start(WorkerCommand),
+    /// The attempt is forgotten: it was never sent and isn't wanted on this machine any more.
+    Drop,
+}
+
+impl SchedulerState {
+    /// The commands in the reply to a heartbeat of this machine. Starts come last.
+    pub(super) fn heartbeat_commands(&mut self, name: &str, now: Moment) -> Vec<WorkerCommand> {
+        let may_release = self.permissions().release;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return Vec::new();
+        };
+        machine.free_resources.set(None);
+        let context = ReplyContext::new(machine, may_release, now);
+        let mut commands = orphan_commands(&machine.orphans, may_release);
+        let mut starts = Vec::new();
+        let mut dropped = Vec::new();
+        for (key, attempt) in &mut machine.attempts {
+            let Some(job) = self.jobs.table.get(&key.job) else {
+                continue;
+            };
+            match context.next_step(job, *key, attempt) {
+                NextStep::Nothing => {}
+                NextStep::Send(command) => commands.push(command),
+                NextStep::Start(command) => starts.push(command),
+                NextStep::Drop => dropped.push(*key),
+            }
+        }
+        if !dropped.is_empty() {
+            self.drop_never_sent(name, dropped);
+        }
+        commands.extend(starts);
+        commands.truncate(MAX_COMMANDS);
+        commands
+    }
+
+    /// Forgets attempts whose start commands were never sent: their tasks may start elsewhere.
+    pub(super) fn drop_never_sent(&mut self, name: &str, keys: Vec<AttemptKey>) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        for key in keys {
+            machine.attempts.remove(&key);
+            if let Some(job) = self.jobs.table.get_mut(&key.job) {
+                job.unbind(key.task);
+            }
+            self.placement.due = true;
+        }
+    }
+}
+
+/// Attempts without a record are stopped at once and cleared once they have exited.
+fn orphan_commands(orphans: &[Orphan], may_release: bool) -> Vec<WorkerCommand> {
+    let mut commands = Vec::new();
+    for orphan in orphans {
+        if orphan.exited && !may_release {
+            continue;
+        }
+        commands.push(WorkerCommand {
+            kind: if orphan.exited {
+                CommandKind::Clear
+            } else {
+                CommandKind::Stop
+            },
+            task_id: orphan.task_id.clone(),
+            attempt: orphan.attempt,
+            grace_period_s: (!orphan.exited).then_some(0.0),
+        });
+    }
+    commands
+}
+
+impl ReplyContext {
+    fn new(machine: &Machine, may_release: bool, now: Moment) -> ReplyContext {
+        ReplyContext {
+            position: machine.reconciled_position,
+            may_release,
+            is_quarantined: machine.quarantine.is_some(),
+            is_registered: machine.registered,
+            now,
+        }
+    }
+
+    fn next_step(&self, job: &Job, key: AttemptKey, attempt: &mut Attempt) -> NextStep {
+        match (attempt.status, attempt.desired) {
+            (Some(TaskStatus::Exited), _) => self.clear(job, key, attempt),
+            (Some(TaskStatus::Flushing), DesiredState::Stop { grace_period }) => {
+                self.kill_overdue(job, key, attempt, grace_period)
+            }
+            (Some(_), DesiredState::Stop { .. }) => {
+                attempt.stop_sent_at.get_or_insert(self.now);
+                NextStep::Send(attempt.command(job, key, CommandKind::Stop))
+            }
+            (None, DesiredState::Run) => self.start(job, key, attempt),
+            (None, DesiredState::Stop { .. }) if attempt.was_never_sent() => NextStep::Drop,
+            _ => NextStep::Nothing,
+        }
+    }
+
+    /// An exited attempt is cleared once its outcome is on record: until then the worker's memory is the
+    /// second copy. While a start command for it may still arrive, it would start again.
+    fn clear(&self, job: &Job, key: AttemptKey, attempt: &Attempt) -> NextStep {
+        if attempt.delivery.may_arrive() || !self.may_release {
+            return NextStep::Nothing;
+        }
+        let is_recorded = !attempt.done || job.recorded.contains(key.task);
+        if is_recorded || job.outcome.is_some() {
+            return NextStep::Send(attempt.command(job, key, CommandKind::Clear));
+        }
+        NextStep::Nothing
+    }
+
+    /// An attempt that saves its checkpoint is left alone until its grace period is over.
+    fn kill_overdue(
+        &self,
+        job: &Job,
+        key: AttemptKey,
+        attempt: &Attempt,
+        grace_period: Micros,
+    ) -> NextStep {
+        let is_overdue = attempt
+            .stop_sent_at
+            .is_some_and(|sent_at| self.now - sent_at > grace_period + GRACE_PERIOD_MARGIN);
+        if grace_period != Micros::ZERO && !is_overdue {
+            return NextStep::Nothing;
+        }
+        let stop = attempt.command(job, key, CommandKind::Stop);
+        NextStep::Send(WorkerCommand {
+            grace_period_s: Some(0.0),
+            ..stop
+        })
+    }
+
+    /// An attempt that no heartbeat shows is started, again if its command went out before.
+    fn start(&self, job: &Job, key: AttemptKey, attempt: &mut Attempt) -> NextStep {
+        if job.is_closed() {
+            if attempt.was_never_sent() {
+                return NextStep::Drop;
+            }
+            attempt.desired = DesiredState::KILL;
+            return NextStep::Nothing;
+        }
+        if self.is_quarantined && attempt.was_never_sent() {
+            return NextStep::Drop;
+        }
+        if key.task >= job.start_watermark || !self.is_registered {
+            return NextStep::Nothing;
+        }
+        attempt.start_sent_in_reply_to = Some(self.position);
+        NextStep::Start(attempt.command(job, key, CommandKind::Run))
+    }
+}
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -1,102 +1,47 @@
-//! Heartbeats as they arrive, and direct calls as they leave.
+//! The handler of heartbeats.
 
 use super::HeartbeatReply;
-use super::direct_calls::{DirectCall, DirectResult};
-use super::wire::{DirectCommands, Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
-use crate::controller::Controller;
+use super::wire::{Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
+use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{decode, encode};
-use crate::http::client::{CallError, ClientResponse};
 use crate::http::server::Response;
-use crate::os::{HttpClient, Os};
+use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
-use std::collections::HashMap;
-use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
-use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
-/// A worker that answers no sooner is told by its next heartbeat.
-const DIRECT_TIME: Duration = Duration::from_millis(1500);
-/// Many machines may be suspected at once: asking them mustn't hold up orders for the others.
-const PROBE_TIME: Duration = Duration::from_millis(500);
+/// The number of refused heartbeats whose times are remembered.
 const MAX_REFUSED_HEARTBEATS: usize = 64;
-/// Longer than a watch on the leader takes.
-const VOUCHED: Micros = Micros::from_secs(6);
-/// A connection to a worker that wasn't used for this long may go when there are many.
-const UNUSED: Micros = Micros::from_secs(60);
+/// Workers are sent to the leader that the key-value store showed within this time. It is longer than a watch
+/// on the leader's record takes.
+const LEADER_HINT_VALID_FOR: Micros = Micros::from_secs(6);
+/// What `Retry-After` tells workers whose heartbeat isn't answered, in seconds.
+const RETRY_AFTER_S: u32 = 1;
 
-/// Kept-open connections to workers, by address, and when they were last used.
-#[derive(Default)]
-pub struct WorkerClientPool(Mutex<HashMap<SocketAddr, KeptClient>>);
-
-type KeptClient = (Arc<dyn HttpClient>, Moment);
-
-impl WorkerClientPool {
-    /// A kept client, or one for this call only when there are as many as sockets allow. When they
-    /// allow fewer than there are, since more workers and users have come in, those that were not
-    /// used for longest are closed.
-    pub fn get(&self, os: &dyn Os, addr: SocketAddr, most: usize) -> Arc<dyn HttpClient> {
-        let now = os.now();
-        let mut clients = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        if clients.len() > most {
-            let mut used: Vec<Moment> = clients.values().map(|(_, used)| *used).collect();
-            used.sort_unstable();
-            let last = used[clients.len() - most - 1];
-            clients.retain(|_, (_, used)| *used > last);
-        }
-        if let Some((client, used)) = clients.get_mut(&addr) {
-            *used = now;
-            return client.clone();
-        }
-        if clients.len() >= most {
-            clients.retain(|_, (_, used)| now - *used < UNUSED);
-        }
-        let client = os.http_client(addr);
-        if clients.len() < most {
-            clients.insert(addr, (client.clone(), now));
-        }
-        client
-    }
-
-    /// True if a connection to this address is kept.
-    pub fn keeps(&self, addr: SocketAddr) -> bool {
-        let clients = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        clients.contains_key(&addr)
-    }
-}
+const OK: u16 = 200;
+const BAD_REQUEST: u16 = 400;
+const MISDIRECTED_REQUEST: u16 = 421;
 
 impl Controller {
+    /// Answers a heartbeat with commands, or refuses it if this controller doesn't lead.
     pub fn heartbeat(&self, body: &[u8]) -> Response {
-        {
-            let mut state = self.state();
-            let now = self.now();
-            if state.acting(now).is_none() {
-                state.refused_heartbeats.push_back(now);
-                while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
-                    state.refused_heartbeats.pop_front();
-                }
-                let response = self.misdirected(&state);
-                drop(state);
-                self.note_refused(body, now);
-                return response;
-            }
+        if let Some(refusal) = self.refuse_unless_leading(body) {
+            return refusal;
         }
-        let report: Heartbeat = match decode(body) {
-            Ok(report) => report,
-            Err(e) => {
-                log::info!("malformed report: {e}");
-                return Response::new(400, Vec::new());
+        let heartbeat: Heartbeat = match decode(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                log::info!(reason:% = error; "malformed heartbeat");
+                return Response::new(BAD_REQUEST, Vec::new());
             }
         };
         let mut state = self.state();
-        // The clock is read under the lock: a process may stand still at any point, and what was
-        // allowed before it may be another's by now.
+        // The clock is read under the lock: the process may be suspended at any point, and another controller
+        // may lead by the time it goes on.
         let now = self.now();
-        let Some((lead, scheduler)) = state.acting(now) else {
+        let Some((lease, scheduler)) = state.acting(now) else {
             return self.misdirected(&state);
         };
-        let (term, valid_until) = (lead.term, lead.valid_until);
-        match scheduler.heartbeat(&report, now) {
+        let (term, valid_until) = (lease.term, lease.valid_until);
+        match scheduler.heartbeat(&heartbeat, now) {
             HeartbeatReply::Commands {
                 fencing_token,
                 commands,
@@ -109,20 +54,41 @@
                 });
                 Response {
                     valid_until: Some(valid_until),
-                    ..Response::new(200, body)
+                    ..Response::new(OK, body)
                 }
             }
-            HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(1),
+            HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(RETRY_AFTER_S),
             HeartbeatReply::Deposed => {
-                log::info!("a worker knows a higher term than {term}");
+                log::info!(
+                    term = term,
+                    machine = heartbeat.machine,
+                    fencing_token = heartbeat.fencing_token;
+                    "heartbeat shows a higher fencing token"
+                );
                 state.step_down = true;
-                Response::busy(1)
+                Response::busy(RETRY_AFTER_S)
             }
         }
     }
 
-    /// Remembers whose heartbeat was refused, where links are watched.
-    fn note_refused(&self, body: &[u8], now: Moment) {
+    /// The refusal of a heartbeat, if this controller doesn't lead. It is decided before the body is decoded:
+    /// at a failover all workers' heartbeats arrive at controllers that don't lead.
+    fn refuse_unless_leading(&self, body: &[u8]) -> Option<Response> {
+        let (refusal, now) = {
+            let mut state = self.state();
+            let now = self.now();
+            if state.acting(now).is_some() {
+                return None;
+            }
+            note_refused_heartbeat(&mut state, now);
+            (self.misdirected(&state), now)
+        };
+        self.note_refused_worker(body, now);
+        Some(refusal)
+    }
+
+    /// Remembers whose heartbeat was refused, if links are watched.
+    fn note_refused_worker(&self, body: &[u8], now: Moment) {
         if let Some(links) = &self.links
             && let Ok(sender) = decode::<HeartbeatSender>(body)
         {
@@ -130,21 +96,21 @@
         }
     }
 
-    /// Names the leader only while the state service vouched for it lately: a node that lost
-    /// touch would send workers in circles.
-    fn misdirected(&self, state: &crate::controller::ControllerState) -> Response {
-        let vouched = self.now() - state.leader_seen < VOUCHED;
+    /// The response of a controller that doesn't lead. It names the leader only if the key-value store showed
+    /// it lately: a controller that lost the store would send workers in circles.
+    fn misdirected(&self, state: &ControllerState) -> Response {
+        let is_recent = self.now() - state.leader_seen < LEADER_HINT_VALID_FOR;
         let leader = state
             .known_leader
             .as_ref()
-            .filter(|_| vouched)
-            .map(|l| l.node.clone())
-            .filter(|n| *n != self.settings.node);
-        Response::new(421, encode(&NotLeaderReply { leader }))
+            .filter(|_| is_recent)
+            .map(|leader| leader.node.clone())
+            .filter(|node| *node != self.settings.node);
+        Response::new(MISDIRECTED_REQUEST, encode(&NotLeaderReply { leader }))
     }
 
-    /// Wakes the threads that have something to do after a decision.
-    pub fn wake_loops(&self, scheduler: &mut crate::scheduler::SchedulerState) {
+    /// Wakes the loops that have something to do after a decision: the record writer and the command senders.
+    pub fn wake_loops(&self, scheduler: &mut SchedulerState) {
         if std::mem::take(&mut scheduler.writes_due) {
             self.changed.notify_all();
         }
@@ -152,82 +118,12 @@
             self.commands_due.notify_one();
         }
     }
+}
 
-    /// One of the threads that send orders straight to workers.
-    pub fn command_sender_loop(&self) {
-        loop {
-            let call = {
-                let mut state = self.state();
-                let now = self.now();
-                let call = state
-                    .acting(now)
-                    .and_then(|(_, scheduler)| scheduler.next_direct_call(now));
-                match call {
-                    Some(call) => {
-                        if state
-                            .acting(now)
-                            .is_some_and(|(_, c)| !c.commands.due.is_empty())
-                        {
-                            self.commands_due.notify_one();
-                        }
-                        call
-                    }
-                    None => {
-                        let observed = self.commands_due.prepare_wait();
-                        drop(state);
-                        self.commands_due.wait(observed, Duration::from_secs(60));
-                        continue;
-                    }
-                }
-            };
-            let result = self.call_worker(&call);
-            let mut state = self.state();
-            let now = self.now();
-            // Even if the lead is in doubt by now: what is known of the start must be kept.
-            let Some(scheduler) = state.scheduler.as_mut().filter(|c| c.term == call.term) else {
-                continue;
-            };
-            scheduler.direct_call_finished(&call, result, now);
-            self.wake_loops(scheduler);
-        }
-    }
-
-    fn call_worker(&self, call: &DirectCall) -> DirectResult {
-        let Ok(addr) = call.addr.parse::<SocketAddr>() else {
-            return DirectResult::Unsent;
-        };
-        let open = self.open.load(Ordering::Relaxed);
-        let most = self.settings.settings.quota.kept_clients(open);
-        let client = self.workers.get(&*self.os, addr, most);
-        let body = encode(&DirectCommands {
-            fencing_token: call.fencing_token,
-            agent_epoch: call.agent_epoch,
-            commands: &call.commands,
-        });
-        let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
-        match client.call("POST", "/commands", &body, time) {
-            Ok(ClientResponse {
-                status: 200 | 409,
-                body,
-            }) => match decode(&body) {
-                Ok(report) => DirectResult::Answered(report),
-                Err(e) => {
-                    log::info!("malformed answer of {}: {e}", call.machine);
-                    DirectResult::Unknown
-                }
-            },
-            Ok(ClientResponse { status, .. }) => {
-                log::info!("{} answers {status} to orders", call.machine);
-                DirectResult::Unknown
-            }
-            Err(e) => {
-                log::debug!("{}: {e}", call.machine);
-                match e {
-                    CallError::NotSent { .. } => DirectResult::Unsent,
-                    CallError::Unreachable { .. } => DirectResult::Unreached,
-                    CallError::OutcomeUnknown { .. } => DirectResult::Unknown,
-                }
-            }
-        }
+/// Remembers when a heartbeat was refused.
+fn note_refused_heartbeat(state: &mut ControllerState, now: Moment) {
+    state.refused_heartbeats.push_back(now);
+    while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
+        state.refused_heartbeats.pop_front();
     }
 }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,232 +1,101 @@
-//! What is known of one machine and of the attempts on it.
+//! What the leader knows of one machine.
 
-use super::delivery_status::DeliveryStatus;
-use super::wire::{CommandKind, TaskStatus, WorkerCommand};
-use crate::jobs::{Job, JobId};
+use super::attempt::{Attempt, AttemptKey, Orphan};
+use super::heartbeat_position::HeartbeatPosition;
+use super::image_cache::ImageCache;
+use super::quarantine::Quarantine;
+use crate::jobs::JobId;
 use crate::placement::Resources;
+use crate::provisioning::ListStatus;
 use crate::time::{Micros, Moment};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
-use std::ops::RangeInclusive;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DesiredState {
-    Run,
-    Stop { grace_period: Micros },
-}
-
-/// One attempt of a task on one machine, in one session.
-#[derive(Clone, Debug)]
-pub struct Attempt {
-    pub desired: DesiredState,
-    /// The last report's status; None until a report shows the attempt.
-    pub status: Option<TaskStatus>,
-    /// The (session, tick) of the report in whose answer the start went out last.
-    pub sent: Option<(u64, u64)>,
-    pub delivery: DeliveryStatus,
-    pub stop_sent: Option<Moment>,
-    pub placed_at: Moment,
-    pub running_since: Option<Moment>,
-    /// It may hold its place on the machine, and is counted at its job.
-    pub bound: bool,
-    /// The first start of a job that waited too long: it isn't stopped for others.
-    pub protected: bool,
-    pub done: bool,
-}
-
-impl Attempt {
-    pub(super) fn new(bound: bool, now: Moment) -> Attempt {
-        Attempt {
-            desired: DesiredState::Run,
-            status: None,
-            sent: None,
-            delivery: DeliveryStatus::Settled,
-            stop_sent: None,
-            placed_at: now,
-            running_since: None,
-            bound,
-            protected: false,
-            done: false,
-        }
-    }
-
-    /// An attempt that was just decided.
-    pub fn placed(now: Moment) -> Attempt {
-        Attempt::new(true, now)
-    }
-
-    /// The order with this verb for it.
-    pub(super) fn command(&self, job: &Job, key: AttemptKey, kind: CommandKind) -> WorkerCommand {
-        let grace_period = match self.desired {
-            DesiredState::Stop { grace_period } if kind == CommandKind::Stop => Some(grace_period),
-            _ => None,
-        };
-        WorkerCommand {
-            kind,
-            task_id: format!("{}/{}", job.spec.id, key.task),
-            attempt: key.attempt,
-            grace_period_s: grace_period.map(Micros::as_secs_f64),
-        }
-    }
-
-    /// False once it surely no longer holds anything on the machine.
-    pub fn holds_resources(&self) -> bool {
-        self.bound
-    }
-}
-
-/// Which attempt of which task. Ordered by job, then task, then attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptKey {
-    /// The job that the task belongs to.
-    pub job: JobId,
-    /// The task's number within its job, from 0.
-    pub task: u32,
-    /// The attempt's number: it rises from attempt to attempt, also from leader to leader.
-    pub attempt: u64,
-}
-
-impl AttemptKey {
-    /// All keys that a job's attempts may have.
-    pub fn all_of(job: JobId) -> RangeInclusive<AttemptKey> {
-        let first = AttemptKey {
-            job,
-            task: 0,
-            attempt: 0,
-        };
-        let last = AttemptKey {
-            job,
-            task: u32::MAX,
-            attempt: u64::MAX,
-        };
-        first..=last
-    }
-}
-
-/// An attempt of a job that has no record any more: its job is over.
-#[derive(Clone, Debug)]
-pub struct Orphan {
-    pub task_id: String,
-    pub attempt: u64,
-    pub exited: bool,
-}
-
-#[derive(Clone, Debug)]
-pub struct Image {
-    pub gb: f64,
-    pub used: Moment,
-    pub cached: bool,
-}
-
-/// Reports of a machine may arrive although answers and orders don't reach it. Each report then looks
-/// healthy, but its session ends again and again. Such a machine is suspected until it is proven to hear.
-#[derive(Clone, Copy, Debug)]
-pub struct Quarantine {
-    pub since: Moment,
-    /// When the session began, or the last sign that something was lost.
-    last_sign: Moment,
-    /// When it may be asked again whether orders reach it.
-    probe_at: Moment,
-    probe_wait: Micros,
-}
-
-impl Quarantine {
-    fn new(now: Moment) -> Quarantine {
-        Quarantine {
-            since: now,
-            last_sign: now,
-            probe_at: now,
-            probe_wait: FIRST_PROBE_WAIT,
-        }
-    }
-
-    /// A session that has lasted for so long was renewed by answers: the machine hears.
-    pub(super) fn is_refuted(&self, lease: Micros, now: Moment) -> bool {
-        now - self.last_sign > lease
-    }
-
-    pub(super) fn may_probe(&self, now: Moment) -> bool {
-        self.probe_at <= now
-    }
-
-    /// It is being asked: the next time is later and later.
-    pub(super) fn note_probe(&mut self, now: Moment) {
-        self.probe_at = now + self.probe_wait;
-        let longest = FIRST_PROBE_WAIT.0 * LONGEST_PROBE_WAIT;
-        self.probe_wait = Micros((self.probe_wait.0 * 2).min(longest));
-    }
-}
-
-/// Images remembered of a machine: what has no size would never leave a cache.
-const MOST_IMAGES: usize = 64;
-
-/// The first time between two probes of a suspected machine.
-const FIRST_PROBE_WAIT: Micros = Micros::from_secs(2);
-/// The longest, as a multiple of it.
-const LONGEST_PROBE_WAIT: u64 = 8;
 
+/// One machine: what its worker and the cloud report of it, its lease, and the attempts on it.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its name, unique for ever.
     pub name: String,
+    /// Where its worker takes direct commands; empty until a heartbeat tells it.
     pub addr: String,
+    /// The name of its machine type.
     pub type_name: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// True if it is a spot machine.
     pub spot: bool,
+    /// Its capacity.
     pub total: Resources,
-    pub agent_epoch: u64,
-    pub sequence: u64,
-    /// The token that it is answered with, if it is above the term.
-    pub fencing_token: u64,
-    /// The highest token that a report of it told.
-    pub seen_fencing_token: u64,
-    /// A report carried the current token: no older leader's order can land here any more.
+    /// The newest heartbeat, or answer of a direct call, that was reconciled. Its agent epoch is the
+    /// machine's current one.
+    pub(super) reconciled_position: HeartbeatPosition,
+    /// The newest heartbeat that was accepted. One that is no newer is a copy.
+    pub(super) newest_heartbeat: HeartbeatPosition,
+    /// A fencing token above the term that replies and commands to it must carry, or 0.
+    pub(super) fencing_token: u64,
+    /// The highest fencing token that its worker is known to have seen.
+    pub(super) seen_fencing_token: u64,
+    /// True once a heartbeat showed this leader's fencing token: no command of an earlier leader can be
+    /// executed on it any more.
     pub reconciled: bool,
-    /// Its lease ran out without a report: nothing is on it.
+    /// True if its lease expired, or the cloud lists it as failed, with no heartbeat of a newer agent epoch
+    /// since: no attempt runs on it.
     pub unreachable: bool,
-    /// Its lease ran out under this term, or it stopped for good: nothing of an earlier term can be
-    /// on it, though it may not be counted in. A larger session in a report doesn't prove that: the
-    /// smaller one may be known from a late copy only, and orders of the last leader for the larger
-    /// one may be on their way.
+    /// True once its lease expired under this term, or the cloud listed it as failed: nothing of an earlier
+    /// term can run on it, though it may not be reconciled. A heartbeat of a newer agent epoch isn't proof
+    /// enough: the older epoch may be known from a late copy only, and the last leader may have sent
+    /// commands for the newer one.
     pub epoch_ended: bool,
-    /// It is on the roster in the state service: tasks may start here.
-    pub recorded: bool,
-    /// The newest heartbeat taken: whatever is no newer is a copy.
-    pub newest_heartbeat: (u64, u64),
-    /// Set while it is suspected not to hear answers and orders.
+    /// True once it is on record in the machine registry: only then may tasks start on it.
+    pub registered: bool,
+    /// Set while it is suspected not to receive replies and commands.
     pub quarantine: Option<Quarantine>,
-    /// The lease can't have been renewed by anyone after this.
+    /// The last moment at which anyone may have renewed its lease.
     pub lease_renewed_at: Moment,
+    /// When its newest heartbeat or answer of a direct call arrived.
     pub last_seen: Option<Moment>,
-    /// When it last checked in. Direct answers prove neither that its lease is renewed nor that it
-    /// reaches anybody: a machine that only answers loses one session after the other.
+    /// When its newest heartbeat arrived. Unlike heartbeats, answers of direct calls neither renew the lease
+    /// nor prove that it can reach a controller.
     pub last_heartbeat: Option<Moment>,
-    /// Time between its last two heartbeats. A worker that gets no answer tries another controller
-    /// first, and comes back later than it would have.
+    /// The time between its last two heartbeats. A worker that gets no reply tries another controller first
+    /// and comes back later than it would have.
     pub heartbeat_gap: Micros,
+    /// True if its newest heartbeat has a preemption notice.
     pub has_preemption_notice: bool,
-    /// When the cloud takes it away, as last told.
+    /// When the cloud will take it, as told by the newest preemption notice.
     pub preempted_at: Option<Moment>,
+    /// The attempts of its current agent epoch.
     pub attempts: BTreeMap<AttemptKey, Attempt>,
+    /// Reported attempts of jobs that have no record any more.
     pub orphans: Vec<Orphan>,
-    pub images: BTreeMap<String, Image>,
-    /// Being returned: nothing starts here any more.
+    /// The images that its worker has fetched.
+    pub images: ImageCache,
+    /// True if it is to be returned to the cloud: nothing starts on it any more.
     pub draining: bool,
+    /// True if tasks of several jobs failed on it one after the other.
     pub faulty: bool,
-    pub error_streak: BTreeSet<JobId>,
+    /// Jobs whose tasks failed on it since one last completed there.
+    pub(super) error_streak: BTreeSet<JobId>,
+    /// When this leader, or an earlier one, first knew of it.
     pub known_since: Moment,
+    /// Since when no attempt uses its resources.
     pub idle_since: Option<Moment>,
-    pub list_status: Option<crate::provisioning::ListStatus>,
+    /// Its status in the cloud's newest list.
+    pub list_status: Option<ListStatus>,
+    /// When the cloud last listed it.
     pub last_listed: Option<Moment>,
-    /// It existed at this moment, at the latest.
+    /// A moment at which it is known to have existed; the earliest known one.
     pub existed_at: Option<Moment>,
-    /// A direct call to it is under way.
-    pub call_in_flight: bool,
-    /// What is free, and what will be, as last worked out: a pass looks at every machine, and few
-    /// changed since the one before. Whatever changes its attempts forgets it.
+    /// True while a direct call to it is in flight.
+    pub(super) call_in_flight: bool,
+    /// Cached free resources: those free now, and those free once the attempts that are being stopped have
+    /// ended. A placement pass looks at every machine, of which few changed since the last pass. Whatever
+    /// changes the attempts or orphans resets it to `None`.
     pub free_resources: Cell<Option<(Resources, Resources)>>,
 }
 
 impl Machine {
+    /// A machine that nothing was heard of yet. Its lease counts as renewed `now`.
     pub fn new(
         name: &str,
         type_name: &str,
@@ -242,15 +111,14 @@
             zone: zone.to_string(),
             spot,
             total,
-            agent_epoch: 0,
-            sequence: 0,
+            reconciled_position: HeartbeatPosition::default(),
+            newest_heartbeat: HeartbeatPosition::default(),
             fencing_token: 0,
             seen_fencing_token: 0,
             reconciled: false,
             unreachable: false,
             epoch_ended: false,
-            recorded: false,
-            newest_heartbeat: (0, 0),
+            registered: false,
             quarantine: None,
             lease_renewed_at: now,
             last_seen: None,
@@ -260,7 +128,7 @@
             preempted_at: None,
             attempts: BTreeMap::new(),
             orphans: Vec::new(),
-            images: BTreeMap::new(),
+            images: ImageCache::default(),
             draining: false,
             faulty: false,
             error_streak: BTreeSet::new(),
@@ -274,43 +142,36 @@
         }
     }
 
-    /// True if it checked in lately, in the session that it was last seen in.
-    pub fn is_alive(&self, report: Micros, now: Moment) -> bool {
-        let fresh = |t: Moment| now - t < report.scaled(2.0);
-        self.last_heartbeat.is_some_and(fresh) && self.newest_heartbeat.0 == self.agent_epoch
+    /// Its current agent epoch; 0 if nothing was heard of it yet.
+    pub fn agent_epoch(&self) -> u64 {
+        self.reconciled_position.agent_epoch
     }
 
+    /// True if its newest heartbeat arrived within the last two heartbeat intervals, in its current agent
+    /// epoch.
+    pub fn is_alive(&self, heartbeat_interval: Micros, now: Moment) -> bool {
+        let is_recent = |t: Moment| now - t < heartbeat_interval.scaled(2.0);
+        self.last_heartbeat.is_some_and(is_recent)
+            && self.newest_heartbeat.agent_epoch == self.agent_epoch()
+    }
+
+    /// True if attempts use its resources, of known jobs or not.
     pub fn is_busy(&self) -> bool {
-        self.attempts.values().any(|a| a.holds_resources())
-            || self.orphans.iter().any(|g| !g.exited)
+        self.attempts.values().any(Attempt::holds_resources)
+            || self.orphans.iter().any(|orphan| !orphan.exited)
     }
 
-    /// Something that was sent to it was surely lost.
-    pub(super) fn note_undelivered(&mut self, now: Moment) {
-        let quarantine = self.quarantine.get_or_insert(Quarantine::new(now));
-        quarantine.last_sign = now;
+    /// Takes in an accepted heartbeat's position and the time of its arrival.
+    pub(super) fn note_heartbeat(&mut self, position: HeartbeatPosition, now: Moment) {
+        self.newest_heartbeat = position;
+        self.heartbeat_gap = self.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
+        self.last_heartbeat = Some(now);
     }
 
-    /// Marks an image as used; the least recently used ones leave a full cache.
-    pub fn note_image(&mut self, image: &str, gb: f64, cached: bool, cache_gb: f64, now: Moment) {
-        let entry = self.images.entry(image.to_string()).or_insert(Image {
-            gb,
-            used: now,
-            cached: false,
-        });
-        entry.used = now;
-        entry.cached |= cached;
-        while self.images.len() > MOST_IMAGES
-            || (self.images.values().map(|i| i.gb).sum::<f64>() > cache_gb && self.images.len() > 1)
-        {
-            let oldest = self
-                .images
-                .iter()
-                .min_by_key(|(_, i)| i.used)
-                .map(|(n, _)| n.clone());
-            if let Some(oldest) = oldest {
-                self.images.remove(&oldest);
-            }
-        }
+    /// Something that was sent to it was surely lost: it is quarantined.
+    pub(super) fn note_undelivered(&mut self, now: Moment) {
+        self.quarantine
+            .get_or_insert(Quarantine::new(now))
+            .note_undelivered(now);
     }
 }
--- a/src/workers/missing_attempts.rs
+++ b/src/workers/missing_attempts.rs
@@ -1,56 +1,61 @@
-//! Attempts that a report doesn't show: which never began, which are gone, and which may yet begin.
+//! Attempts that a worker's report doesn't list: which have ended, which never started, and which may yet
+//! start.
 
-use super::command_log::log_release;
+use super::command_log::{ReleaseReason, log_release};
+use super::reconciliation::ReportSource;
 use super::wire::Heartbeat;
 use super::{Attempt, AttemptKey, DesiredState};
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
-/// What a report tells of an attempt by not showing it.
+/// What follows for an attempt from a report that doesn't list it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Absence {
-    /// Nothing: its start may be on its way, or is still to be sent.
-    Open,
-    /// It is gone, or never began and isn't wanted any more.
+enum MissingAttempt {
+    /// Nothing: its start command may be on its way, or is still to be sent.
+    Pending,
+    /// It has ended, or it never started and isn't wanted any more.
     Over,
-    /// Its start was lost with the answer that carried it, and is still wanted.
-    Lost,
+    /// Its start command was lost with the reply that carried it, and it is still wanted.
+    StartLost,
 }
 
-/// A worker has one heartbeat in flight: once it sends a newer one that doesn't show the start, the answer
-/// that held the start was dropped. The answer of a direct call proves nothing: it may have been made while
-/// the heartbeat's answer was on its way.
-fn absence_of(attempt: &Attempt, report: &Heartbeat, by_heartbeat: bool) -> Absence {
+/// Classifies an attempt that the report doesn't list.
+///
+/// A worker has one heartbeat in flight. Once it sends a newer one that doesn't list the attempt, it has
+/// dropped the reply that carried the start command. The answer of a direct call proves nothing: the worker
+/// may have made it while the reply was on its way.
+fn classify(attempt: &Attempt, report: &Heartbeat, source: ReportSource) -> MissingAttempt {
     if attempt.delivery.may_arrive() {
-        return Absence::Open;
+        return MissingAttempt::Pending;
     }
-    let is_wanted = attempt.desired == DesiredState::Run;
     if attempt.status.is_some() {
-        return Absence::Over;
+        return MissingAttempt::Over;
     }
-    let Some(sent) = attempt.sent else {
+    let is_wanted = attempt.desired == DesiredState::Run;
+    let Some(sent_in_reply_to) = attempt.start_sent_in_reply_to else {
         return if is_wanted {
-            Absence::Open
+            MissingAttempt::Pending
         } else {
-            Absence::Over
+            MissingAttempt::Over
         };
     };
-    let answer_was_dropped = by_heartbeat && sent < (report.agent_epoch, report.sequence);
-    match (answer_was_dropped, is_wanted) {
-        (false, _) => Absence::Open,
-        (true, true) => Absence::Lost,
-        (true, false) => Absence::Over,
+    let was_dropped = source == ReportSource::Heartbeat && sent_in_reply_to < report.position();
+    match (was_dropped, is_wanted) {
+        (false, _) => MissingAttempt::Pending,
+        (true, true) => MissingAttempt::StartLost,
+        (true, false) => MissingAttempt::Over,
     }
 }
 
 impl SchedulerState {
-    /// Lets go of the machine's attempts that the report proves not to be there, and not to come.
-    pub(super) fn drop_absent(
+    /// Drops the machine's attempts that the report proves to have ended, or never to start. `reported` are
+    /// those that it lists.
+    pub(super) fn drop_missing_attempts(
         &mut self,
         report: &Heartbeat,
-        shown: &BTreeSet<AttemptKey>,
-        by_heartbeat: bool,
+        reported: &BTreeSet<AttemptKey>,
+        source: ReportSource,
         now: Moment,
     ) {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
@@ -58,33 +63,23 @@
         };
         let mut dropped = Vec::new();
         for (key, attempt) in &machine.attempts {
-            if shown.contains(key) {
+            if reported.contains(key) {
                 continue;
             }
-            let absence = absence_of(attempt, report, by_heartbeat);
-            if absence != Absence::Open {
-                dropped.push((*key, absence));
+            match classify(attempt, report, source) {
+                MissingAttempt::Pending => {}
+                MissingAttempt::Over => dropped.push((*key, ReleaseReason::NotInReport)),
+                MissingAttempt::StartLost => dropped.push((*key, ReleaseReason::StartLost)),
             }
         }
-        for (key, absence) in dropped {
-            if absence == Absence::Lost {
+        for (key, reason) in dropped {
+            if reason == ReleaseReason::StartLost {
                 machine.note_undelivered(now);
             }
             let Some(attempt) = machine.attempts.remove(&key) else {
                 continue;
             };
-            let why = match absence {
-                Absence::Lost => "start_lost_with_its_answer",
-                _ => "not_in_report",
-            };
-            log_release(
-                &report.machine,
-                key.task,
-                key.attempt,
-                why,
-                attempt.placed_at,
-                now,
-            );
+            log_release(&report.machine, key, reason, now - attempt.placed_at);
             if attempt.holds_resources()
                 && let Some(job) = self.jobs.table.get_mut(&key.job)
             {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,122 +1,47 @@
-//! Workers: their reports, sessions and leases, and the orders that follow from the difference
-//! between what is wanted of a machine and what it reports.
+//! Workers: their heartbeats, agent epochs and leases, and the commands that follow from the difference
+//! between what is desired of a machine and what its worker reports.
+//!
+//! - State: [`Machine`] with its [`Attempt`]s, [`CommandQueue`], [`fencing::Fencing`].
+//! - Decisions: `heartbeat` accepts a heartbeat, `reconciliation` applies what it shows, `heartbeat_commands`
+//!   makes the reply. `direct_calls` picks commands that go to a worker without waiting for its heartbeat,
+//!   `direct_results` applies the answers. `agent_epochs` ends epochs whose lease expired, `revocation` revokes
+//!   start commands that may still be executed.
+//! - Handler and loop: `heartbeat_handler`, `command_sender`.
+
+#![warn(missing_docs)]
 
 mod agent_epochs;
+mod attempt;
 mod command_log;
 mod command_queue;
-mod commands;
+mod command_sender;
 mod delivery_status;
+mod direct_call;
 mod direct_calls;
+mod direct_results;
 mod exits;
 pub mod fencing;
+mod heartbeat;
+mod heartbeat_commands;
 mod heartbeat_handler;
+mod heartbeat_position;
+mod image_cache;
 mod machine;
 mod missing_attempts;
+mod quarantine;
 mod reconciliation;
+mod reported_tasks;
+mod revocation;
 pub mod wire;
+mod worker_clients;
 
+pub use attempt::{Attempt, AttemptKey, DesiredState, Orphan};
 pub use command_queue::CommandQueue;
 pub use delivery_status::{DeliveryStatus, UnconfirmedStart};
-pub use direct_calls::{DirectCall, DirectResult};
-pub use heartbeat_handler::WorkerClientPool;
-pub use machine::{Attempt, AttemptKey, DesiredState, Image, Machine, Orphan, Quarantine};
-
-use crate::scheduler::SchedulerState;
-use crate::time::{Micros, Moment};
-use command_log::{CommandPath, Recipient, log_commands};
-use wire::{Heartbeat, WorkerCommand};
-
-/// What a heartbeat is answered with.
-#[derive(Debug, PartialEq, Eq)]
-pub enum HeartbeatReply {
-    /// 200 with these orders, under this token.
-    Commands {
-        fencing_token: u64,
-        commands: Vec<WorkerCommand>,
-    },
-    /// It must not be answered, so that its session ends.
-    Withheld,
-    /// A late or repeated report: it renews nothing.
-    Stale,
-    /// The worker has seen a higher token than ours.
-    Deposed,
-}
-
-impl SchedulerState {
-    /// Takes in a report and answers with what the machine is to do.
-    pub fn heartbeat(&mut self, report: &Heartbeat, now: Moment) -> HeartbeatReply {
-        if report.fencing_token > self.fencing.newest() {
-            return HeartbeatReply::Deposed;
-        }
-        if self.provisioning.is_gone(&report.machine) {
-            return HeartbeatReply::Stale;
-        }
-        if !self.machines.contains_key(&report.machine) {
-            if self.machines.len() >= self.config.most_machines {
-                return HeartbeatReply::Stale;
-            }
-            let total = self.provisioning.room_of(&report.type_name);
-            let mut machine = Machine::new(
-                &report.machine,
-                &report.type_name,
-                &report.zone,
-                report.spot,
-                total,
-                now,
-            );
-            machine.lease_renewed_at = self.started;
-            // A report may be late, and its machine gone: only a list or a rental proves more.
-            machine.existed_at = self.prior_term.machines.get(&report.machine).copied();
-            self.machines.insert(report.machine.clone(), machine);
-        }
-        let recorded = self.register(&report.machine, now);
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
-            machine.recorded = recorded;
-        }
-        let Some(machine) = self.machines.get_mut(&report.machine) else {
-            return HeartbeatReply::Stale;
-        };
-        if report.agent_epoch < machine.agent_epoch
-            || (machine.unreachable && report.agent_epoch <= machine.agent_epoch)
-        {
-            // After an expired lease the session is over, whatever a late report says.
-            return HeartbeatReply::Stale;
-        }
-        let seen = (report.agent_epoch, report.sequence);
-        if seen <= machine.newest_heartbeat {
-            // A copy: it renews nothing, and doesn't prove that its sender is alive.
-            return HeartbeatReply::Stale;
-        }
-        // It may take work again from here on.
-        self.placement.due |= !machine.is_alive(self.config.report, now);
-        machine.newest_heartbeat = seen;
-        machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
-        machine.last_heartbeat = Some(now);
-        if (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence) {
-            self.reconcile(report, true, now);
-        }
-        // Else the answer of a direct call overtook this report, whose task list is older than
-        // what is known; the answer to it is as good as any.
-        if self.must_withhold(&report.machine, now) {
-            return HeartbeatReply::Withheld;
-        }
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
-            machine.lease_renewed_at = now;
-        }
-        self.review_quarantine(&report.machine, now);
-        self.release_prior_term(now);
-        self.place_soon(now);
-        let fencing_token = self.fencing_token_for(&report.machine);
-        let commands = self.commands(&report.machine, now);
-        let to = Recipient {
-            machine: &report.machine,
-            agent_epoch: report.agent_epoch,
-            fencing_token,
-        };
-        log_commands(CommandPath::HeartbeatAnswer, &to, &commands);
-        HeartbeatReply::Commands {
-            fencing_token,
-            commands,
-        }
-    }
-}
+pub use direct_call::{DirectCall, DirectResult};
+pub use heartbeat::HeartbeatReply;
+pub use heartbeat_position::HeartbeatPosition;
+pub use image_cache::{Image, ImageCache};
+pub use machine::Machine;
+pub use quarantine::Quarantine;
+pub use worker_clients::WorkerClientPool;
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -1,98 +1,99 @@
-//! What a report proves: which attempts a machine holds, which ended, and which never began.
+//! Reconciliation of a worker's report, from a heartbeat or the answer of a direct call, with the leader's
+//! state: which attempts the machine holds, which have ended, and which never started.
 
-use super::exits::{Exit, settle_exit};
-use super::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
-use super::{Attempt, AttemptKey, DesiredState, Orphan};
+use super::wire::{Heartbeat, ReportedTask, TaskStatus};
+use super::{AttemptKey, DesiredState, HeartbeatPosition, Machine, Orphan};
 use crate::invariants::{self, Invariant};
-use crate::jobs::Job;
+use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
-/// A start that is stopped sooner doesn't count as one.
-pub(super) const COUNTS_AFTER: Micros = Micros::from_secs(30);
+/// How a worker's report reached the leader.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReportSource {
+    /// As a heartbeat.
+    Heartbeat,
+    /// As the answer of a direct call.
+    DirectCall,
+}
+
+impl Heartbeat {
+    /// Its place among the worker's heartbeats.
+    pub fn position(&self) -> HeartbeatPosition {
+        HeartbeatPosition {
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+        }
+    }
+}
 
 impl SchedulerState {
-    /// Takes in a report that is newer than what is known. `checked_in`: it came as a heartbeat,
-    /// not as the answer of a direct call.
-    pub(super) fn reconcile(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
-        let Some(machine) = self.machines.get(&report.machine) else {
+    /// Reconciles a known machine's report that is newer than the last one that was reconciled.
+    pub(super) fn reconcile(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
+        self.begin_newer_epoch(report, now);
+        let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
         };
-        let new_session = report.agent_epoch > machine.agent_epoch && machine.agent_epoch > 0;
-        if new_session {
-            self.end_epoch(&report.machine);
-        }
-        let Some(machine) = self.machines.get_mut(&report.machine) else {
+        let total = self.provisioning.room_of(&report.type_name);
+        machine.take_over(report, total, now);
+        let is_reconciled_now = machine.note_seen_fencing_token(report.fencing_token, self.term);
+        self.placement.due |= is_reconciled_now;
+        self.settle_unconfirmed(&report.machine, now);
+        self.reconcile_tasks(report, source, now);
+        self.drain_preempted(&report.machine, now);
+    }
+
+    /// Ends the machine's agent epoch if the report is of a newer one.
+    fn begin_newer_epoch(&mut self, report: &Heartbeat, now: Moment) {
+        let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
-        if new_session {
-            // It may have been away. It may also hear nothing of what is answered.
-            machine.note_undelivered(now);
-        }
-        machine.agent_epoch = report.agent_epoch;
-        machine.sequence = report.sequence;
-        machine.unreachable = false;
-        if machine.last_seen.is_none() {
-            machine.known_since = now;
+        let current = machine.agent_epoch();
+        if current == 0 || report.agent_epoch <= current {
+            return;
         }
-        machine.last_seen = Some(now);
-        machine.addr.clone_from(&report.addr);
-        machine.type_name.clone_from(&report.type_name);
-        machine.zone.clone_from(&report.zone);
-        machine.spot = report.spot;
-        machine.total = self.provisioning.room_of(&report.type_name);
-        machine.has_preemption_notice = report.preemption_notice_s.is_some();
-        machine.preempted_at = report
-            .preemption_notice_s
-            .map(|s| now + Micros::from_secs_f64(s.0));
-        machine.seen_fencing_token = machine.seen_fencing_token.max(report.fencing_token);
-        if !machine.reconciled && report.fencing_token >= self.term {
-            machine.reconciled = true;
-            log::debug!("machine {} counted in", machine.name);
-            self.placement.due = true;
+        self.end_epoch(&report.machine);
+        if let Some(machine) = self.machines.get_mut(&report.machine) {
+            // The worker may have been away. It may also not receive the replies to its heartbeats.
+            machine.note_undelivered(now);
         }
-        self.settle_unconfirmed(&report.machine, now);
-        self.apply_tasks(report, by_heartbeat, now);
-        self.drain_recalled(&report.machine, now);
     }
 
-    /// Stops what can't finish before the cloud takes the machine: elsewhere it can start at
-    /// once, instead of when the loss of the machine is certain.
-    fn drain_recalled(&mut self, name: &str, now: Moment) {
+    /// Stops the attempts that can't finish before the cloud takes the machine. Their tasks can then start
+    /// elsewhere at once instead of when the machine's lease has expired.
+    fn drain_preempted(&mut self, name: &str, now: Moment) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
         let Some(preempted_at) = machine.preempted_at else {
             return;
         };
-        let doomed: Vec<AttemptKey> = machine
+        let unfinishable: Vec<AttemptKey> = machine
             .attempts
             .iter()
-            .filter(|(_, a)| a.holds_resources() && a.desired == DesiredState::Run)
-            .filter(|(k, a)| {
-                let run = self
-                    .jobs
-                    .table
-                    .get(&k.job)
-                    .map_or(Micros::ZERO, |j| self.expected_run(j));
-                a.running_since.unwrap_or(now) + run > preempted_at
+            .filter(|(_, attempt)| attempt.holds_resources())
+            .filter(|(_, attempt)| attempt.desired == DesiredState::Run)
+            .filter(|(key, attempt)| {
+                let job = self.jobs.table.get(&key.job);
+                let run_time = job.map_or(Micros::ZERO, |job| self.expected_run(job));
+                attempt.running_since.unwrap_or(now) + run_time > preempted_at
             })
-            .map(|(k, _)| *k)
+            .map(|(key, _)| *key)
             .collect();
-        for key in doomed {
+        for key in unfinishable {
             self.stop_attempt(name, key);
         }
     }
 
-    /// Takes in a report's list of tasks, as a whole.
-    fn apply_tasks(&mut self, report: &Heartbeat, by_heartbeat: bool, now: Moment) {
-        let mut shown = BTreeSet::new();
+    /// Reconciles the report's list of tasks, which is complete.
+    fn reconcile_tasks(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
+        let mut reported = BTreeSet::new();
         let mut orphans = Vec::new();
         for task in &report.tasks {
-            match self.key_of(task) {
+            match self.attempt_key(task) {
                 Some(key) => {
-                    shown.insert(key);
+                    reported.insert(key);
                     self.reconcile_task(report, key, task, now);
                 }
                 None => {
@@ -105,7 +106,7 @@
                 }
             }
         }
-        self.drop_absent(report, &shown, by_heartbeat, now);
+        self.drop_missing_attempts(report, &reported, source, now);
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
         };
@@ -118,8 +119,8 @@
         }
     }
 
-    /// The attempt that a worker tells of, if its job is known.
-    fn key_of(&self, task: &ReportedTask) -> Option<AttemptKey> {
+    /// The reported attempt's key, if its job is known.
+    fn attempt_key(&self, task: &ReportedTask) -> Option<AttemptKey> {
         let (job_id, number) = task.parts()?;
         Some(AttemptKey {
             job: self.jobs.find(job_id)?,
@@ -128,55 +129,12 @@
         })
     }
 
-    /// What one task's line in a report shows.
-    fn reconcile_task(
-        &mut self,
-        report: &Heartbeat,
-        key: AttemptKey,
-        task: &ReportedTask,
-        now: Moment,
-    ) {
-        let cache_gb = self.provisioning.cache_of(&report.type_name);
-        let (Some(job), Some(machine)) = (
-            self.jobs.table.get_mut(&key.job),
-            self.machines.get_mut(&report.machine),
-        ) else {
-            return;
-        };
-        let known = machine.attempts.get(&key).cloned();
-        let mut attempt = known.unwrap_or_else(|| discovered_attempt(job, key.task, task, now));
-        let before = attempt.status.replace(task.status);
-        if before.is_none() {
-            check_start(job, task, &report.machine, self.config.cancel, now);
-        }
-        note_running(job, &mut attempt, now);
-        stop_unwanted(job, key.task, &mut attempt);
-        let mut ran = None;
-        if task.status == TaskStatus::Exited && before != Some(TaskStatus::Exited) {
-            let exit = Exit {
-                key,
-                exit_reason: task.exit_reason.unwrap_or(ExitReason::Other),
-                at: now,
-            };
-            let effect = settle_exit(&exit, job, machine, &mut attempt);
-            self.placement.due = true;
-            self.writes_due |= effect.completes_job;
-            ran = effect.ran;
-        }
-        let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
-        let is_cached = task.status == TaskStatus::Running || attempt.done;
-        machine.note_image(&image, gb, is_cached, cache_gb, now);
-        machine.attempts.insert(key, attempt);
-        if let Some(ran) = ran {
-            self.note_run(key.job, ran);
-        }
-    }
-
-    /// A job that this leader let go must not run: nothing of it could be left.
+    /// Checks that no attempt of this leader runs whose job this leader has retired: a job is retired only
+    /// once none of its attempts can be left.
     fn check_orphan(&self, machine: &str, task: &ReportedTask, now: Moment) {
-        let own = self.machines.get(machine);
-        // The first thing heard of a machine may be a copy of what was long ago.
-        let is_known = own.is_some_and(|m| m.known_since < now);
+        let known = self.machines.get(machine);
+        // The first report of a machine may be a copy of a very old one.
+        let is_known = known.is_some_and(|m| m.known_since < now);
         let is_running = task.status != TaskStatus::Exited;
         if is_known && is_running && task.attempt >> 32 == self.term {
             invariants::report_violation(
@@ -190,53 +148,35 @@
     }
 }
 
-/// An earlier leader's attempt, or one of an order thought lost.
-fn discovered_attempt(job: &mut Job, number: u32, task: &ReportedTask, now: Moment) -> Attempt {
-    let bound = task.status != TaskStatus::Exited;
-    if bound {
-        job.bind(number);
-    }
-    Attempt::new(bound, now)
-}
-
-/// A task shows up for the first time: not of a job whose cancellation must be complete.
-fn check_start(job: &Job, task: &ReportedTask, machine: &str, cancel: Micros, now: Moment) {
-    let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel);
-    if is_late && task.status != TaskStatus::Exited {
-        invariants::report_violation(
-            Invariant::CancelledTaskStartedLate,
-            format_args!(
-                "machine={machine} task={} attempt={}",
-                task.task_id, task.attempt
-            ),
-        );
-    }
-}
-
-/// Since when it runs, and whether its job has begun by that.
-fn note_running(job: &mut Job, attempt: &mut Attempt, now: Moment) {
-    if attempt.status == Some(TaskStatus::Running) {
-        attempt.running_since.get_or_insert(now);
-    }
-    let Some(since) = attempt.running_since else {
-        return;
-    };
-    if !job.begun && now - since > COUNTS_AFTER {
-        job.begun = true;
-        let waited = since - job.accepted_at;
-        log::debug!("{} began after {} s", job.spec.id, waited.as_secs_f64());
+impl Machine {
+    /// Takes over what the report says of the machine itself.
+    fn take_over(&mut self, report: &Heartbeat, total: Resources, now: Moment) {
+        self.reconciled_position = report.position();
+        self.unreachable = false;
+        if self.last_seen.is_none() {
+            self.known_since = now;
+        }
+        self.last_seen = Some(now);
+        self.addr.clone_from(&report.addr);
+        self.type_name.clone_from(&report.type_name);
+        self.zone.clone_from(&report.zone);
+        self.spot = report.spot;
+        self.total = total;
+        self.has_preemption_notice = report.preemption_notice_s.is_some();
+        self.preempted_at = report
+            .preemption_notice_s
+            .map(|notice_s| now + Micros::from_secs_f64(notice_s.0));
     }
-}
 
-/// Nobody has a use for what a closed job's task does, or one that is done.
-fn stop_unwanted(job: &Job, number: u32, attempt: &mut Attempt) {
-    let is_unwanted = job.is_closed() || job.done.contains(number);
-    if is_unwanted
-        && attempt.status != Some(TaskStatus::Exited)
-        && attempt.desired == DesiredState::Run
-    {
-        attempt.desired = DesiredState::Stop {
-            grace_period: Micros::ZERO,
-        };
+    /// Notes the highest fencing token that the worker has seen. True if that completes the machine's
+    /// reconciliation with this term.
+    fn note_seen_fencing_token(&mut self, fencing_token: u64, term: u64) -> bool {
+        self.seen_fencing_token = self.seen_fencing_token.max(fencing_token);
+        if self.reconciled || fencing_token < term {
+            return false;
+        }
+        self.reconciled = true;
+        log::debug!(machine = self.name, term = term; "machine reconciled");
+        true
     }
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -323,9 +323,9 @@
         let result = result(self);
         let end = match &result {
             DirectResult::Answered(_) => "answered",
-            DirectResult::Unsent => "not sent",
-            DirectResult::Unreached => "no connection",
-            DirectResult::Unknown => "no answer",
+            DirectResult::NotSent => "not sent",
+            DirectResult::Unreachable => "no connection",
+            DirectResult::OutcomeUnknown => "no answer",
         };
         self.note(&format!(
             "direct to {}: {} -> {end}",
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -39,7 +39,7 @@
     w.scheduler.config.cancel = Micros::from_secs(5);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
-    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     w.scheduler.ask_cancel("run-1", w.now);
     w.on_timer(7.0);
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -243,7 +243,9 @@
     w.heartbeat("big-east-1", &[]);
     w.heartbeat("big-east-2", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.on_timer(1.0).direct(|_| DirectResult::Unknown).bound();
+    w.on_timer(1.0)
+        .direct(|_| DirectResult::OutcomeUnknown)
+        .bound();
     let name = w
         .scheduler
         .machines
@@ -558,14 +560,14 @@
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
     w.scheduler.place(at(1.0));
     w.record_fleet();
-    w.bound().direct(|_| DirectResult::Unreached);
+    w.bound().direct(|_| DirectResult::Unreachable);
     w.bound().direct(|_| unreachable!());
     // Another machine takes them; the first is asked again once it reports.
     w.at(2.0).heartbeat("big-east-2", &[]).bound();
     w.at(3.0).heartbeat("big-east-1", &[]);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     w.at(3.1)
-        .direct(|_| DirectResult::Unsent)
+        .direct(|_| DirectResult::NotSent)
         .direct(|_| unreachable!());
     assert_snapshot!(w.log);
 }
@@ -599,7 +601,7 @@
     };
     let first = calls(&mut w, 1.0);
     w.scheduler
-        .direct_call_finished(&first[0], DirectResult::Unsent, at(1.01));
+        .direct_call_finished(&first[0], DirectResult::NotSent, at(1.01));
     calls(&mut w, 1.02);
     calls(&mut w, 1.15);
     w.scheduler.overload.note(true, at(1.3));
@@ -659,9 +661,10 @@
     }
     let m = w.scheduler.machines.get_mut("big-east-1").unwrap();
     for n in 0..1000 {
-        m.note_image(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
+        m.images
+            .note_use(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
     }
-    let images = m.images.len();
+    let images = m.images.values().count();
     w.note(&format!(
         "{images} of 1000 images of no size are remembered"
     ));
@@ -790,12 +793,12 @@
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
     w.on_timer(1.0);
-    w.direct(|_| DirectResult::Unknown).bound();
+    w.direct(|_| DirectResult::OutcomeUnknown).bound();
     // Its lease runs out, and each session looks healthy.
     w.at(3.0).heartbeat("big-east-1", &[]);
     let next = w.report("big-east-1", 2, 2, &[]);
     w.at(21.0).send(&next).bound();
-    w.direct(|_| DirectResult::Unknown);
+    w.direct(|_| DirectResult::OutcomeUnknown);
     let next = w.report("big-east-1", 2, 2, &[]);
     w.at(33.0).list(&[("big-east-1", "running")]);
     w.send(&next).bound().rentals();
@@ -807,7 +810,7 @@
     for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
         let next = w.report("small-west-1", 2, agent_epoch, &[]);
         w.at(t).send(&next);
-        w.direct(|_| DirectResult::Unknown);
+        w.direct(|_| DirectResult::OutcomeUnknown);
     }
     let due = w.scheduler.plan_returns(at(126.0));
     w.note(&format!("to return: {due:?}"));
@@ -1004,7 +1007,7 @@
     for t in [22.0, 23.0, 24.0] {
         let report = w.report("big-east-1", 5, 2, &[]);
         w.scheduler.heartbeat(&report, at(t));
-        let recorded = w.scheduler.machines["big-east-1"].recorded;
+        let recorded = w.scheduler.machines["big-east-1"].registered;
         let pages = due(&w);
         w.at(t).note(&format!(
             "reports; recorded: {recorded}, pages due: {pages}"
@@ -1029,7 +1032,9 @@
     w.scheduler.ask_cancel("run-1", w.now);
     w.direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"])));
     w.at(10.2).job(submission("run-2", |s| s.pieces = 1));
-    w.on_timer(10.5).direct(|_| DirectResult::Unknown).bound();
+    w.on_timer(10.5)
+        .direct(|_| DirectResult::OutcomeUnknown)
+        .bound();
     w.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(w.log);
 }
@@ -1125,7 +1130,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     w.scheduler.ask_cancel("run-1", w.now);
     w.at(1.1).round(true);
     w.at(4.0).heartbeat("big-east-1", &[]);
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -71,7 +71,7 @@
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut w, 0.0, &[]);
     w.at(0.5).job(submission("run-1", |s| s.pieces = 1));
-    w.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    w.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     let held = HeldOrder {
         fencing_token: 2,
         agent_epoch: 1,
@@ -157,8 +157,8 @@
     worker.fencing_token = 3;
     worker.heartbeat(&mut w, 2.0, &[]);
     w.scheduler
-        .direct_call_finished(&call, DirectResult::Unknown, w.now);
-    assert_eq!(w.scheduler.fencing.unconfirmed_machines(), 0);
+        .direct_call_finished(&call, DirectResult::OutcomeUnknown, w.now);
+    assert_eq!(w.scheduler.fencing.unconfirmed_machine_count(), 0);
     worker.heartbeat(&mut w, 5.0, &[]);
     w.bound();
     assert_snapshot!(w.log);
@@ -180,8 +180,8 @@
         s.cpus = trace_cpus();
     }));
     w.on_timer(1.0);
-    while w.scheduler.fencing.unconfirmed_machines() < MACHINES as usize {
-        w.direct(|_| DirectResult::Unknown);
+    while w.scheduler.fencing.unconfirmed_machine_count() < MACHINES as usize {
+        w.direct(|_| DirectResult::OutcomeUnknown);
     }
     w.scheduler.ask_cancel("run-1", w.now);
     w.raises_tokens = true;
@@ -194,7 +194,10 @@
     }
     let counters = w.scheduler.fencing.counters;
     assert_eq!(
-        (w.scheduler.fencing.unconfirmed_machines(), counters.raises),
+        (
+            w.scheduler.fencing.unconfirmed_machine_count(),
+            counters.raises
+        ),
         (0, 1)
     );
     assert_eq!(counters.ended_by_token, u64::from(MACHINES));
