--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -73,7 +73,7 @@
         let Ok(addr) = call.addr.parse::<SocketAddr>() else {
             return DirectResult::NotSent;
         };
-        let open_connections = self.open.load(Ordering::Relaxed);
+        let open_connections = self.open_connections.load(Ordering::Relaxed);
         let max_clients = self.settings.settings.quota.kept_clients(open_connections);
         let client = self.workers.get(&*self.os, addr, max_clients);
         let body = encode(&DirectCommands {
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -3,9 +3,9 @@
 use crate::nodes::{Nodes, leader, newest, serving, spawn, spawn_watching};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest, TcpPeer};
 use aspenreel::settings::Settings;
-use aspenreel_links::monitor::LinkState;
-use aspenreel_links::view::LinkView;
-use aspenreel_links::workers::Hearing;
+use aspenreel_link_health::monitor::LinkState;
+use aspenreel_link_health::reachability::Reachability;
+use aspenreel_link_health::view::LinkView;
 use serde_json::Value;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -33,7 +33,7 @@
     (output.status.code().unwrap(), answers)
 }
 
-fn watching(tag: &str) -> (std::sync::Arc<aspenreel_testbed::servers::State>, Nodes) {
+fn watching(tag: &str) -> (std::sync::Arc<aspenreel_simulation::servers::State>, Nodes) {
     let (state, _, mut nodes) = serving(tag);
     for n in 0..3 {
         nodes.children[n].kill().unwrap();
@@ -188,9 +188,9 @@
         leads: true,
         state_reads: LinkState::Up,
         state_writes: LinkState::Up,
-        hearing: Hearing {
-            heard: u32::MAX,
-            known: 1,
+        reachability: Reachability {
+            reachable: u32::MAX,
+            expected: 1,
         },
     };
     let views = [
