--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,4 +1,4 @@
-//! Which machines the leader hears, and what their silence says of its own links.
+//! Which machines' heartbeats reach the leader, and what missing ones tell of its own links.
 
 use super::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -6,71 +6,100 @@
 use aspenreel_link_health::reachability::Reachability;
 use std::collections::BTreeMap;
 
+/// A machine is silent after this many heartbeat intervals without a heartbeat.
+const SILENT_AFTER_INTERVALS: f64 = 1.5;
+/// Silence is judged only after the leader could have heard everybody for this many times as long.
+const SETTLED_AFTER_SILENCES: f64 = 2.0;
+
 impl SchedulerState {
-    /// True when most machines fell silent together: rather this node is cut off than they are.
+    /// True if most machines became silent at once: this controller is cut off rather than they.
     ///
-    /// The state service may still serve a leader that no worker reaches; it would keep its lease
-    /// while every lease runs out. A leader that falls behind is not cut off: reports wait here,
-    /// unread, and the next leader would have no more processor, and hundreds of workers coming
-    /// over besides.
+    /// The key-value store may still serve a leader that no worker reaches. It would keep its own lease while
+    /// the leases of all machines expire. An overloaded leader isn't cut off: heartbeats wait here, unread.
+    /// The next leader would have no more processor time, and all workers would have to change over.
     pub fn is_cut_off_from_workers(&self, acting_since: Moment, now: Moment) -> bool {
-        now - acting_since >= self.silence().scaled(2.0)
+        now - acting_since >= self.settling_time()
             && self.reachability_is_settled(now)
             && self.reachability(now).most_are_unreachable()
     }
 
-    /// After this long without a report a machine is silent.
-    fn silence(&self) -> Micros {
-        self.config.report.scaled(1.5)
+    /// True if this controller has led, and wasn't overloaded, for long enough to tell which machines are
+    /// silent.
+    pub fn reachability_is_settled(&self, now: Moment) -> bool {
+        let undisturbed_since = self.started.max(self.overload.last_overloaded());
+        now - undisturbed_since >= self.settling_time()
     }
 
-    /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
-    pub fn reachability_is_settled(&self, now: Moment) -> bool {
-        now - self.started.max(self.overload.last_overloaded()) >= self.silence().scaled(2.0)
+    /// After this long without a heartbeat a machine is silent.
+    fn silent_after(&self) -> Micros {
+        self.config.report.scaled(SILENT_AFTER_INTERVALS)
+    }
+
+    fn settling_time(&self) -> Micros {
+        self.silent_after().scaled(SETTLED_AFTER_SILENCES)
     }
 
-    /// How many of the machines that should report do.
+    /// How many of the machines that should send heartbeats do.
     fn reachability(&self, now: Moment) -> Reachability {
         self.reachability_where(now, |_| true)
     }
 
-    /// The same, but only of those whose heartbeats come as regularly as from a worker that is answered.
+    /// The same, but counting only machines whose heartbeats come as regularly as those of a worker that is
+    /// answered.
     pub fn reachability_both_ways(&self, now: Moment) -> Reachability {
-        let patience = self.silence();
-        self.reachability_where(now, |m| m.heartbeat_gap <= patience)
+        let silent_after = self.silent_after();
+        self.reachability_where(now, |machine| machine.heartbeat_gap <= silent_after)
     }
 
-    fn reachability_where(&self, now: Moment, counts: impl Fn(&Machine) -> bool) -> Reachability {
-        let patience = self.silence();
-        let silent_at = |m: &&Machine| m.last_seen.is_none_or(|t| now - t > patience);
-        let known: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| !m.unreachable && !m.draining && !m.has_preemption_notice)
-            .filter(|m| m.last_seen.is_some() || self.prior_term.unreconciled.contains(&m.name))
-            .collect();
-        let silent = known.iter().filter(|m| silent_at(m) || !counts(m));
-        let silent = silent.count();
-        Reachability {
-            reachable: (known.len() - silent) as u32,
-            expected: known.len() as u32,
+    fn reachability_where(
+        &self,
+        now: Moment,
+        is_regular: impl Fn(&Machine) -> bool,
+    ) -> Reachability {
+        let mut reachability = Reachability {
+            reachable: 0,
+            expected: 0,
+        };
+        for machine in self.machines.values() {
+            if self.should_send_heartbeats(machine) {
+                reachability.expected += 1;
+                let is_reachable = !self.is_silent(machine, now) && is_regular(machine);
+                reachability.reachable += u32::from(is_reachable);
+            }
         }
+        reachability
+    }
+
+    /// True unless the machine may be silent for reasons of its own: it is over or about to end, or it never
+    /// sent a heartbeat and is new.
+    fn should_send_heartbeats(&self, machine: &Machine) -> bool {
+        let is_ending = machine.unreachable || machine.draining || machine.has_preemption_notice;
+        let is_known =
+            || machine.last_seen.is_some() || self.prior_term.unreconciled.contains(&machine.name);
+        !is_ending && is_known()
+    }
+
+    /// True if the machine sent nothing for long, neither heartbeats nor answers of direct calls.
+    fn is_silent(&self, machine: &Machine, now: Moment) -> bool {
+        let silent_after = self.silent_after();
+        machine
+            .last_seen
+            .is_none_or(|seen_at| now - seen_at > silent_after)
     }
 
-    /// The zone of most machines that are silent.
+    /// The zone with the most silent machines; the last by name among equals.
     pub fn silent_zone(&self, now: Moment) -> Option<String> {
         let zones = self.silent_by_zone(now);
-        let most = zones.into_iter().max_by_key(|(_, n)| *n)?;
-        Some(most.0.to_string())
+        let (zone, _) = zones.into_iter().max_by_key(|(_, count)| *count)?;
+        Some(zone.to_string())
     }
 
-    /// How many machines are silent in each zone.
+    /// How many machines are silent in each zone that has any.
     pub fn silent_by_zone(&self, now: Moment) -> BTreeMap<&str, u32> {
-        let patience = self.silence();
         let mut zones = BTreeMap::new();
-        for m in self.machines.values() {
-            if m.last_seen.is_none_or(|t| now - t > patience) {
-                *zones.entry(m.zone.as_str()).or_insert(0) += 1;
+        for machine in self.machines.values() {
+            if self.is_silent(machine, now) {
+                *zones.entry(machine.zone.as_str()).or_insert(0) += 1;
             }
         }
         zones
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -3,10 +3,13 @@
 use super::delivery_status::DeliveryStatus;
 use super::heartbeat_position::HeartbeatPosition;
 use super::wire::{CommandKind, TaskStatus, WorkerCommand};
-use crate::jobs::{Job, JobId};
+use crate::jobs::JobId;
 use crate::time::{Micros, Moment};
 use std::ops::RangeInclusive;
 
+/// An attempt that ran for less than this doesn't count as the start of its job.
+pub(super) const MIN_COUNTED_RUN: Micros = Micros::from_secs(30);
+
 /// Which attempt of which task. Ordered by job, then task, then attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
@@ -116,15 +119,20 @@
         self.start_sent_in_reply_to.is_none() && !self.delivery.may_arrive()
     }
 
-    /// The command of this kind for it.
-    pub(super) fn command(&self, job: &Job, key: AttemptKey, kind: CommandKind) -> WorkerCommand {
+    /// The command of this kind for it. `job_id` is the id of its job.
+    pub(super) fn command(
+        &self,
+        job_id: &str,
+        key: AttemptKey,
+        kind: CommandKind,
+    ) -> WorkerCommand {
         let grace_period = match self.desired {
             DesiredState::Stop { grace_period } if kind == CommandKind::Stop => Some(grace_period),
             _ => None,
         };
         WorkerCommand {
             kind,
-            task_id: format!("{}/{}", job.spec.id, key.task),
+            task_id: format!("{job_id}/{}", key.task),
             attempt: key.attempt,
             grace_period_s: grace_period.map(Micros::as_secs_f64),
         }
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -122,7 +122,9 @@
             let Some(kind) = urgent_command(job, *key, attempt, takes_starts) else {
                 continue;
             };
-            batch.commands.push(attempt.command(job, *key, kind));
+            batch
+                .commands
+                .push(attempt.command(&job.spec.id, *key, kind));
             if kind == CommandKind::Run {
                 attempt.delivery = DeliveryStatus::InFlight;
                 batch.starts.push(*key);
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,6 +1,6 @@
 //! What the end of an attempt means for its task, its job and its machine.
 
-use super::reported_tasks::MIN_COUNTED_RUN;
+use super::attempt::MIN_COUNTED_RUN;
 use super::wire::ExitReason;
 use super::{Attempt, AttemptKey, Machine};
 use crate::jobs::Job;
--- a/src/workers/heartbeat_commands.rs
+++ b/src/workers/heartbeat_commands.rs
@@ -124,7 +124,7 @@
             }
             (Some(_), DesiredState::Stop { .. }) => {
                 attempt.stop_sent_at.get_or_insert(self.now);
-                NextStep::Send(attempt.command(job, key, CommandKind::Stop))
+                NextStep::Send(attempt.command(&job.spec.id, key, CommandKind::Stop))
             }
             (None, DesiredState::Run) => self.start(job, key, attempt),
             (None, DesiredState::Stop { .. }) if attempt.was_never_sent() => NextStep::Drop,
@@ -140,7 +140,7 @@
         }
         let is_recorded = !attempt.done || job.recorded.contains(key.task);
         if is_recorded || job.outcome.is_some() {
-            return NextStep::Send(attempt.command(job, key, CommandKind::Clear));
+            return NextStep::Send(attempt.command(&job.spec.id, key, CommandKind::Clear));
         }
         NextStep::Nothing
     }
@@ -159,7 +159,7 @@
         if grace_period != Micros::ZERO && !is_overdue {
             return NextStep::Nothing;
         }
-        let stop = attempt.command(job, key, CommandKind::Stop);
+        let stop = attempt.command(&job.spec.id, key, CommandKind::Stop);
         NextStep::Send(WorkerCommand {
             grace_period_s: Some(0.0),
             ..stop
@@ -182,6 +182,6 @@
             return NextStep::Nothing;
         }
         attempt.start_sent_in_reply_to = Some(self.position);
-        NextStep::Start(attempt.command(job, key, CommandKind::Run))
+        NextStep::Start(attempt.command(&job.spec.id, key, CommandKind::Run))
     }
 }
--- a/src/workers/reported_tasks.rs
+++ b/src/workers/reported_tasks.rs
@@ -1,5 +1,6 @@
 //! What a worker's report shows of one attempt.
 
+use super::attempt::MIN_COUNTED_RUN;
 use super::exits::{Exit, settle_exit};
 use super::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use super::{Attempt, AttemptKey, DesiredState};
@@ -8,9 +9,6 @@
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
-/// An attempt that ran for less than this doesn't count as the start of its job.
-pub(super) const MIN_COUNTED_RUN: Micros = Micros::from_secs(30);
-
 impl SchedulerState {
     /// Reconciles one reported attempt of a known job.
     pub(super) fn reconcile_task(
