--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -8,7 +8,7 @@
 
 /// A machine is silent after this many heartbeat intervals without a heartbeat.
 const SILENT_AFTER_INTERVALS: f64 = 1.5;
-/// Silence is judged only after the leader could have heard everybody for this many times as long.
+/// Silence is judged only after the leader could have received all heartbeats for this many times as long.
 const SETTLED_AFTER_SILENCES: f64 = 2.0;
 
 impl SchedulerState {
--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -46,19 +46,16 @@
             self.commands_due.wait(observed, IDLE_WAIT);
             return None;
         }
-        let has_more =
-            |scheduler: &crate::scheduler::SchedulerState| !scheduler.commands.due.is_empty();
-        if state
-            .acting(now)
-            .is_some_and(|(_, scheduler)| has_more(scheduler))
-        {
+        let acting = state.acting(now);
+        if acting.is_some_and(|(_, scheduler)| !scheduler.commands.due.is_empty()) {
+            // Another sender takes the next call.
             self.commands_due.notify_one();
         }
         call
     }
 
-    /// Applies a call's result under the term that decided on the call, even if this controller's lease is in
-    /// doubt by now: what is known of the starts must be kept.
+    /// Applies a call's result under the term that decided on the call, even if this controller's lease may
+    /// have expired by now: what is known of the starts must be kept.
     fn apply_call_result(&self, call: &DirectCall, result: DirectResult) {
         let mut state = self.state();
         let now = self.now();
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -95,7 +95,7 @@
 }
 
 impl Machine {
-    /// A machine that nothing was heard of yet. Its lease counts as renewed `now`.
+    /// A machine without any heartbeat yet. Its lease counts as renewed `now`.
     pub fn new(
         name: &str,
         type_name: &str,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Its current agent epoch; 0 if nothing was heard of it yet.
+    /// Its current agent epoch; 0 before its first heartbeat.
     pub fn agent_epoch(&self) -> u64 {
         self.reconciled_position.agent_epoch
     }
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -2,7 +2,7 @@
 //! state: which attempts the machine holds, which have ended, and which never started.
 
 use super::wire::{Heartbeat, ReportedTask, TaskStatus};
-use super::{AttemptKey, DesiredState, HeartbeatPosition, Machine, Orphan};
+use super::{AttemptKey, DesiredState, Machine, Orphan};
 use crate::invariants::{self, Invariant};
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
@@ -18,16 +18,6 @@
     DirectCall,
 }
 
-impl Heartbeat {
-    /// Its place among the worker's heartbeats.
-    pub fn position(&self) -> HeartbeatPosition {
-        HeartbeatPosition {
-            agent_epoch: self.agent_epoch,
-            sequence: self.sequence,
-        }
-    }
-}
-
 impl SchedulerState {
     /// Reconciles a known machine's report that is newer than the last one that was reconciled.
     pub(super) fn reconcile(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
