--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -38,7 +38,7 @@
     fn next_call_or_wait(&self) -> Option<DirectCall> {
         let mut state = self.state();
         let now = self.now();
-        let acting = state.acting(now);
+        let acting = state.acting_leader(now);
         let call = acting.and_then(|(_, scheduler)| scheduler.next_direct_call(now));
         if call.is_none() {
             let observed = self.commands_due.prepare_wait();
@@ -46,7 +46,7 @@
             self.commands_due.wait(observed, IDLE_WAIT);
             return None;
         }
-        let acting = state.acting(now);
+        let acting = state.acting_leader(now);
         if acting.is_some_and(|(_, scheduler)| !scheduler.commands.due.is_empty()) {
             // Another sender takes the next call.
             self.commands_due.notify_one();
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -37,7 +37,7 @@
         // The clock is read under the lock: the process may be suspended at any point, and another controller
         // may lead by the time it goes on.
         let now = self.now();
-        let Some((lease, scheduler)) = state.acting(now) else {
+        let Some((lease, scheduler)) = state.acting_leader(now) else {
             return self.misdirected(&state);
         };
         let (term, valid_until) = (lease.term, lease.valid_until);
@@ -65,7 +65,7 @@
                     fencing_token = heartbeat.fencing_token;
                     "heartbeat shows a higher fencing token"
                 );
-                state.step_down = true;
+                state.step_down_requested = true;
                 Response::busy(RETRY_AFTER_S)
             }
         }
@@ -77,7 +77,7 @@
         let (refusal, now) = {
             let mut state = self.state();
             let now = self.now();
-            if state.acting(now).is_some() {
+            if state.acting_leader(now).is_some() {
                 return None;
             }
             note_refused_heartbeat(&mut state, now);
@@ -99,7 +99,7 @@
     /// The response of a controller that doesn't lead. It names the leader only if the key-value store showed
     /// it lately: a controller that lost the store would send workers in circles.
     fn misdirected(&self, state: &ControllerState) -> Response {
-        let is_recent = self.now() - state.leader_seen < LEADER_HINT_VALID_FOR;
+        let is_recent = self.now() - state.leader_confirmed_at < LEADER_HINT_VALID_FOR;
         let leader = state
             .known_leader
             .as_ref()
@@ -112,7 +112,7 @@
     /// Wakes the loops that have something to do after a decision: the record writer and the command senders.
     pub fn wake_loops(&self, scheduler: &mut SchedulerState) {
         if std::mem::take(&mut scheduler.writes_due) {
-            self.changed.notify_all();
+            self.state_changed.notify_all();
         }
         if !scheduler.commands.due.is_empty() {
             self.commands_due.notify_one();
