--- /dev/null
+++ b/src/jobs/admission.rs
@@ -0,0 +1,53 @@
+//! Jobs that enter the leader's state, and when no more of them may.
+
+use super::{Job, JobId, JobSpec, Submission};
+use crate::scheduler::{MOST_CLASSES, SchedulerState};
+use crate::time::{Moment, WallTime};
+
+impl SchedulerState {
+    /// Adds an accepted job, unless it is known already. Which of its tasks may have started under an
+    /// earlier term is known from the pages of start watermarks.
+    pub fn add_job(
+        &mut self,
+        submission: &Submission,
+        revision: u64,
+        now: Moment,
+        wall: WallTime,
+    ) -> JobId {
+        if let Some(id) = self.jobs.find(&submission.id) {
+            return id;
+        }
+        let spec = submission.spec();
+        if !spec.is_standing() && self.classes.with_arrays.len() < MOST_CLASSES {
+            self.classes.with_arrays.insert(spec.class.clone());
+        }
+        let team = self.config.teams.iter().position(|t| t.name == spec.team);
+        let age = wall.0.saturating_sub(spec.accepted_at.0);
+        let accepted_at = Moment(now.0.saturating_sub(age));
+        let start_watermark = self.earlier_start_watermark(&spec, revision);
+        let mut job = Job::new(spec, team, revision, accepted_at, start_watermark);
+        if self.prior_term.released {
+            job.end_reconciliation();
+        }
+        self.placement.due = true;
+        self.jobs.insert(job)
+    }
+
+    /// Below which number the job's tasks may have started under an earlier term.
+    fn earlier_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
+        let dropped_by_older_version =
+            spec.is_standing() && revision <= self.prior_term.older_version_led_at;
+        if self.prior_term.watermarks_lost || dropped_by_older_version {
+            // Any of its tasks may have started, whatever the pages say.
+            return spec.tasks;
+        }
+        let recorded = self.jobs.start_watermarks.get(&spec.id);
+        recorded.copied().unwrap_or(0)
+    }
+
+    /// True while no more jobs may be accepted. Once full (`was_full`), it stays so until a tenth of the
+    /// memory for jobs is free.
+    pub fn is_full(&self, was_full: bool) -> bool {
+        self.jobs.is_full(self.config.job_bytes, was_full)
+    }
+}
--- a/src/leadership/failover.rs
+++ b/src/leadership/failover.rs
@@ -4,7 +4,7 @@
 use super::leader_term::{LeaseRenewal, LeaseStatus};
 use super::record_loader::{ReadingTime, RecordLoader};
 use crate::controller::Controller;
-use crate::jobs::rounds::WATERMARKS_PREFIX;
+use crate::jobs::WATERMARKS_PREFIX;
 use crate::jobs::{DONE_PREFIX, JOBS_PREFIX};
 use crate::provisioning::REGISTRY_PREFIX;
 use crate::scheduler::SchedulerState;
@@ -35,7 +35,7 @@
                 jobs_revision = Some(first_revision);
             }
         }
-        scheduler.drop_stale_watermarks();
+        scheduler.jobs.drop_stale_watermarks();
         self.state().jobs_revision = jobs_revision.unwrap_or(leader_lease.revision);
         Some(scheduler)
     }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{read_frame, write_frame};
 use super::wire::{PeerReply, PeerRequest};
-use crate::http::server::THREAD_STACK_BYTES;
+use crate::http::THREAD_STACK_BYTES;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -155,7 +155,7 @@
             let mut held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
             held.any(|(key, _)| {
                 let job = self.jobs.table.get(&key.job);
-                job.is_some_and(|j| j.spec.standing && !j.is_closed())
+                job.is_some_and(|j| j.spec.is_standing() && !j.is_closed())
             })
         };
         let names = silent.iter().filter(has_replicas).map(|m| m.name.clone());
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -35,9 +35,9 @@
     machine: &mut Machine,
     attempt: &mut Attempt,
 ) -> ExitEffect {
-    attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.standing;
+    attempt.done = exit.exit_reason == ExitReason::Done && !job.spec.is_standing();
     let running_since = attempt.running_since;
-    let effect = if job.spec.standing {
+    let effect = if job.spec.is_standing() {
         let lasted = running_since.is_some_and(|since| exit.at - since > MIN_COUNTED_RUN);
         settle_replica(exit, lasted, job, machine);
         ExitEffect::default()
@@ -55,7 +55,7 @@
 fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
-        ExitReason::Done => job.note_failure(&machine.name, exit.at),
+        ExitReason::Done => job.note_task_failure(&machine.name, exit.at),
         ExitReason::Error => note_error(exit, job, machine),
         _ => {}
     }
@@ -69,11 +69,11 @@
 ) -> ExitEffect {
     match exit.exit_reason {
         ExitReason::Done => {
-            let is_first = job.settle(exit.key.task);
+            let is_first = job.mark_done(exit.key.task);
             job.failed_on.clear();
             machine.error_streak.clear();
             ExitEffect {
-                completes_job: is_first && job.complete(),
+                completes_job: is_first && job.is_complete(),
                 run_time: running_since.map(|since| exit.at - since),
             }
         }
@@ -87,7 +87,7 @@
 
 /// An error mostly means that the machine is faulty, unless the job fails wherever it runs.
 fn note_error(exit: &Exit, job: &mut Job, machine: &mut Machine) {
-    job.note_failure(&machine.name, exit.at);
+    job.note_task_failure(&machine.name, exit.at);
     machine.error_streak.insert(exit.key.job);
     let is_job_at_fault = job.failed_on.len() >= JOB_AT_FAULT_FROM;
     if machine.error_streak.len() >= MACHINE_AT_FAULT_FROM && !is_job_at_fault {
--- a/src/workers/reported_tasks.rs
+++ b/src/workers/reported_tasks.rs
@@ -74,7 +74,9 @@
     cancel_time: Micros,
     now: Moment,
 ) {
-    let is_late = job.cancel_asked_at.is_some_and(|at| now - at > cancel_time);
+    let is_late = job
+        .cancel_requested_at
+        .is_some_and(|at| now - at > cancel_time);
     if is_late && task.status != TaskStatus::Exited {
         invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
@@ -94,8 +96,8 @@
     let Some(since) = attempt.running_since else {
         return;
     };
-    if !job.begun && now - since > MIN_COUNTED_RUN {
-        job.begun = true;
+    if !job.ran_long_enough && now - since > MIN_COUNTED_RUN {
+        job.ran_long_enough = true;
         let waited = since - job.accepted_at;
         log::debug!(
             job = job.spec.id,
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -129,7 +129,7 @@
             .filter(|(_, attempt)| attempt.status.is_none());
         unconfirmed.any(|(key, _)| {
             let job = self.jobs.table.get(&key.job);
-            let requested_at = job.and_then(|job| job.cancel_asked_at);
+            let requested_at = job.and_then(|job| job.cancel_requested_at);
             requested_at.is_some_and(|at| now - at >= limit)
         })
     }
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -1,7 +1,7 @@
 //! What a new leader may count on before it has heard from every machine of the last term.
 
 use crate::trace::{World, at, one_team, submission};
-use aspenreel::jobs::spec::{Shape, Submission};
+use aspenreel::jobs::{JobKind, Submission};
 use aspenreel::provisioning::RentalResult;
 use insta::assert_snapshot;
 
@@ -11,8 +11,8 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -100.0);
     w.recorded("big-east-2", -100.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
-    w.at(0.2).job(submission("run-2", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
+    w.at(0.2).job(submission("run-2", |s| s.tasks = 1));
     let old_token = w.report("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
     w.at(0.5).send(&old_token);
     w.at(1.0)
@@ -27,7 +27,7 @@
 fn takeover_waits_a_lease_for_a_silent_machine() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     for t in [1.0, 10.0, 20.0, 20.4] {
         w.at(t).heartbeat("big-east-1", &[]);
         w.on_timer(t).bound();
@@ -42,7 +42,7 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -60.0);
     w.recorded("big-east-8", -2.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[("big-east-1", "running")]);
     w.at(5.0).list(&[("big-east-1", "running")]).bound();
@@ -62,7 +62,7 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -60.0);
     w.recorded("big-east-2", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
     w.at(1.0).heartbeat("big-east-1", &[]).bound();
     let woken = w.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
     w.at(3.0).send(&woken).bound();
@@ -83,7 +83,7 @@
 fn listed_late_and_gone() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0).list(&[
         ("big-east-1", "running"),
@@ -106,7 +106,7 @@
 #[test]
 fn booting_machines_are_not_waited_for() {
     let mut w = World::new(2, one_team());
-    w.job(submission("run-1", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
     w.scheduler.provisioning.listed = true;
     w.scheduler.plan_rentals(at(1.0));
     let rental_requests = w.scheduler.provisioning.rental_requests.clone();
@@ -137,9 +137,9 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -50.0);
     w.recorded("big-east-1", -50.0);
-    w.accepted(submission("run-1", |s| s.pieces = 4), 2);
-    w.old_job(submission("run-2", |s| s.pieces = 1));
-    w.accepted(submission("run-3", |s| s.pieces = 1), 0);
+    w.accepted(submission("run-1", |s| s.tasks = 4), 2);
+    w.old_job(submission("run-2", |s| s.tasks = 1));
+    w.accepted(submission("run-3", |s| s.tasks = 1), 0);
     w.at(1.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
         .on_timer(1.2)
@@ -165,7 +165,7 @@
 fn a_copy_comes_first() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -100.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
     let copy = w.report(
         "big-east-1",
         4,
@@ -189,7 +189,7 @@
 fn a_copy_of_an_earlier_session_frees_nothing() {
     let mut w = World::new(5, one_team());
     w.recorded("big-east-1", -60.0);
-    w.old_job(submission("run-1", |s| s.pieces = 1));
+    w.old_job(submission("run-1", |s| s.tasks = 1));
     w.at(0.5).heartbeat("big-east-2", &[]);
     let copy = w.report("big-east-1", 4, 1, &[]);
     let next_session = w.report("big-east-1", 4, 2, &[]);
@@ -208,15 +208,15 @@
     let mut w = World::new(5, one_team());
     w.recorded("big-east-9", -50.0);
     let standing = |s: &mut Submission| {
-        s.shape = Shape::Standing;
-        s.pieces = 1;
+        s.kind = JobKind::Standing;
+        s.tasks = 1;
     };
     // The roster's page has revision 101, the jobs the next ones.
     w.scheduler.prior_term.older_version_led_at = 103;
     w.accepted(submission("run-1", standing), 0);
     w.accepted(submission("run-2", standing), 0);
     w.accepted(submission("run-3", standing), 0);
-    w.accepted(submission("run-4", |s| s.pieces = 1), 0);
+    w.accepted(submission("run-4", |s| s.tasks = 1), 0);
     w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.2).bound();
     let back = ["run-3/0#5.1 running", "run-4/0#5.2 running"];
     w.at(20.0).heartbeat("big-east-1", &back).bound();
