--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -31,13 +31,14 @@
             "/rentals/return" => {
                 #[derive(Deserialize)]
                 struct Names {
-                    hosts: Vec<String>,
+                    #[serde(rename = "hosts")]
+                    machines: Vec<String>,
                 }
                 let names: Names = decode(&r.body).unwrap();
-                for name in &names.hosts {
+                for name in &names.machines {
                     self.remove_machine(name, |m, now| m.gone_at = Some(now));
                 }
-                answer(cbor!({"hosts" => names.hosts}))
+                answer(cbor!({"hosts" => names.machines}))
             }
             _ => answer(self.listed(&r.path)),
         }
@@ -55,7 +56,7 @@
                 .is_none_or(|t| t + secs(LISTED_AFTER_DEATH_S) > then);
             m.created <= then && m.gone_at.is_none_or(|t| t > then) && died
         };
-        let mut hosts: Vec<Value> = state
+        let mut machines: Vec<Value> = state
             .machines
             .values()
             .filter(|m| m.name > since)
@@ -73,9 +74,9 @@
                 .unwrap()
             })
             .collect();
-        let more = hosts.len() > most;
-        hosts.truncate(most);
-        cbor!({"hosts" => hosts, "more" => more})
+        let more = machines.len() > most;
+        machines.truncate(most);
+        cbor!({"hosts" => machines, "more" => more})
     }
 
     /// Whether the cloud takes one more request now: so many a second, and bursts of two seconds' worth.
@@ -95,20 +96,24 @@
     pub(crate) fn rented(self: &Arc<Self>, body: &[u8]) -> (u16, Vec<u8>) {
         #[derive(Deserialize)]
         struct Rent {
-            hire: String,
-            build: String,
-            yard: String,
-            loaners: bool,
+            #[serde(rename = "hire")]
+            request: String,
+            #[serde(rename = "build")]
+            type_name: String,
+            #[serde(rename = "yard")]
+            zone: String,
+            #[serde(rename = "loaners")]
+            spot: bool,
             count: usize,
         }
         let rent: Rent = decode(body).unwrap();
-        let known = self.state().cloud.rentals.get(&rent.hire).cloned();
+        let known = self.state().cloud.rentals.get(&rent.request).cloned();
         let names = match known {
             Some(names) => names,
             None => {
                 let there = {
                     let state = self.state();
-                    let alike = |m: &&Machine| m.alive() && m.zone == rent.yard;
+                    let alike = |m: &&Machine| m.alive() && m.zone == rent.zone;
                     state.machines.values().filter(alike).count()
                 };
                 let count = rent.count.min(self.setup.capacity.saturating_sub(there));
@@ -120,11 +125,11 @@
                 let names: Vec<String> = (0..count)
                     .map(|_| {
                         let after = self.random(boot / 2..boot * 3 / 2);
-                        self.boot(&rent.build, &rent.yard, rent.loaners, after)
+                        self.boot(&rent.type_name, &rent.zone, rent.spot, after)
                     })
                     .collect();
                 let mut state = self.state();
-                state.cloud.rentals.insert(rent.hire, names.clone());
+                state.cloud.rentals.insert(rent.request, names.clone());
                 names
             }
         };
--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -29,7 +29,7 @@
             3.0 + rng.f64() * 25.0,
         );
         plan.team = ["a", "a", "b"][rng.usize(0..3)].into();
-        plan.rank = ["low", "normal", "high"][rng.usize(0..3)];
+        plan.priority = ["low", "normal", "high"][rng.usize(0..3)];
         match rng.u32(0..8) {
             0 => plan.one_zone = true,
             1 => plan.spread = true,
--- a/crates/simulation/src/observations.rs
+++ b/crates/simulation/src/observations.rs
@@ -30,7 +30,7 @@
     /// Its tasks may run on spot machines.
     pub spot: bool,
     /// Its priority, by the name on the wire.
-    pub rank: &'static str,
+    pub priority: &'static str,
 }
 
 impl JobPlan {
@@ -49,7 +49,7 @@
             one_zone: false,
             spread: false,
             spot: true,
-            rank: "normal",
+            priority: "normal",
         }
     }
 }
--- a/crates/simulation/src/older_version.rs
+++ b/crates/simulation/src/older_version.rs
@@ -94,7 +94,7 @@
 fn claims_rewritten(keys: &FakeStore) -> Vec<Change> {
     let unknown = |id: &str| {
         let job = keys.data(&format!("jobs/{id}"));
-        job.is_some_and(|data| shape_of(&data) != "array")
+        job.is_some_and(|data| kind_of(&data) != "array")
     };
     let stored: Vec<&String> = keys
         .rows
@@ -117,12 +117,13 @@
     deleted.chain(written).collect()
 }
 
-fn shape_of(data: &Value) -> String {
+fn kind_of(data: &Value) -> String {
     #[derive(Deserialize)]
     struct Job {
-        shape: String,
+        #[serde(rename = "shape")]
+        kind: String,
     }
-    from_value::<Job>(data).map_or(String::new(), |job| job.shape)
+    from_value::<Job>(data).map_or(String::new(), |job| job.kind)
 }
 
 #[derive(Serialize)]
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -85,25 +85,26 @@
         if !more {
             self.lists_served.fetch_add(1, Ordering::Relaxed);
         }
-        let host = |name: &String| {
+        let listed_machine = |name: &String| {
             let status = "running";
             cbor!({"ref" => name, "build" => "small", "yard" => "east", "loaners" => true,
                 "status" => status, "heldS" => 9.0})
         };
-        let hosts: Result<Vec<Value>, _> = names.iter().map(host).collect();
-        cbor!({"hosts" => hosts?, "more" => more})
+        let listed_machines: Result<Vec<Value>, _> = names.iter().map(listed_machine).collect();
+        cbor!({"hosts" => listed_machines?, "more" => more})
     }
 
     /// By the time the answer is given, returned machines and everything on them are gone.
     fn take_back(&self, body: &[u8]) {
         #[derive(Deserialize)]
         struct Return {
-            hosts: Vec<String>,
+            #[serde(rename = "hosts")]
+            machines: Vec<String>,
         }
         let returned: Return = decode(body).unwrap();
-        let mut machines = self.machines.lock().unwrap();
-        for host in returned.hosts {
-            if let Some(worker) = machines.remove(&host) {
+        let mut present = self.machines.lock().unwrap();
+        for name in returned.machines {
+            if let Some(worker) = present.remove(&name) {
                 worker.remove();
             }
         }
@@ -137,17 +138,18 @@
             "/rentals" if r.method == "POST" => {
                 #[derive(Deserialize)]
                 struct Rent {
-                    hire: String,
+                    #[serde(rename = "hire")]
+                    request: String,
                     count: usize,
                 }
                 let rent: Rent = decode(&r.body).unwrap();
-                let known = self.rentals.lock().unwrap().get(&rent.hire).cloned();
+                let known = self.rentals.lock().unwrap().get(&rent.request).cloned();
                 let names = known.unwrap_or_else(|| {
                     let names: Vec<String> = (0..rent.count.min(self.max_machines_per_rental()))
                         .map(|_| self.boot())
                         .collect();
                     let mut rentals = self.rentals.lock().unwrap();
-                    rentals.insert(rent.hire.clone(), names.clone());
+                    rentals.insert(rent.request.clone(), names.clone());
                     names
                 });
                 answer(200, cbor!({"hosts" => names}))
--- a/crates/simulation/src/stand_ins/processes.rs
+++ b/crates/simulation/src/stand_ins/processes.rs
@@ -164,10 +164,10 @@
 }
 
 /// A submission of an array of team `a`, as it stands on the wire.
-pub fn job(id: &str, pieces: u32, cpus: f64) -> Vec<u8> {
+pub fn job(id: &str, tasks: u32, cpus: f64) -> Vec<u8> {
     let wire = cbor!({
         "ref" => id, "lane" => "train", "crew" => "a", "shape" => "array", "rank" => "normal",
-        "pieces" => pieces, "cpus" => cpus, "gpus" => 0, "ramGb" => 1.0, "bundle" => "img",
+        "pieces" => tasks, "cpus" => cpus, "gpus" => 0, "ramGb" => 1.0, "bundle" => "img",
         "imageGb" => 1.0, "builds" => null, "samePlace" => false, "spread" => false,
         "loaners" => true, "guessS" => 1, "bookmarkS" => 0, "stashS" => 0, "extra" => [1, 2]
     })
--- a/crates/simulation/src/user_job.rs
+++ b/crates/simulation/src/user_job.rs
@@ -24,7 +24,7 @@
     let wire = cbor!({
         "ref" => &p.id, "lane" => "train", "crew" => &p.team,
         "shape" => if p.standing { "standing" } else { "array" },
-        "rank" => p.rank, "pieces" => p.tasks, "cpus" => p.cpus, "gpus" => 0.0, "ramGb" => 1.0,
+        "rank" => p.priority, "pieces" => p.tasks, "cpus" => p.cpus, "gpus" => 0.0, "ramGb" => 1.0,
         "bundle" => "img", "imageGb" => 1.0, "yard" => p.zone.clone(),
         "samePlace" => p.one_zone, "spread" => p.spread, "loaners" => p.spot,
         "guessS" => if p.standing { 0.0 } else { p.run_s }, "bookmarkS" => if p.save_s > 0.0 { 5.0 } else { 0.0 },
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -47,7 +47,7 @@
     let ends = run(SEEDS_OF_EACH, &setup(), |sim, rng| {
         let ids = jobs(sim, 4.0, 70.0, 60, |i, p| {
             p.run_s = 6.0 + f64::from(i % 4) * 6.0;
-            p.rank = ["low", "normal", "high", "production"][i as usize % 4];
+            p.priority = ["low", "normal", "high", "production"][i as usize % 4];
             p.standing = i % 20 == 0;
         });
         sim.at(6.0, move |sim| {
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -45,7 +45,7 @@
     let ends = run(1, &site, move |sim, _| {
         // One task for each machine takes all of it.
         let mut everywhere = JobPlan::new(1, all as u32, CPUS, 60.0);
-        everywhere.rank = "high";
+        everywhere.priority = "high";
         sim.submit(15.0, everywhere);
         sim.at(60.0, move |sim| {
             let busy = sim.state().checker.on("run-1");
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -213,7 +213,7 @@
     let ends = run(SEEDS, &site, |sim, rng| {
         sim.state().slow_links = 60;
         let ids = jobs(sim, 4.0, 60.0, 40, |i, p| {
-            p.rank = ["low", "normal", "high", "production"][i as usize % 4];
+            p.priority = ["low", "normal", "high", "production"][i as usize % 4];
             p.tasks = 1 + i % 4;
             p.cpus = 4.0;
             p.run_s = 8.0;
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -53,7 +53,7 @@
     };
     let ends = run(SEEDS, &site, |sim, _| {
         jobs(sim, 4.0, 90.0, 60, |i, p| {
-            p.rank = ["low", "normal", "high", "production"][i as usize % 4];
+            p.priority = ["low", "normal", "high", "production"][i as usize % 4];
             p.cpus = 4.0;
             p.run_s = 8.0;
         });
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -17,7 +17,7 @@
         p.standing = true;
         p.tasks = 2 + i % 3;
         p.cpus = 1.0;
-        p.rank = "production";
+        p.priority = "production";
         p.spread = i % 4 == 3;
         p.run_s = match i % 3 {
             0 => 40.0,
@@ -77,7 +77,7 @@
     jobs(sim, 6.0, 20.0, 8, |i, p| {
         p.id = format!("run-{}", 600 + i);
         p.standing = true;
-        p.rank = "production";
+        p.priority = "production";
         p.cpus = 1.0;
         p.tasks = 3;
         p.run_s = 100_000.0;
@@ -104,7 +104,7 @@
         let services = services_of_every_kind(sim);
         jobs(sim, 4.0, 90.0, 60, |i, p| {
             p.run_s = 4.0 + f64::from(i % 4) * 4.0;
-            p.rank = "low";
+            p.priority = "low";
         });
         ask_closely(sim, &services);
         for (n, id) in services.iter().enumerate() {
@@ -166,7 +166,7 @@
         jobs(sim, 4.0, 40.0, 200, |i, p| {
             p.id = format!("run-{}", 3000 + i);
             p.standing = true;
-            p.rank = "production";
+            p.priority = "production";
             p.cpus = 0.25;
             p.tasks = 2 + i % 3;
             p.run_s = 100_000.0;
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -33,11 +33,11 @@
         standing_jobs(sim, rng);
         for i in 0..200 {
             let mut plan = JobPlan::new(1000 + i, 1, 0.1, 30.0);
-            plan.rank = "low";
+            plan.priority = "low";
             sim.submit(10.0 + 0.15 * f64::from(i), plan);
         }
         let mut large = JobPlan::new(2000, 100_000, 0.1, 2.0);
-        large.rank = "low";
+        large.priority = "low";
         sim.submit(30.0, large);
         let lowered = 42.0 + rng.f64() * 16.0;
         sim.at(lowered, |sim| sim.state().store.limits = Some(LOWERED));
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -327,9 +327,9 @@
     fn provisioning(&mut self) {
         let now = self.now();
         self.scheduler.plan_rentals(now);
-        for hire in self.scheduler.provisioning.rental_requests.clone() {
+        for request in self.scheduler.provisioning.rental_requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
-            let count = u64::from(hire.count).min(left);
+            let count = u64::from(request.count).min(left);
             let names: Vec<String> = (0..count)
                 .map(|_| {
                     self.machines += 1;
@@ -354,7 +354,7 @@
                 true => RentalResult::NoCapacity,
                 false => RentalResult::Rented(names),
             };
-            self.scheduler.rental_answered(&hire.name, result, now);
+            self.scheduler.rental_answered(&request.name, result, now);
         }
         let names = self.scheduler.plan_returns(now);
         for name in &names {
@@ -368,7 +368,7 @@
     }
 
     fn list(&mut self) {
-        let hosts: Vec<ciborium::Value> = self
+        let machines: Vec<ciborium::Value> = self
             .workers
             .values()
             .map(|w| {
@@ -382,7 +382,7 @@
                 .unwrap()
             })
             .collect();
-        let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
+        let wire = encode(&cbor!({"hosts" => machines, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
         self.scheduler.listed(&list.hosts, now, now);
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -107,10 +107,10 @@
 }
 
 /// A submission of a standing job, with some fields changed or left out.
-fn service(id: &str, pieces: u32, edit: &[(&str, Option<Value>)]) -> Vec<u8> {
+fn service(id: &str, tasks: u32, edit: &[(&str, Option<Value>)]) -> Vec<u8> {
     let wire = cbor!({
         "ref" => id, "lane" => "portal", "crew" => "a", "shape" => "standing",
-        "rank" => "production", "pieces" => pieces, "cpus" => 4, "gpus" => 0, "ramGb" => 1.0,
+        "rank" => "production", "pieces" => tasks, "cpus" => 4, "gpus" => 0, "ramGb" => 1.0,
         "bundle" => "img", "imageGb" => 1.0, "samePlace" => false, "spread" => false,
         "loaners" => true, "guessS" => 0, "bookmarkS" => 0, "stashS" => 0
     });
--- a/tests/service/side_by_side.rs
+++ b/tests/service/side_by_side.rs
@@ -62,10 +62,10 @@
     Some(dir.join("target/release/aspenreel"))
 }
 
-fn standing(id: &str, pieces: u32) -> Vec<u8> {
+fn standing(id: &str, tasks: u32) -> Vec<u8> {
     let wire = cbor!({
         "ref" => id, "lane" => "portal", "crew" => "a", "shape" => "standing",
-        "rank" => "production", "pieces" => pieces, "cpus" => 1, "gpus" => 0, "ramGb" => 1.0,
+        "rank" => "production", "pieces" => tasks, "cpus" => 1, "gpus" => 0, "ramGb" => 1.0,
         "bundle" => "img", "imageGb" => 1.0, "samePlace" => false, "spread" => false,
         "loaners" => true, "guessS" => 0, "bookmarkS" => 0, "stashS" => 0
     });
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -37,8 +37,8 @@
         .at(9.0)
         .heartbeat(&name, &["run-1/0#2.1 stopped"])
         .bound();
-    let next_session = trace.report(&name, 2, 2, &[]);
-    trace.at(40.0).send(&next_session).round(true);
+    let next_epoch = trace.report(&name, 2, 2, &[]);
+    trace.at(40.0).send(&next_epoch).round(true);
     assert_snapshot!(trace.log);
 }
 
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -204,9 +204,9 @@
     trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.at(0.5).heartbeat("big-east-2", &[]);
     let copy = trace.report("big-east-1", 4, 1, &[]);
-    let next_session = trace.report("big-east-1", 4, 2, &[]);
+    let next_epoch = trace.report("big-east-1", 4, 2, &[]);
     trace.at(1.0).send(&copy).bound();
-    trace.at(2.0).send(&next_session).bound();
+    trace.at(2.0).send(&next_epoch).bound();
     trace.at(3.0).heartbeat("big-east-2", &[]).bound();
     let reconciled = trace.report("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
     trace.at(4.0).send(&reconciled).bound();
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -22,8 +22,8 @@
     trace.on_timer(30.0).bound();
     let after_lease = trace.report("big-east-1", 2, 1, &["run-1/0#2.1 done"]);
     trace.send(&after_lease).view("run-1");
-    let next_session = trace.report("big-east-1", 2, 2, &[]);
-    trace.at(31.0).send(&next_session).bound();
+    let next_epoch = trace.report("big-east-1", 2, 2, &[]);
+    trace.at(31.0).send(&next_epoch).bound();
     let higher = trace.report("big-east-1", 3, 2, &[]);
     trace.at(32.0).send(&higher);
     assert_snapshot!(trace.log);
