--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -32,6 +32,6 @@
             scheduler.apply_written(write, revision);
         }
         scheduler.place_soon(self.now());
-        self.wake(scheduler);
+        self.wake_loops(scheduler);
     }
 }
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -127,7 +127,7 @@
         if self.gate.term != lead.term {
             self.gate = AdmissionGate::new(lead.term);
         }
-        if scheduler.token_raise_due(now) && self.tokens.available(now) >= 1.0 {
+        if scheduler.fencing_token_raise_due(now) && self.tokens.available(now) >= 1.0 {
             return Step::RaiseFencingToken(lead.clone());
         }
         let is_full = scheduler.is_full(self.gate.closed);
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -6,7 +6,7 @@
 use crate::invariants::{self, Invariant};
 use crate::scheduler::SchedulerState;
 use crate::store::{Change, Precondition, to_value};
-use crate::workers::DeliveryStatus;
+use crate::workers::{AttemptKey, DeliveryStatus};
 
 /// Changes of a retirement beside its done set's chunks: the final record and the job's own.
 const CHANGES_BESIDE_CHUNKS: usize = 2;
@@ -57,7 +57,7 @@
     fn has_attempt(&self, id: JobId, matches: impl Fn(DeliveryStatus) -> bool) -> bool {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
             .any(|(_, attempt)| matches(attempt.delivery))
     }
 
@@ -79,9 +79,9 @@
         self.commands.awaiting_watermark.remove(&id);
         for machine in self.machines.values_mut() {
             let before = machine.attempts.len();
-            machine.attempts.retain(|key, _| key.0 != id);
+            machine.attempts.retain(|key, _| key.job != id);
             if machine.attempts.len() < before {
-                machine.rooms.set(None);
+                machine.free_resources.set(None);
             }
         }
     }
--- a/src/jobs/write_results.rs
+++ b/src/jobs/write_results.rs
@@ -144,9 +144,9 @@
             .mark_written(image.number, image.version, revision);
         for (name, _) in &image.entries {
             if let Some(machine) = self.machines.get_mut(name)
-                && !machine.recorded
+                && !machine.registered
             {
-                machine.recorded = true;
+                machine.registered = true;
                 self.placement.due = true;
             }
         }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -3,6 +3,7 @@
 use crate::jobs::JobSpec;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
+use crate::workers::AttemptKey;
 use std::collections::BTreeMap;
 
 impl JobSpec {
@@ -39,8 +40,8 @@
         for m in self.machines.values() {
             let here = m
                 .attempts
-                .range((id, 0, 0)..=(id, u32::MAX, u64::MAX))
-                .filter(|(_, a)| a.holds())
+                .range(AttemptKey::all_of(id))
+                .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if here > 0 {
                 *zones.entry(m.zone.clone()).or_insert(0) += here;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -145,7 +145,7 @@
         self.prior_term.unreconciled.retain(|name| {
             let seen = machines
                 .get(name)
-                .is_some_and(|m| m.reconciled || m.epoch_over);
+                .is_some_and(|m| m.reconciled || m.epoch_ended);
             !seen && !provisioning.is_gone(name)
         });
         let lease_over = now - self.started >= self.lease_span();
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -8,8 +8,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::DirectResult;
 use aspenreel::workers::HeartbeatReply;
-use aspenreel::workers::direct::DirectResult;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
 };
@@ -280,7 +280,7 @@
 
     /// Puts a higher fencing token on record, if one is wanted.
     fn raise_fencing_token(&mut self) {
-        if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
+        if self.raises_tokens && self.scheduler.fencing_token_raise_due(self.now) {
             let fencing_token = self.scheduler.fencing.newest() + 1;
             self.scheduler.fencing_token_raised(fencing_token, self.now);
             self.note(&format!("fencing token {fencing_token} is on record"));
@@ -320,7 +320,7 @@
 
     /// Sends one direct call, if there is one, and ends it as told.
     pub fn direct(&mut self, result: impl FnOnce(&mut LeaderTrace) -> DirectResult) -> &mut Self {
-        let Some(call) = self.scheduler.next_direct(self.now) else {
+        let Some(call) = self.scheduler.next_direct_call(self.now) else {
             self.note("no direct call");
             return self;
         };
@@ -328,16 +328,16 @@
         let result = result(self);
         let end = match &result {
             DirectResult::Answered(_) => "answered",
-            DirectResult::Unsent => "not sent",
-            DirectResult::Unreached => "no connection",
-            DirectResult::Unknown => "no answer",
+            DirectResult::NotSent => "not sent",
+            DirectResult::Unreachable => "no connection",
+            DirectResult::OutcomeUnknown => "no answer",
         };
         self.note(&format!(
             "direct to {}: {} -> {end}",
             call.machine,
             commands.join(", ")
         ));
-        self.scheduler.direct_done(&call, result, self.now);
+        self.scheduler.direct_call_finished(&call, result, self.now);
         self
     }
 
@@ -429,8 +429,8 @@
             let tasks: Vec<String> = m
                 .attempts
                 .iter()
-                .filter(|(_, a)| a.holds())
-                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.0].spec.id, k.1))
+                .filter(|(_, a)| a.holds_resources())
+                .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.job].spec.id, k.task))
                 .collect();
             lines.push(format!("{}: {}", m.name, tasks.join(" ")));
         }
