--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -55,12 +55,12 @@
     }
     add_job(&mut scheduler, 1, machines * TASKS_A_MACHINE, 61);
     let filling = Instant::now();
-    scheduler.place(at(61));
+    scheduler.run_placement_pass(at(61));
     let filling_pass = filling.elapsed();
     let placed = scheduler.machines.values().map(|m| m.attempts.len()).sum();
     add_job(&mut scheduler, 2, machines, 62);
     let full = Instant::now();
-    scheduler.place(at(62));
+    scheduler.run_placement_pass(at(62));
     let full_pass = full.elapsed();
     let reports: Vec<Heartbeat> = (0..machines)
         .map(|number| report(number, 3, running(&scheduler, number)))
@@ -99,20 +99,20 @@
             gpus: 0.0,
             gpus_max: 0.0,
         }],
-        lease: Micros::from_secs(20),
-        cancel: Micros::from_secs(46),
-        report: Micros::from_secs(3),
+        worker_lease: Micros::from_secs(20),
+        cancellation_bound: Micros::from_secs(46),
+        heartbeat_interval: Micros::from_secs(3),
         list_lag: Micros::from_secs(5),
-        sample: 3,
-        idle: Micros::from_secs(30),
-        on_demand_patience: Micros::from_secs(120),
-        reserve: 0.0,
+        candidate_sample: 3,
+        max_idle: Micros::from_secs(30),
+        on_demand_max_wait: Micros::from_secs(120),
+        headroom: 0.0,
         objectives: Vec::new(),
-        patience: Micros::from_secs(90),
-        remembered: 5000,
+        max_queue_wait: Micros::from_secs(90),
+        max_gone_machines: 5000,
         value_bytes: 8192,
         job_bytes: 1 << 30,
-        most_machines: machines as usize,
+        max_machines: machines as usize,
     }
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -123,7 +123,7 @@
         let now = os.now();
         let nodes = settings.members.len() as f64 + 1.0;
         let site = &settings.settings;
-        let limits = site.state.strict();
+        let limits = site.state.strictest();
         // What the leader's budget leaves is for submissions, shared among the nodes.
         let submit = limits.write_rps * (1.0 - options.write_budget as f64 / 100.0) / nodes;
         let peers = settings
@@ -142,7 +142,7 @@
                 .with_evidence(sink),
             cloud: os.http(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
-                terminal_states: TerminalStates::new(site.quota.remembered()),
+                terminal_states: TerminalStates::new(site.quota.max_remembered()),
                 ..ControllerState::default()
             }),
             changed: os.signal(),
@@ -182,20 +182,20 @@
         let site = &self.settings.settings;
         SchedulerConfig {
             teams: site.teams.clone(),
-            lease: site.workers.lease(),
-            cancel: Micros::from_secs_f64(site.workers.cancel_s),
-            report: site.workers.report(),
+            worker_lease: site.workers.lease(),
+            cancellation_bound: Micros::from_secs_f64(site.workers.cancel_s),
+            heartbeat_interval: site.workers.heartbeat_interval(),
             list_lag: Micros::from_secs_f64(site.cloud.list_lag_s),
-            sample: self.options.sample as usize,
-            idle: Micros::from_millis(self.options.idle_ms),
-            on_demand_patience: Micros::from_millis(self.options.on_demand_patience_ms),
-            reserve: self.options.reserve as f64 / 100.0,
+            candidate_sample: self.options.sample as usize,
+            max_idle: Micros::from_millis(self.options.idle_ms),
+            on_demand_max_wait: Micros::from_millis(self.options.on_demand_patience_ms),
+            headroom: self.options.reserve as f64 / 100.0,
             objectives: site.objectives.clone(),
-            patience: Micros::from_millis(self.options.patience_ms),
-            remembered: site.quota.remembered(),
-            value_bytes: site.state.strict().value_bytes(),
+            max_queue_wait: Micros::from_millis(self.options.patience_ms),
+            max_gone_machines: site.quota.max_remembered(),
+            value_bytes: site.state.strictest().value_bytes(),
             job_bytes: site.quota.job_bytes(),
-            most_machines: site.quota.most_machines(),
+            max_machines: site.quota.max_machines(),
         }
     }
 
@@ -217,7 +217,7 @@
             ("lead", duty(Controller::lead_loop)),
             ("rounds", duty(Controller::rounds_loop)),
             ("jobs", duty(Controller::jobs_loop)),
-            ("fleet", duty(Controller::fleet_loop)),
+            ("fleet", duty(Controller::cloud_sync_loop)),
             ("tick", duty(Controller::timer_loop)),
             ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
@@ -296,7 +296,7 @@
                 scheduler.on_timer(now);
                 if log::log_enabled!(log::Level::Debug) && now - told > SUMMARY_EVERY {
                     told = now;
-                    log::debug!("{}", scheduler.summary(now));
+                    log::debug!("{}", scheduler.capacity_summary(now));
                     log::debug!("{}", scheduler.command_summary());
                 }
                 self.wake(scheduler);
@@ -325,7 +325,7 @@
                     return PeerReply::Job(view);
                 }
                 match state.acting(now) {
-                    Some((_, scheduler)) => match scheduler.view(&id) {
+                    Some((_, scheduler)) => match scheduler.job_status(&id) {
                         LocalStatus::View(view) => PeerReply::Job(view),
                         LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => {
                             PeerReply::Unknown
--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -53,7 +53,7 @@
 
 impl Controller {
     pub fn rounds_loop(&self) {
-        let site = self.settings.settings.state.strict();
+        let site = self.settings.settings.state.strictest();
         let rate = site.write_rps * self.options.write_budget as f64 / 100.0;
         let round = Micros::from_millis(self.options.round_ms);
         let mut tokens = TokenBucket::new(rate, rate.max(site.txn_ops as f64), self.now());
@@ -251,7 +251,7 @@
             }
             scheduler.written(write, revision);
         }
-        scheduler.place_soon(self.now());
+        scheduler.place_if_due(self.now());
         self.wake(scheduler);
     }
 
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -154,7 +154,7 @@
             team: self.crew.clone(),
             rank: self.rank,
             tasks: self.pieces.min(MAX_TASKS) as u32,
-            need: Resources::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
+            need: Resources::demand(self.cpus.0, self.gpus.0, self.ram_gb.0),
             image: self.bundle.clone(),
             image_gb: self.image_gb.0,
             types: self.builds.clone(),
@@ -185,9 +185,9 @@
         let spec = self.spec();
         // Tasks of an array may run one after the other; replicas run together.
         let together = if spec.standing { spec.tasks } else { 1 };
-        let mut least = spec.need.by(i64::from(together));
+        let mut least = spec.need.scaled(i64::from(together));
         least.ram = 0;
-        if !least.fits(Resources::have(team.cpus_max, team.gpus_max, 0.0)) {
+        if !least.fits(Resources::capacity(team.cpus_max, team.gpus_max, 0.0)) {
             return never("more than the team's limit");
         }
         if let Some(zone) = &spec.zone
@@ -196,7 +196,7 @@
             return never("unknown zone");
         }
         let fits = catalog.iter().any(|t| {
-            spec.need.fits(t.room)
+            spec.need.fits(t.capacity)
                 && spec.types.as_ref().is_none_or(|a| a.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
--- a/src/jobs/users.rs
+++ b/src/jobs/users.rs
@@ -265,7 +265,7 @@
         let wall = self.os.wall();
         submission.accepted_us = wall.0;
         let data = to_value(&submission);
-        if json_len(&data) > self.settings.settings.state.strict().value_bytes() {
+        if json_len(&data) > self.settings.settings.state.strictest().value_bytes() {
             log::info!("{id} is too large to be kept");
             return Accepted::Refused;
         }
@@ -292,7 +292,7 @@
                     && let Some((_, scheduler)) = state.acting(now)
                 {
                     scheduler.add_job(&submission, revision, now, wall);
-                    scheduler.place_soon(now);
+                    scheduler.place_if_due(now);
                     self.wake(scheduler);
                 }
                 Accepted::New
@@ -375,7 +375,7 @@
                 return PeerReply::Job(view);
             }
             let now = self.now();
-            match state.acting(now).map(|(_, c)| c.view(id)) {
+            match state.acting(now).map(|(_, c)| c.job_status(id)) {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
                 Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
@@ -397,7 +397,7 @@
         let now = self.now();
         match (state.terminal_states.get(id), state.acting(now)) {
             (Some(view), _) => LocalStatus::View(view),
-            (None, Some((_, scheduler))) => scheduler.view(id),
+            (None, Some((_, scheduler))) => scheduler.job_status(id),
             (None, None) => LocalStatus::Nothing,
         }
     }
--- a/src/leadership/edge.rs
+++ b/src/leadership/edge.rs
@@ -275,7 +275,7 @@
                         }
                     }
                     if now < lead.valid_until {
-                        scheduler.place_soon(now);
+                        scheduler.place_if_due(now);
                         self.wake(scheduler);
                     }
                 }
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -83,8 +83,11 @@
         let zones = members.map(|m| (NodeName(m.node.clone()), m.location.clone()));
         let zones = zones.collect();
         let site = &settings.settings;
-        let window = site.workers.report().scaled(2.0) + WORKER_RETRY;
-        let direct = site.workers.report().scaled(DIRECT_VIEW_REPORTS);
+        let window = site.workers.heartbeat_interval().scaled(2.0) + WORKER_RETRY;
+        let direct = site
+            .workers
+            .heartbeat_interval()
+            .scaled(DIRECT_VIEW_REPORTS);
         let believed_for = BelievedFor {
             direct: direct.max(SHORTEST_BELIEF),
             stored: STORED_VIEW_BELIEVED_FOR,
@@ -108,7 +111,7 @@
         Links {
             tracker: Mutex::new(LinkTracker::new(links.clone(), &peers)),
             views: Mutex::new(ViewBook::new(own.clone(), &peers, believed_for)),
-            refused: Mutex::new(RefusedWorkers::new(site.quota.most_machines(), window)),
+            refused: Mutex::new(RefusedWorkers::new(site.quota.max_machines(), window)),
             published: ArcSwap::from_pointee(published),
             sink: Arc::default(),
             process: wall.0,
--- a/src/main.rs
+++ b/src/main.rs
@@ -56,7 +56,7 @@
 
 fn roll_back(options: RollbackOptions) -> Result<(), String> {
     let settings = Settings::load(&options.config).map_err(|e| e.to_string())?;
-    let rate = settings.settings.state.strict().rps;
+    let rate = settings.settings.state.strictest().rps;
     let store = Store::new(settings.endpoints.state, rate, Arc::new(System::default()));
     allow_earlier_versions(&store).map_err(|e| e.to_string())?;
     println!("controllers of earlier versions may lead");
--- a/src/placement/fit.rs
+++ b/src/placement/fit.rs
@@ -29,7 +29,10 @@
             return None;
         }
         let mut best: Option<(f64, usize)> = None;
-        let sample = self.config.sample.max(pass.roomy.len() / DRAWN_OF);
+        let sample = self
+            .config
+            .candidate_sample
+            .max(pass.roomy.len() / DRAWN_OF);
         for _ in 0..sample {
             if pass.roomy.is_empty() {
                 break;
@@ -74,7 +77,7 @@
         {
             return None;
         }
-        let rate = self.provisioning.fetch_rate(&m.type_name);
+        let rate = self.provisioning.fetch_gb_per_s_of(&m.type_name);
         let fetch = match m.images.get(&job.spec.image) {
             Some(i) if i.cached => 0.0,
             Some(i) => i.gb / rate * 0.5,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -49,7 +49,7 @@
     reserved: usize,
     /// Needs that no place had room for; room only shrinks in a pass.
     unplaceable: Vec<Resources>,
-    team_room: Vec<Resources>,
+    quota_left: Vec<Resources>,
     /// Worked out when a job needs room made for the first time.
     victims: Option<Vec<Victim>>,
     /// What teams use beyond their guarantees.
@@ -71,21 +71,21 @@
             && !m.returning
             && !m.faulty
             && !m.has_preemption_notice
-            && m.is_alive(self.config.report, now)
+            && m.is_alive(self.config.heartbeat_interval, now)
     }
 
     /// A pass, if something changed and the last one was long enough ago.
-    pub fn place_soon(&mut self, now: Moment) {
+    pub fn place_if_due(&mut self, now: Moment) {
         if self.permissions().assign && self.placement.may_run(self.machines.len(), now) {
-            self.place(now);
+            self.run_placement_pass(now);
         }
     }
 
     /// One pass: binds waiting tasks to machines and marks what must make room.
-    pub fn place(&mut self, now: Moment) {
+    pub fn run_placement_pass(&mut self, now: Moment) {
         self.placement.due = false;
         self.placement.last_pass = now;
-        let (order, beyond) = self.order_and_beyond(now);
+        let (order, beyond) = self.queue_order_and_over_quota(now);
         if order.is_empty() {
             return;
         }
@@ -118,7 +118,7 @@
                 }
             })
             .collect();
-        let used = self.team_use();
+        let used = self.team_usage();
         let over = used.iter().zip(&self.config.teams);
         PlacementPass {
             roomy: (0..places.len())
@@ -129,7 +129,7 @@
                 .collect(),
             reserved: 0,
             unplaceable: Vec::new(),
-            team_room: self.team_room_beside(&used),
+            quota_left: self.quota_left_beside(&used),
             victims: None,
             beyond: BTreeSet::new(),
             highest: (None, None),
@@ -141,7 +141,7 @@
                 .map(|j| j.spec.rank)
                 .min(),
             over: over
-                .map(|(used, t)| used.cpu - Resources::have(t.cpus, 0.0, 0.0).cpu)
+                .map(|(used, t)| used.cpu - Resources::capacity(t.cpus, 0.0, 0.0).cpu)
                 .collect(),
             places,
         }
@@ -165,13 +165,13 @@
         if starves {
             ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
         }
-        let mut zones = self.zones_of(id);
+        let mut zones = self.tasks_by_zone(id);
         let mut waiting = false;
         for _ in 0..ready {
-            if !need.fits(pass.team_room[team]) {
+            if !need.fits(pass.quota_left[team]) {
                 if starves {
                     // What gets free of the team's limit is kept until it is enough.
-                    pass.team_room[team] = pass.team_room[team].minus(need);
+                    pass.quota_left[team] = pass.quota_left[team].minus(need);
                 }
                 break;
             }
@@ -188,7 +188,7 @@
             if zoned {
                 *zones.entry(zone).or_insert(0) += 1;
             }
-            pass.team_room[team] = pass.team_room[team].minus(need);
+            pass.quota_left[team] = pass.quota_left[team].minus(need);
         }
         let left = self.note_placed(id, now);
         if waiting {
@@ -222,7 +222,7 @@
             let waiting = self.commands.awaiting_watermark.entry(id).or_default();
             waiting.insert(place.name.clone());
         }
-        let cache_gb = self.provisioning.cache_of(&machine.type_name);
+        let cache_gb = self.provisioning.cache_gb_of(&machine.type_name);
         machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         place.free = place.free.minus(job.spec.need);
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -32,12 +32,12 @@
 
 impl SchedulerState {
     /// Jobs with waiting tasks, the most urgent first.
-    pub fn order(&self, now: Moment) -> Vec<(QueueOrder, JobId)> {
-        self.order_and_beyond(now).0
+    pub fn queue_order(&self, now: Moment) -> Vec<(QueueOrder, JobId)> {
+        self.queue_order_and_over_quota(now).0
     }
 
     /// The same, and all jobs that don't fit into their team's guarantee beside its earlier ones.
-    pub(super) fn order_and_beyond(
+    pub(super) fn queue_order_and_over_quota(
         &self,
         now: Moment,
     ) -> (Vec<(QueueOrder, JobId)>, BTreeSet<JobId>) {
@@ -54,9 +54,9 @@
         for (id, job) in by_age {
             let Some(team) = job.team else { continue };
             start_watermark[team] =
-                start_watermark[team].plus(job.spec.need.by(i64::from(job.remaining())));
+                start_watermark[team].plus(job.spec.need.scaled(i64::from(job.remaining())));
             let settings = &self.config.teams[team];
-            let guarantee = Resources::have(settings.cpus, settings.gpus, 0.0);
+            let guarantee = Resources::capacity(settings.cpus, settings.gpus, 0.0);
             let within = start_watermark[team].cpu <= guarantee.cpu
                 && start_watermark[team].gpu <= guarantee.gpu;
             if !within {
@@ -70,7 +70,7 @@
             // small ones go first, since they hold up the others least.
             let run = match job.spec.standing {
                 true => 0.0,
-                false => self.expected_run(job).as_secs_f64(),
+                false => self.expected_run_time(job).as_secs_f64(),
             };
             let work = f64::from(job.remaining()) * run * job.spec.need.cpu as f64;
             let alone = work / (settings.cpus_max * 1000.0).max(1.0);
@@ -95,6 +95,6 @@
     /// late work, ranks before lower ranks; each may be endless, so that waiting itself must win
     /// in the end. The age comes from the record, so it survives a takeover.
     fn starves(&self, job: &Job, now: Moment) -> bool {
-        !job.begun() && now - job.accepted_at > self.config.patience
+        !job.begun() && now - job.accepted_at > self.config.max_queue_wait
     }
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -41,7 +41,7 @@
                     continue;
                 };
                 // Else what begins at last would be stopped at once, again and again.
-                let begins = !v.begun && now - v.accepted_at > self.config.patience;
+                let begins = !v.begun && now - v.accepted_at > self.config.max_queue_wait;
                 if a.protected || begins || place.reserved {
                     continue;
                 }
@@ -87,8 +87,8 @@
         if !lower && !borrowed {
             return;
         }
-        let mut left = waiting.min(pass.team_room[team].times(need));
-        let zones = self.zones_of(id);
+        let mut left = waiting.min(pass.quota_left[team].count_of(need));
+        let zones = self.tasks_by_zone(id);
         let allowed = |at: usize, places: &[Place]| {
             job.spec.anywhere()
                 || self.machines.get(&places[at].name).is_some_and(|m| {
@@ -162,12 +162,12 @@
             together.insert(at, (promised, Vec::new()));
         }
         for (name, key) in stops {
-            self.stop_attempt(&name, key);
+            self.preempt_attempt(&name, key);
         }
     }
 
     /// Wants one attempt gone, with time to save where that keeps something.
-    pub fn stop_attempt(&mut self, machine: &str, key: crate::workers::AttemptKey) {
+    pub fn preempt_attempt(&mut self, machine: &str, key: crate::workers::AttemptKey) {
         let Some(job) = self.jobs.table.get(&key.0) else {
             return;
         };
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -10,7 +10,7 @@
 
 impl Resources {
     /// What a task takes: rounded up.
-    pub fn need(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
+    pub fn demand(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil() as i64;
         Resources {
             cpu: up(cpus),
@@ -20,7 +20,7 @@
     }
 
     /// What a machine or a limit has: rounded down.
-    pub fn have(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
+    pub fn capacity(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
         let down = |x: f64| (x * 1000.0 + 1e-6).floor() as i64;
         Resources {
             cpu: down(cpus),
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn by(self, n: i64) -> Resources {
+    pub fn scaled(self, n: i64) -> Resources {
         Resources {
             cpu: self.cpu * n,
             gpu: self.gpu * n,
@@ -67,7 +67,7 @@
     }
 
     /// How many tasks of this need the room holds.
-    pub fn times(self, need: Resources) -> u32 {
+    pub fn count_of(self, need: Resources) -> u32 {
         let one = |have: i64, need: i64| if need <= 0 { i64::MAX } else { have / need };
         one(self.cpu, need.cpu)
             .min(one(self.gpu, need.gpu))
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -7,7 +7,7 @@
 
 impl SchedulerState {
     /// What is left on a machine beside everything that may be on it.
-    pub fn free_room(&self, m: &Machine) -> Resources {
+    pub fn free_capacity(&self, m: &Machine) -> Resources {
         self.rooms(m).0
     }
 
@@ -44,19 +44,19 @@
 
     /// What each team's tasks take, counting what unseen machines may still run: whatever may be
     /// there, but no more than they can hold, since a worker refuses what doesn't fit.
-    pub(super) fn team_use(&self) -> Vec<Resources> {
+    pub(super) fn team_usage(&self) -> Vec<Resources> {
         let mut used = vec![Resources::default(); self.config.teams.len()];
         let mut unreconciled = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
             let need = job.spec.need;
-            used[team] = used[team].plus(need.by(i64::from(job.bound_attempts())));
+            used[team] = used[team].plus(need.scaled(i64::from(job.bound_attempts())));
             if job.held_below > 0 {
                 unreconciled[team] =
-                    unreconciled[team].plus(need.by(i64::from(job.maybe_unreconciled())));
+                    unreconciled[team].plus(need.scaled(i64::from(job.maybe_unreconciled())));
             }
         }
-        let most = self.unseen_room();
+        let most = self.unreconciled_capacity();
         let with_unseen = |(used, unreconciled): (&Resources, Resources)| {
             used.plus(most.map_or(unreconciled, |most| unreconciled.at_most(most)))
         };
@@ -64,11 +64,11 @@
     }
 
     /// What all unseen machines together have; None if nobody knows.
-    fn unseen_room(&self) -> Option<Resources> {
+    fn unreconciled_capacity(&self) -> Option<Resources> {
         if self.prior_term.watermarks_lost {
             return None;
         }
-        let types = self.provisioning.catalog.iter().map(|t| t.room);
+        let types = self.provisioning.catalog.iter().map(|t| t.capacity);
         let largest = types.reduce(|a, b| Resources {
             cpu: a.cpu.max(b.cpu),
             gpu: a.gpu.max(b.gpu),
@@ -83,15 +83,15 @@
     }
 
     /// What each team may still add. Memory isn't limited.
-    pub fn team_room(&self) -> Vec<Resources> {
-        self.team_room_beside(&self.team_use())
+    pub fn quota_left(&self) -> Vec<Resources> {
+        self.quota_left_beside(&self.team_usage())
     }
 
-    pub(super) fn team_room_beside(&self, used: &[Resources]) -> Vec<Resources> {
+    pub(super) fn quota_left_beside(&self, used: &[Resources]) -> Vec<Resources> {
         used.iter()
             .zip(&self.config.teams)
             .map(|(used, t)| {
-                let mut room = Resources::have(t.cpus_max, t.gpus_max, 0.0).minus(*used);
+                let mut room = Resources::capacity(t.cpus_max, t.gpus_max, 0.0).minus(*used);
                 room.ram = i64::MAX / 4;
                 room
             })
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -24,7 +24,7 @@
 
 impl SchedulerState {
     /// Tasks of the job by zone, done ones included where it is known.
-    pub fn zones_of(&self, id: JobId) -> BTreeMap<String, u32> {
+    pub fn tasks_by_zone(&self, id: JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         let Some(job) = self.jobs.table.get(&id) else {
             return zones;
--- a/src/provisioning/edge.rs
+++ b/src/provisioning/edge.rs
@@ -1,7 +1,7 @@
 //! Calls to the cloud, behind their tokens, and the catalog's copy in the state service.
 
-use super::RentalResult;
-use super::wire::{Catalog, MachineList, Names, RentRequest};
+use super::ProvisioningResult;
+use super::wire::{Catalog, MachineList, Names, ProvisioningCall};
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode, json_len};
 use crate::os::pause;
@@ -113,7 +113,7 @@
         }
     }
 
-    pub fn fleet_loop(&self) {
+    pub fn cloud_sync_loop(&self) {
         let mut last_catalog: Option<Moment> = None;
         let mut saved_term = 0;
         let mut list_pages = 1;
@@ -133,7 +133,7 @@
                 let every = every.max(self.list_interval(list_pages));
                 let due = scheduler
                     .provisioning
-                    .last_list
+                    .last_listed_at
                     .is_none_or(|t| now - t >= every);
                 (due, lead.term)
             };
@@ -161,7 +161,7 @@
             return false;
         };
         let data = to_value(catalog);
-        if json_len(&data) > self.settings.settings.state.strict().value_bytes() {
+        if json_len(&data) > self.settings.settings.state.strictest().value_bytes() {
             log::info!("the catalog is too large for the state service: it isn't kept there");
             return true;
         }
@@ -207,7 +207,7 @@
         }
         let now = self.now();
         if let Some((_, scheduler)) = self.state().acting(now) {
-            scheduler.listed(&list, asked, now);
+            scheduler.reconcile_machine_list(&list, asked, now);
             self.wake(scheduler);
         }
         pages
@@ -215,15 +215,15 @@
 
     fn rent(&self) {
         let now = self.now();
-        let rental_requests = {
+        let requests = {
             let mut state = self.state();
             let Some((_, scheduler)) = state.acting(now) else {
                 return;
             };
-            scheduler.plan_rentals(now);
-            scheduler.provisioning.rental_requests.clone()
+            scheduler.plan_scale_out(now);
+            scheduler.provisioning.requests.clone()
         };
-        for request in rental_requests {
+        for request in requests {
             let now = self.now();
             if self.state().acting(now).is_none() {
                 return;
@@ -236,7 +236,7 @@
                 request.offer.spot,
                 request.name
             );
-            let body = encode(&RentRequest {
+            let body = encode(&ProvisioningCall {
                 hire: &request.name,
                 build: &request.type_name,
                 yard: &request.offer.zone,
@@ -245,23 +245,23 @@
             });
             let result = match self.cloud_call("POST", "/rentals", &body) {
                 Some((200, body)) => match decode::<Names>(&body) {
-                    Ok(names) => RentalResult::Rented(names.hosts),
+                    Ok(names) => ProvisioningResult::Granted(names.hosts),
                     Err(e) => {
                         log::info!("malformed rental: {e}");
-                        RentalResult::Unknown
+                        ProvisioningResult::Unknown
                     }
                 },
-                Some((503, body)) if no_capacity(&body) => RentalResult::NoCapacity,
+                Some((503, body)) if no_capacity(&body) => ProvisioningResult::NoCapacity,
                 Some((400, _)) => {
                     log::error!("the cloud calls rental {} malformed", request.name);
-                    RentalResult::NoCapacity
+                    ProvisioningResult::NoCapacity
                 }
-                _ => RentalResult::Unknown,
+                _ => ProvisioningResult::Unknown,
             };
-            let failed = matches!(result, RentalResult::Unknown);
+            let failed = matches!(result, ProvisioningResult::Unknown);
             let now = self.now();
             if let Some((_, scheduler)) = self.state().acting(now) {
-                scheduler.rental_answered(&request.name, result, now);
+                scheduler.apply_provisioning_result(&request.name, result, now);
             }
             if failed {
                 self.os.sleep(Duration::from_millis(500));
@@ -277,7 +277,7 @@
             let Some((_, scheduler)) = state.acting(now) else {
                 return;
             };
-            scheduler.plan_returns(now)
+            scheduler.plan_scale_in(now)
         };
         if names.is_empty() {
             return;
@@ -288,7 +288,7 @@
         };
         let names = decode::<Names>(&body).map(|n| n.hosts).unwrap_or_default();
         if let Some(scheduler) = &mut self.state().scheduler {
-            scheduler.returned(&names);
+            scheduler.drop_gone_machines(&names);
         }
     }
 }
--- a/src/provisioning/list.rs
+++ b/src/provisioning/list.rs
@@ -1,36 +1,41 @@
 //! The cloud's machine list: what it proves of machines, and answers to rental requests.
 
 use super::wire::ListedMachine;
-use super::{ListStatus, NO_ROOM_PAUSE, RentalResult};
+use super::{ListStatus, NO_CAPACITY_PAUSE, ProvisioningResult};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
 impl SchedulerState {
     /// Settles a rental's answer.
-    pub fn rental_answered(&mut self, name: &str, result: RentalResult, now: Moment) {
+    pub fn apply_provisioning_result(
+        &mut self,
+        name: &str,
+        result: ProvisioningResult,
+        now: Moment,
+    ) {
         let Some(at) = self
             .provisioning
-            .rental_requests
+            .requests
             .iter()
             .position(|h| h.name == name)
         else {
             return;
         };
         match result {
-            RentalResult::Unknown => {}
-            RentalResult::NoCapacity => {
-                let request = self.provisioning.rental_requests.remove(at);
+            ProvisioningResult::Unknown => {}
+            ProvisioningResult::NoCapacity => {
+                let request = self.provisioning.requests.remove(at);
                 self.provisioning
-                    .no_room
-                    .insert(request.offer, now + NO_ROOM_PAUSE);
+                    .no_capacity_until
+                    .insert(request.offer, now + NO_CAPACITY_PAUSE);
             }
-            RentalResult::Rented(names) => {
-                let request = self.provisioning.rental_requests.remove(at);
+            ProvisioningResult::Granted(names) => {
+                let request = self.provisioning.requests.remove(at);
                 if names.len() < request.count as usize {
                     self.provisioning
-                        .no_room
-                        .insert(request.offer.clone(), now + NO_ROOM_PAUSE);
+                        .no_capacity_until
+                        .insert(request.offer.clone(), now + NO_CAPACITY_PAUSE);
                 }
                 for machine in names {
                     if self.provisioning.is_gone(&machine) || self.machines.contains_key(&machine) {
@@ -41,7 +46,7 @@
                         &request.type_name,
                         &request.offer.zone,
                         request.offer.spot,
-                        self.provisioning.room_of(&request.type_name),
+                        self.provisioning.capacity_of(&request.type_name),
                         now,
                     );
                     m.list_status = Some(ListStatus::Starting);
@@ -54,14 +59,14 @@
     }
 
     /// Takes in a whole machine list that was asked for at `asked`.
-    pub fn listed(&mut self, list: &[ListedMachine], asked: Moment, now: Moment) {
-        self.provisioning.listed = true;
-        self.provisioning.last_list = Some(now);
+    pub fn reconcile_machine_list(&mut self, list: &[ListedMachine], asked: Moment, now: Moment) {
+        self.provisioning.was_listed = true;
+        self.provisioning.last_listed_at = Some(now);
         for l in list {
             if self.provisioning.is_gone(&l.name) {
                 continue;
             }
-            let total = self.provisioning.room_of(&l.type_name);
+            let total = self.provisioning.capacity_of(&l.type_name);
             let started = self.started;
             let held = Micros::from_secs_f64(l.held_s.0);
             // As of the list it was held that long. If that reaches back beyond the oldest moment
@@ -143,7 +148,7 @@
             self.provisioning.unlisted.remove(name);
             self.prior_term.unreconciled.remove(name);
         }
-        self.returned(&gone);
+        self.drop_gone_machines(&gone);
     }
 
     /// Machines whose lease is over and that lists stopped naming long ago are gone.
@@ -170,13 +175,13 @@
     }
 
     /// The cloud said that these machines, and everything on them, are gone.
-    pub fn returned(&mut self, names: &[String]) {
+    pub fn drop_gone_machines(&mut self, names: &[String]) {
         for name in names {
             self.drop_machine(name);
             self.provisioning.gone.insert(name.clone());
         }
         // Names come in the order of creation: the first ones are the oldest.
-        while self.provisioning.gone.len() > self.config.remembered {
+        while self.provisioning.gone.len() > self.config.max_gone_machines {
             self.provisioning.gone.pop_first();
         }
     }
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: String,
-    pub room: Resources,
+    pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -47,7 +47,7 @@
 
 /// A rental request. The same name always carries the same request, and is never used again.
 #[derive(Clone, Debug)]
-pub struct RentalRequest {
+pub struct ProvisioningRequest {
     pub name: String,
     pub offer: Offer,
     pub type_name: String,
@@ -55,8 +55,8 @@
 }
 
 #[derive(Debug)]
-pub enum RentalResult {
-    Rented(Vec<String>),
+pub enum ProvisioningResult {
+    Granted(Vec<String>),
     NoCapacity,
     /// May have been executed: the same request is repeated.
     Unknown,
@@ -66,16 +66,16 @@
 pub struct Provisioning {
     pub catalog: Vec<MachineType>,
     /// Rentals without an answer yet.
-    pub rental_requests: Vec<RentalRequest>,
-    rental_count: u32,
-    no_room: HashMap<Offer, Moment>,
+    pub requests: Vec<ProvisioningRequest>,
+    request_count: u32,
+    no_capacity_until: HashMap<Offer, Moment>,
     /// Names of machines that are gone for good; late reports and lists still name them.
     gone: BTreeSet<String>,
     /// Missing from the last list, though old enough to be in it.
     unlisted: BTreeSet<String>,
     /// A list was read under this term: before, nobody knows what is rented already.
-    pub listed: bool,
-    pub last_list: Option<Moment>,
+    pub was_listed: bool,
+    pub last_listed_at: Option<Moment>,
     /// When rentals were last planned.
     planned: Option<Moment>,
     /// Machines that may hold tasks. A machine is written down before its first one, as soon as
@@ -89,11 +89,11 @@
 pub const REGISTRY_PREFIX: &str = "fleet/";
 
 /// How long a refused kind of machine isn't asked for again.
-const NO_ROOM_PAUSE: Micros = Micros::from_secs(10);
+const NO_CAPACITY_PAUSE: Micros = Micros::from_secs(10);
 /// Most machines are up within this many times their boot time.
 const LATE_BOOT: f64 = 1.5;
-const MAX_RENTAL: u32 = 50;
-const MAX_RETURN: usize = 100;
+const MAX_REQUESTED: u32 = 50;
+const MAX_SCALE_IN: usize = 100;
 
 impl Provisioning {
     /// Nothing known yet; pages of the registry hold at most so many bytes.
@@ -112,19 +112,21 @@
         self.catalog.iter().find(|t| t.name == name)
     }
 
-    pub fn room_of(&self, type_name: &str) -> Resources {
-        self.type_of(type_name).map(|t| t.room).unwrap_or_default()
+    pub fn capacity_of(&self, type_name: &str) -> Resources {
+        self.type_of(type_name)
+            .map(|t| t.capacity)
+            .unwrap_or_default()
     }
 
     fn boot_of(&self, type_name: &str) -> Option<Micros> {
         self.type_of(type_name).map(|t| t.boot)
     }
 
-    pub fn cache_of(&self, type_name: &str) -> f64 {
+    pub fn cache_gb_of(&self, type_name: &str) -> f64 {
         self.type_of(type_name).map_or(0.0, |t| t.cache_gb)
     }
 
-    pub fn fetch_rate(&self, type_name: &str) -> f64 {
+    pub fn fetch_gb_per_s_of(&self, type_name: &str) -> f64 {
         self.type_of(type_name)
             .map_or(1.0, |t| t.fetch_gb_per_s)
             .max(0.01)
@@ -134,7 +136,7 @@
     pub fn price_premium(&self, type_name: &str, spot: bool) -> f64 {
         let per_cpu = |t: &MachineType, spot: bool| {
             let price = if spot { t.spot_price } else { t.price };
-            price / t.room.cpu.max(1) as f64
+            price / t.capacity.cpu.max(1) as f64
         };
         let cheapest = self
             .catalog
--- a/src/provisioning/plan.rs
+++ b/src/provisioning/plan.rs
@@ -1,6 +1,6 @@
 //! The rental plan: what waiting work needs beyond the machines that are there and on their way.
 
-use super::{ListStatus, MAX_RENTAL, Offer, RentalRequest};
+use super::{ListStatus, MAX_REQUESTED, Offer, ProvisioningRequest};
 use crate::jobs::Job;
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
@@ -46,17 +46,17 @@
 const MAX_PLANNED: u32 = 300;
 
 /// Machines that one plan asks for: ten requests. The next plan follows once these are answered.
-const MOST_WANTED: u32 = 10 * MAX_RENTAL;
+const MOST_WANTED: u32 = 10 * MAX_REQUESTED;
 
 /// Plans are at least this long apart for each machine: one looks at every task on every machine.
 const PLAN_SPACING: Micros = Micros(500);
 
 impl SchedulerState {
     /// Adds the rentals that waiting work needs beyond what is there and on its way.
-    pub fn plan_rentals(&mut self, now: Moment) {
+    pub fn plan_scale_out(&mut self, now: Moment) {
         let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
         let soon = self.provisioning.planned.is_some_and(|t| now - t < spacing);
-        if !self.provisioning.listed || !self.provisioning.rental_requests.is_empty() || soon {
+        if !self.provisioning.was_listed || !self.provisioning.requests.is_empty() || soon {
             return;
         }
         self.provisioning.planned = Some(now);
@@ -73,12 +73,12 @@
         for (offer, count) in wanted {
             let mut left = count;
             while left > 0 {
-                let n = left.min(MAX_RENTAL);
+                let n = left.min(MAX_REQUESTED);
                 left -= n;
-                self.provisioning.rental_count += 1;
-                let name = format!("r-{}-{}", self.term, self.provisioning.rental_count);
+                self.provisioning.request_count += 1;
+                let name = format!("r-{}-{}", self.term, self.provisioning.request_count);
                 let type_name = self.provisioning.catalog[offer.type_index].name.clone();
-                self.provisioning.rental_requests.push(RentalRequest {
+                self.provisioning.requests.push(ProvisioningRequest {
                     name,
                     offer: offer.clone(),
                     type_name,
@@ -93,11 +93,16 @@
     fn wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
         let offers = self.provisioning.offers();
-        let refused = |o: &Offer| self.provisioning.no_room.get(o).is_some_and(|t| *t > now);
+        let refused = |o: &Offer| {
+            self.provisioning
+                .no_capacity_until
+                .get(o)
+                .is_some_and(|t| *t > now)
+        };
         if offers.iter().all(|(o, _)| refused(o)) {
             return wanted;
         }
-        let order = self.order(now);
+        let order = self.queue_order(now);
         if order.is_empty() {
             return wanted;
         }
@@ -109,14 +114,14 @@
             .filter_map(|m| self.bin_of(m, now))
             .collect();
         let eager = self.aims_at_waits();
-        let mut team_room = self.team_room();
+        let mut quota_left = self.quota_left();
         for (_, id) in order {
             let Some(job) = self.jobs.table.get(&id) else {
                 continue;
             };
             let Some(team) = job.team else { continue };
             let need = job.spec.need;
-            let run = self.expected_run(job);
+            let run = self.expected_run_time(job);
             // Whoever aims at starting times wants every start as soon as a machine can be had.
             let latest = match eager || job.spec.standing {
                 true => now,
@@ -126,7 +131,8 @@
             let earliest = |bins: &[Bin], i: usize| {
                 let bin = &bins[i];
                 let t = &self.provisioning.catalog[bin.type_index];
-                let allowed = need.fits(t.room) && job.spec.allows(&t.name, &bin.zone, bin.spot);
+                let allowed =
+                    need.fits(t.capacity) && job.spec.allows(&t.name, &bin.zone, bin.spot);
                 let start = if allowed {
                     bin.earliest(need)?
                 } else {
@@ -136,14 +142,14 @@
             };
             // A job bound to one zone, or spread over several, has no use for room elsewhere.
             let zoned = job.spec.one_zone || job.spec.spread;
-            let mut zones = self.zones_of(id);
+            let mut zones = self.tasks_by_zone(id);
             let mut starts: BinaryHeap<Reverse<(Moment, usize)>> =
                 (0..bins.len()).filter_map(|i| earliest(&bins, i)).collect();
             for _ in 0..job.ready().min(MAX_PLANNED) {
-                if !need.fits(team_room[team]) {
+                if !need.fits(quota_left[team]) {
                     break;
                 }
-                team_room[team] = team_room[team].minus(need);
+                quota_left[team] = quota_left[team].minus(need);
                 while let Some(Reverse((_, i))) = starts.peek()
                     && !Self::zone_allowed(job, &bins[*i].zone, &zones)
                 {
@@ -166,7 +172,7 @@
                             type_index: offer.type_index,
                             zone: offer.zone,
                             spot: offer.spot,
-                            releases: vec![(up, t.room)],
+                            releases: vec![(up, t.capacity)],
                         });
                         (up, bins.len() - 1)
                     }
@@ -208,17 +214,21 @@
                 let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
                 job.spec.allows(&t.name, &o.zone, o.spot)
                     && Self::zone_allowed(job, &o.zone, zones)
-                    && need.fits(t.room)
-                    && self.provisioning.no_room.get(o).is_none_or(|t| *t <= now)
+                    && need.fits(t.capacity)
+                    && self
+                        .provisioning
+                        .no_capacity_until
+                        .get(o)
+                        .is_none_or(|t| *t <= now)
                     && existing.is_none_or(|start| {
-                        let long = up + self.config.on_demand_patience < start;
+                        let long = up + self.config.on_demand_max_wait < start;
                         up < start && (o.spot || !job.spec.spot || long)
                     })
             })
             .min_by(|(a, pa), (b, pb)| {
                 let cost = |o: &Offer, price: f64| {
-                    let room = self.provisioning.catalog[o.type_index].room;
-                    price / f64::from(room.times(need).max(1))
+                    let room = self.provisioning.catalog[o.type_index].capacity;
+                    price / f64::from(room.count_of(need).max(1))
                 };
                 cost(a, *pa).total_cmp(&cost(b, *pb))
             })
@@ -236,15 +246,15 @@
         if m.last_report.is_none() {
             let boot = self.provisioning.catalog[type_index].boot;
             let up = (m.known_since + boot).max(now + Micros::from_secs(2));
-            releases.push((up, self.provisioning.catalog[type_index].room));
+            releases.push((up, self.provisioning.catalog[type_index].capacity));
         } else {
-            releases.push((now, self.free_room(m)));
+            releases.push((now, self.free_capacity(m)));
             for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
                 let Some(job) = self.jobs.table.get(&key.0) else {
                     continue;
                 };
                 let from = attempt.running_since.unwrap_or(now);
-                let end = (from + self.expected_run(job)).max(now + Micros::from_secs(2));
+                let end = (from + self.expected_run_time(job)).max(now + Micros::from_secs(2));
                 releases.push((end, job.spec.need));
             }
             releases.sort_by_key(|r| r.0);
--- a/src/provisioning/reserve.rs
+++ b/src/provisioning/reserve.rs
@@ -1,6 +1,6 @@
 //! Room kept ready for work that can't wait for a machine to boot.
 
-use super::{LATE_BOOT, MAX_RENTAL, MachineType, Offer, Provisioning};
+use super::{LATE_BOOT, MAX_REQUESTED, MachineType, Offer, Provisioning};
 use crate::jobs::Job;
 use crate::scheduler::SchedulerState;
 use crate::settings::Objective;
@@ -28,7 +28,7 @@
         now: Moment,
         cost: impl Fn(&MachineType, f64) -> f64,
     ) -> Option<Offer> {
-        let is_open = |o: &Offer| self.no_room.get(o).is_none_or(|t| *t <= now);
+        let is_open = |o: &Offer| self.no_capacity_until.get(o).is_none_or(|t| *t <= now);
         let offers = self.offers().into_iter();
         offers
             .filter(|(offer, _)| offer.spot == spot && is_open(offer))
@@ -77,16 +77,16 @@
         }
         let (mut free, mut total) = (0, 0);
         for m in self.machines.values().filter(|m| m.stays()) {
-            let room = self.provisioning.room_of(&m.type_name);
+            let room = self.provisioning.capacity_of(&m.type_name);
             total += room.cpu;
             free += if m.last_report.is_none() {
                 room.cpu
             } else {
-                self.free_room(m).cpu
+                self.free_capacity(m).cpu
             };
         }
         let used = (total - free) as f64;
-        free - (used * self.config.reserve) as i64
+        free - (used * self.config.headroom) as i64
     }
 
     /// The cheapest spot machine, when the reserve falls short.
@@ -94,7 +94,7 @@
         if self.spare_cpu() >= 0 {
             return None;
         }
-        let by_cpu = |t: &MachineType, price: f64| price / t.room.cpu.max(1) as f64;
+        let by_cpu = |t: &MachineType, price: f64| price / t.capacity.cpu.max(1) as f64;
         self.provisioning.cheapest(true, now, by_cpu)
     }
 
@@ -107,7 +107,7 @@
     /// CPUs to keep for replicas that are yet to come, which can't wait for a boot; None if none are
     /// expected.
     fn replica_reserve(&self, now: Moment) -> Option<i64> {
-        let total = |j: &Job| j.spec.need.by(i64::from(j.spec.tasks)).cpu;
+        let total = |j: &Job| j.spec.need.scaled(i64::from(j.spec.tasks)).cpu;
         let largest = self.on_demand_services().map(total).max();
         if largest.is_none() && !self.expects_services() {
             return None;
@@ -116,7 +116,12 @@
         let arrived: i64 = self.on_demand_services().filter(recent).map(total).sum();
         let boots = self.provisioning.soonest_boot().as_secs_f64() / ARRIVALS_SPAN.as_secs_f64();
         let yet_to_come = (arrived as f64 * boots * ARRIVALS_VARY) as i64;
-        let smallest = self.provisioning.catalog.iter().map(|t| t.room.cpu).min()?;
+        let smallest = self
+            .provisioning
+            .catalog
+            .iter()
+            .map(|t| t.capacity.cpu)
+            .min()?;
         let floor = LEAST_RESERVE_MACHINES * smallest;
         Some(floor.max(2 * largest.unwrap_or(0)).max(yet_to_come))
     }
@@ -144,7 +149,7 @@
         };
         let room = |m: &Machine| {
             let held = m.attempts.iter().filter(|(_, a)| a.holds());
-            self.provisioning.room_of(&m.type_name).cpu
+            self.provisioning.capacity_of(&m.type_name).cpu
                 - held.map(|(key, _)| replica(key)).sum::<i64>()
         };
         let on_demand = self.machines.values().filter(|m| !m.spot && m.stays());
@@ -158,8 +163,11 @@
             return None;
         }
         let offer = self.provisioning.cheapest(false, now, |_, price| price)?;
-        let room = self.provisioning.catalog[offer.type_index].room.cpu.max(1);
+        let room = self.provisioning.catalog[offer.type_index]
+            .capacity
+            .cpu
+            .max(1);
         let count = (missing + room - 1) / room;
-        Some((offer, count.min(i64::from(MAX_RENTAL)) as u32))
+        Some((offer, count.min(i64::from(MAX_REQUESTED)) as u32))
     }
 }
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -1,6 +1,6 @@
 //! Which machines go back to the cloud, and when.
 
-use super::{ListStatus, MAX_RETURN};
+use super::{ListStatus, MAX_SCALE_IN};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
@@ -42,7 +42,7 @@
     }
 
     /// Chooses machines to return, and names those whose return is due now.
-    pub fn plan_returns(&mut self, now: Moment) -> Vec<String> {
+    pub fn plan_scale_in(&mut self, now: Moment) -> Vec<String> {
         let mut spare_cpu = self.spare_cpu();
         let mut replica_room = self.replica_room(now).unwrap_or(i64::MAX);
         let mut chosen = Vec::new();
@@ -71,7 +71,7 @@
         let due = due.filter(|m| m.returning && (!m.busy() || m.lost));
         let due = due.map(|m| m.name.clone());
         due.chain(self.silent_with_replicas(now))
-            .take(MAX_RETURN)
+            .take(MAX_SCALE_IN)
             .collect()
     }
 
@@ -79,9 +79,9 @@
     /// back sooner.
     fn is_idle(&self, m: &Machine, now: Moment) -> bool {
         let time = if m.spot {
-            self.config.idle
+            self.config.max_idle
         } else {
-            self.config.idle.scaled(ON_DEMAND_IDLE)
+            self.config.max_idle.scaled(ON_DEMAND_IDLE)
         };
         m.reconciled && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
     }
@@ -95,7 +95,7 @@
         let boot = self
             .provisioning
             .boot_of(&m.type_name)
-            .unwrap_or(self.config.idle);
+            .unwrap_or(self.config.max_idle);
         let leading_for = now - self.started;
         let known_for = now - m.known_since;
         if m.last_report.is_none() {
@@ -135,7 +135,7 @@
     /// Where most machines are silent, or reports wait here unread, it is rather this node that is cut off
     /// or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
-        let patience = self.config.report.scaled(SILENT_REPORTS);
+        let patience = self.config.heartbeat_interval.scaled(SILENT_REPORTS);
         let falls_behind = self
             .overload
             .was_overloaded_within(patience.scaled(2.0), now);
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -38,7 +38,7 @@
             .iter()
             .map(|b| MachineType {
                 name: b.label.clone(),
-                room: Resources::have(b.cpus.0, b.gpus.unwrap_or_default().0, b.ram_gb.0),
+                capacity: Resources::capacity(b.cpus.0, b.gpus.unwrap_or_default().0, b.ram_gb.0),
                 cache_gb: b.cache_gb.0,
                 fetch_gb_per_s: b.fetch_gb_per_s.0,
                 price: b.rate.0,
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Serialize)]
-pub struct RentRequest<'a> {
+pub struct ProvisioningCall<'a> {
     pub hire: &'a str,
     pub build: &'a str,
     pub yard: &'a str,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -27,35 +27,35 @@
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
     pub teams: Vec<TeamSettings>,
-    pub lease: Micros,
+    pub worker_lease: Micros,
     /// Within this long after its confirmation a cancellation must be complete.
-    pub cancel: Micros,
-    pub report: Micros,
+    pub cancellation_bound: Micros,
+    pub heartbeat_interval: Micros,
     pub list_lag: Micros,
-    pub sample: usize,
-    pub idle: Micros,
+    pub candidate_sample: usize,
+    pub max_idle: Micros,
     /// An ordinary machine is worth renting for work that may use spot ones if it saves this.
-    pub on_demand_patience: Micros,
+    pub on_demand_max_wait: Micros,
     /// Share of the CPUs in use that is kept ready where objectives tell of waiting times.
-    pub reserve: f64,
+    pub headroom: f64,
     pub objectives: Vec<Objective>,
     /// A job that has not begun for this long goes before all others with its first tasks.
-    pub patience: Micros,
+    pub max_queue_wait: Micros,
     /// Bytes that a value in the state service may have.
     pub value_bytes: usize,
     /// Bytes that jobs may take; beyond it none are accepted until some are over.
     pub job_bytes: usize,
     /// Machines that are known at once, at most: reports of others are turned away.
-    pub most_machines: usize,
+    pub max_machines: usize,
     /// Names of machines that are gone, kept against late copies of their reports.
-    pub remembered: usize,
+    pub max_gone_machines: usize,
 }
 
 /// Beside clock drift, allow for timers and for time between reading a clock and sending.
 pub const LEASE_MARGIN: Micros = Micros::from_millis(500);
 
 /// Classes of jobs whose run times are learned.
-const MOST_CLASSES: usize = 1000;
+const MAX_CLASSES: usize = 1000;
 
 /// The leader's state, each part with its owner.
 #[derive(Debug)]
@@ -123,7 +123,7 @@
 
     /// After this long without an answer a worker's session is over.
     pub fn lease_span(&self) -> Micros {
-        at_most(self.config.lease) + LEASE_MARGIN
+        at_most(self.config.worker_lease) + LEASE_MARGIN
     }
 
     /// Adds an accepted job. What an earlier term claimed of it is known from the pages.
@@ -138,7 +138,7 @@
             return id;
         }
         let spec = submission.spec();
-        if !spec.standing && self.classes.with_arrays.len() < MOST_CLASSES {
+        if !spec.standing && self.classes.with_arrays.len() < MAX_CLASSES {
             self.classes.with_arrays.insert(spec.class.clone());
         }
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
@@ -339,7 +339,7 @@
         self.check_revocations(now);
         let retry = self.jobs.table.values().any(retry_due(now));
         self.placement.due |= retry;
-        self.place_soon(now);
+        self.place_if_due(now);
     }
 }
 
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -21,7 +21,7 @@
 
     /// After this long without a report a machine is silent.
     fn silence(&self) -> Micros {
-        self.config.report.scaled(1.5)
+        self.config.heartbeat_interval.scaled(1.5)
     }
 
     /// This controller has led, and hasn't fallen behind, for long enough to tell who is silent.
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -1,6 +1,6 @@
 //! How long tasks run, learned from those that ended, and when they should start.
 
-use super::{MOST_CLASSES, SchedulerState};
+use super::{MAX_CLASSES, SchedulerState};
 use crate::jobs::{Job, JobId};
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 
 impl SchedulerState {
     /// Learns from a finished task.
-    pub fn note_run(&mut self, id: JobId, ran: Micros) {
+    pub fn record_run_time(&mut self, id: JobId, ran: Micros) {
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return;
         };
@@ -33,7 +33,7 @@
             let seen = (ran.as_secs_f64() / guess).clamp(0.1, 10.0);
             // Classes are what users say they are: beyond a thousand the estimates stay as given.
             let known = self.classes.run_time_ratio.contains_key(&job.spec.class);
-            if !known && self.classes.run_time_ratio.len() >= MOST_CLASSES {
+            if !known && self.classes.run_time_ratio.len() >= MAX_CLASSES {
                 return;
             }
             let ratio = self
@@ -46,7 +46,7 @@
     }
 
     /// How long a task of the job should run: its own finished tasks tell most.
-    pub fn expected_run(&self, job: &Job) -> Micros {
+    pub fn expected_run_time(&self, job: &Job) -> Micros {
         if job.spec.standing {
             return FOR_GOOD;
         }
@@ -65,7 +65,7 @@
     /// operator aims at for its class.
     pub fn latest_start(&self, job: &Job) -> Moment {
         let before = |due: Moment| {
-            let run = self.expected_run(job).scaled(1.2);
+            let run = self.expected_run_time(job).scaled(1.2);
             Moment(due.0.saturating_sub(run.0))
         };
         if job.spec.standing {
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 impl SchedulerState {
-    pub fn view(&self, id: &str) -> LocalStatus {
+    pub fn job_status(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
             return LocalStatus::Nothing;
         };
@@ -61,13 +61,13 @@
     }
 
     /// One line on where the CPUs are, for whoever wonders why work waits.
-    pub fn summary(&self, now: Moment) -> String {
+    pub fn capacity_summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut by_state: BTreeMap<&str, i64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.last_report.is_some()) {
             total += m.total.cpu;
             if self.usable(m, now) {
-                free += self.free_room(m).cpu;
+                free += self.free_capacity(m).cpu;
             } else {
                 unusable += m.total.cpu;
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -24,9 +24,9 @@
 /// Added to the times of a cancellation: timers, the ways of the last answer and of the last order.
 const CANCEL_MARGIN: Micros = Micros::from_millis(1000);
 /// The life of the leader's lease, unless something else is asked for or needed.
-const USUAL_LEASE: Micros = Micros::from_millis(8000);
+const DEFAULT_LEADER_LEASE: Micros = Micros::from_millis(8000);
 /// The shortest life of the leader's lease that its flag takes.
-const SHORTEST_LEASE: Micros = Micros::from_millis(1000);
+const MIN_LEADER_LEASE: Micros = Micros::from_millis(1000);
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
@@ -95,7 +95,7 @@
 }
 
 impl WorkerSettings {
-    pub fn report(&self) -> Micros {
+    pub fn heartbeat_interval(&self) -> Micros {
         Micros::from_secs_f64(self.report_s)
     }
     pub fn lease(&self) -> Micros {
@@ -132,7 +132,7 @@
 impl StateSettings {
     /// The limits that are obeyed: the stricter ones of now and later. What is written today, and what
     /// grows by being written anew, must still be taken after a change that nobody tells of.
-    pub fn strict(&self) -> StateSettings {
+    pub fn strictest(&self) -> StateSettings {
         let next = self.next.clone().unwrap_or_default();
         StateSettings {
             rps: self.rps.min(next.rps.unwrap_or(self.rps)),
@@ -175,7 +175,7 @@
 /// What an idle connection costs, as measured: below 1 KiB.
 const CONNECTION_KB: f64 = 4.0;
 /// More threads than these don't make a controller with part of a core any faster.
-const MOST_THREADS: usize = 256;
+const MAX_THREADS: usize = 256;
 /// Beside what is counted: listeners, the state service, the cloud, peers' kept connections.
 const OTHER_SOCKETS: usize = 24;
 
@@ -186,7 +186,7 @@
         let by_memory = self.memory_kb() / 8.0 / THREAD_KB;
         (self.sockets / 16)
             .min(by_memory as usize)
-            .clamp(8, MOST_THREADS)
+            .clamp(8, MAX_THREADS)
     }
 
     /// Threads that send orders straight to workers. Silent machines hold one each for a while:
@@ -225,7 +225,7 @@
     }
 
     /// So many machines that are gone, and final states, are remembered: some 100 bytes each.
-    pub fn remembered(&self) -> usize {
+    pub fn max_remembered(&self) -> usize {
         (self.memory_kb() / 8.0) as usize
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Machines that are known at once: some 4 KB each, a quarter of the memory.
-    pub fn most_machines(&self) -> usize {
+    pub fn max_machines(&self) -> usize {
         (self.memory_kb() / 16.0) as usize
     }
 
@@ -294,8 +294,8 @@
         let w = &self.settings.workers;
         let cancel = Micros::from_secs_f64(w.cancel_s);
         let most = cancel.saturating_sub(at_most(w.lease()) + CANCEL_MARGIN);
-        if most < SHORTEST_LEASE {
-            let left = cancel.saturating_sub(CANCEL_MARGIN + SHORTEST_LEASE);
+        if most < MIN_LEADER_LEASE {
+            let left = cancel.saturating_sub(CANCEL_MARGIN + MIN_LEADER_LEASE);
             let most = (at_least(left).as_secs_f64() * 1000.0).floor() / 1000.0;
             return Err(SettingsError::Field {
                 field: "settings.workers.lease_s".into(),
@@ -314,7 +314,7 @@
                 asked.0 / 1000
             ))),
             Some(asked) => Ok(asked),
-            None => Ok(USUAL_LEASE.min(most)),
+            None => Ok(DEFAULT_LEADER_LEASE.min(most)),
         }
     }
 
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -103,7 +103,7 @@
     }
 
     fn direct_call(&mut self, name: &str, now: Moment) -> Option<DirectCall> {
-        let report = self.config.report;
+        let report = self.config.heartbeat_interval;
         let machine = self.machines.get_mut(name)?;
         let heard = machine
             .last_report
@@ -155,7 +155,8 @@
     fn direct_command_batch(&mut self, name: &str, now: Moment) -> Option<DirectCommandBatch> {
         let machine = self.machines.get_mut(name)?;
         // Stops go to whoever answers; starts only where the lease is known to last.
-        let takes_starts = machine.recorded && machine.is_alive(self.config.report, now);
+        let takes_starts =
+            machine.recorded && machine.is_alive(self.config.heartbeat_interval, now);
         let mut content = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
             let Some(job) = self.jobs.table.get(&key.0) else {
@@ -254,7 +255,7 @@
             && (report.agent_epoch, report.sequence) > (machine.agent_epoch, machine.sequence)
         {
             self.take_in(&report, false, now);
-            self.place_soon(now);
+            self.place_if_due(now);
         }
         self.note_delivery(call, delivery, now);
         if lost {
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -41,7 +41,7 @@
         machine.type_name.clone_from(&report.type_name);
         machine.zone.clone_from(&report.zone);
         machine.spot = report.spot;
-        machine.total = self.provisioning.room_of(&report.type_name);
+        machine.total = self.provisioning.capacity_of(&report.type_name);
         machine.has_preemption_notice = report.preemption_notice_s.is_some();
         machine.preempted_at = report
             .preemption_notice_s
@@ -75,13 +75,13 @@
                     .jobs
                     .table
                     .get(&k.0)
-                    .map_or(Micros::ZERO, |j| self.expected_run(j));
+                    .map_or(Micros::ZERO, |j| self.expected_run_time(j));
                 a.running_since.unwrap_or(now) + run > preempted_at
             })
             .map(|(k, _)| *k)
             .collect();
         for key in doomed {
-            self.stop_attempt(name, key);
+            self.preempt_attempt(name, key);
         }
     }
 
@@ -127,7 +127,7 @@
     /// What one task's line in a report shows.
     fn take_task(&mut self, report: &Heartbeat, key: AttemptKey, task: &ReportedTask, now: Moment) {
         let (job_id, number, _) = key;
-        let cache_gb = self.provisioning.cache_of(&report.type_name);
+        let cache_gb = self.provisioning.cache_gb_of(&report.type_name);
         let (Some(job), Some(machine)) = (
             self.jobs.table.get_mut(&job_id),
             self.machines.get_mut(&report.machine),
@@ -138,7 +138,13 @@
         let mut attempt = known.unwrap_or_else(|| found_attempt(job, number, task, now));
         let before = attempt.status.replace(task.status);
         if before.is_none() {
-            check_start(job, task, &report.machine, self.config.cancel, now);
+            check_start(
+                job,
+                task,
+                &report.machine,
+                self.config.cancellation_bound,
+                now,
+            );
         }
         note_running(job, &mut attempt, now);
         stop_unwanted(job, number, &mut attempt);
@@ -159,7 +165,7 @@
         machine.note_image(&image, gb, is_cached, cache_gb, now);
         machine.attempts.insert(key, attempt);
         if let Some(ran) = ran {
-            self.note_run(job_id, ran);
+            self.record_run_time(job_id, ran);
         }
     }
 
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -186,7 +186,7 @@
     /// How long a start in doubt may wait for a higher token once its job was asked to be cancelled. Then
     /// a full lease must still fit into the time for the cancellation.
     fn revocation_time(&self) -> Micros {
-        at_least(self.config.cancel).saturating_sub(self.lease_span() + LEASE_MARGIN)
+        at_least(self.config.cancellation_bound).saturating_sub(self.lease_span() + LEASE_MARGIN)
     }
 
     /// A start is in doubt here that no report showed, of a job whose cancellation was asked for that
@@ -209,7 +209,7 @@
 
     /// No start of a cancelled job may be executable once the time for its cancellation is over.
     pub(crate) fn check_revocations(&mut self, now: Moment) {
-        let longest = self.config.cancel;
+        let longest = self.config.cancellation_bound;
         let names = self.fencing.unconfirmed_machines.iter();
         let answered: Vec<&String> = names
             .filter(|(name, fencing_token)| self.fencing_token_for(name) <= **fencing_token)
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -50,10 +50,10 @@
             return HeartbeatReply::Stale;
         }
         if !self.machines.contains_key(&report.machine) {
-            if self.machines.len() >= self.config.most_machines {
+            if self.machines.len() >= self.config.max_machines {
                 return HeartbeatReply::Stale;
             }
-            let total = self.provisioning.room_of(&report.type_name);
+            let total = self.provisioning.capacity_of(&report.type_name);
             let mut machine = Machine::new(
                 &report.machine,
                 &report.type_name,
@@ -86,7 +86,7 @@
             return HeartbeatReply::Stale;
         }
         // It may take work again from here on.
-        self.placement.due |= !machine.is_alive(self.config.report, now);
+        self.placement.due |= !machine.is_alive(self.config.heartbeat_interval, now);
         machine.newest_heartbeat = seen;
         machine.heartbeat_gap = machine.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         machine.last_heartbeat = Some(now);
@@ -103,7 +103,7 @@
         }
         self.review_suspicion(&report.machine, now);
         self.release_prior_term(now);
-        self.place_soon(now);
+        self.place_if_due(now);
         let fencing_token = self.fencing_token_for(&report.machine);
         let commands = self.commands(&report.machine, now);
         let to = Recipient {
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -105,20 +105,20 @@
     pub fn new(term: u64, teams: Vec<TeamSettings>) -> World {
         let config = SchedulerConfig {
             teams,
-            lease: Micros::from_secs(20),
-            cancel: Micros::from_secs(46),
-            report: Micros::from_secs(3),
+            worker_lease: Micros::from_secs(20),
+            cancellation_bound: Micros::from_secs(46),
+            heartbeat_interval: Micros::from_secs(3),
             list_lag: Micros::from_secs(5),
-            sample: 3,
-            idle: Micros::from_secs(30),
-            on_demand_patience: Micros::from_secs(120),
-            reserve: 0.0,
+            candidate_sample: 3,
+            max_idle: Micros::from_secs(30),
+            on_demand_max_wait: Micros::from_secs(120),
+            headroom: 0.0,
             objectives: Vec::new(),
-            patience: Micros::from_secs(90),
-            remembered: 1000,
+            max_queue_wait: Micros::from_secs(90),
+            max_gone_machines: 1000,
             value_bytes: 8192,
             job_bytes: 1 << 30,
-            most_machines: 10_000,
+            max_machines: 10_000,
         };
         let mut scheduler = SchedulerState::new(config, term, at(0.0), 7);
         scheduler.provisioning.catalog = catalog().types();
@@ -221,7 +221,7 @@
     /// Sends a report; the token of its answer, if it is answered.
     pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace claims and the roster are written as soon as they are due.
-        self.scheduler.place(self.now);
+        self.scheduler.run_placement_pass(self.now);
         self.record_fleet();
         let answer = self.scheduler.heartbeat(report, self.now);
         let fencing_token = match answer {
@@ -267,7 +267,7 @@
         ));
         // What passes too close to the last one left undone is done by the next tick.
         if self.scheduler.placement.due {
-            self.scheduler.place(self.now);
+            self.scheduler.run_placement_pass(self.now);
         }
         self.record_fleet();
         fencing_token
@@ -367,7 +367,7 @@
     }
 
     pub fn view(&mut self, id: &str) -> &mut Self {
-        let text = match self.scheduler.view(id) {
+        let text = match self.scheduler.job_status(id) {
             LocalStatus::View(v) => format!(
                 "{} ({} done, {} running)",
                 v.state.name(),
@@ -392,7 +392,8 @@
                 decode(&encode(&wire)).unwrap()
             })
             .collect();
-        self.scheduler.listed(&list, self.now, self.now);
+        self.scheduler
+            .reconcile_machine_list(&list, self.now, self.now);
         self.record_fleet();
         let names: Vec<&str> = machines.iter().map(|(n, _)| *n).collect();
         self.note(&format!("the cloud lists [{}]", names.join(", ")));
@@ -400,11 +401,11 @@
     }
 
     pub fn rentals(&mut self) -> &mut Self {
-        self.scheduler.plan_rentals(self.now);
-        let rental_requests: Vec<String> = self
+        self.scheduler.plan_scale_out(self.now);
+        let requests: Vec<String> = self
             .scheduler
             .provisioning
-            .rental_requests
+            .requests
             .iter()
             .map(|h| {
                 format!(
@@ -413,7 +414,7 @@
                 )
             })
             .collect();
-        self.note(&format!("rentals wanted: [{}]", rental_requests.join("; ")));
+        self.note(&format!("rentals wanted: [{}]", requests.join("; ")));
         self
     }
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -36,7 +36,7 @@
 fn a_start_that_is_not_revoked() {
     let mut w = world();
     w.raises_tokens = false;
-    w.scheduler.config.cancel = Micros::from_secs(5);
+    w.scheduler.config.cancellation_bound = Micros::from_secs(5);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| s.pieces = 1));
     w.on_timer(1.0).direct(|_| DirectResult::Unknown);
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -16,7 +16,7 @@
     let node = w.state().nodes[leader].node.clone()?;
     let now = node.now();
     let state = node.state();
-    let listed = state.scheduler.as_ref()?.provisioning.last_list?;
+    let listed = state.scheduler.as_ref()?.provisioning.last_listed_at?;
     Some((now - listed).as_secs_f64())
 }
 
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -9,7 +9,7 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::rounds::affordable;
 use aspenreel::jobs::spec::Submission;
-use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::ProvisioningResult;
 use aspenreel::provisioning::wire::{Catalog, MachineList};
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
@@ -90,24 +90,24 @@
         };
         let config = SchedulerConfig {
             teams: vec![team("quick", 420.0), team("bulk", 1200.0)],
-            lease: Micros::from_secs(21),
-            cancel: Micros::from_secs(46),
-            report: Micros::from_secs(3),
+            worker_lease: Micros::from_secs(21),
+            cancellation_bound: Micros::from_secs(46),
+            heartbeat_interval: Micros::from_secs(3),
             list_lag: Micros::from_secs(8),
-            sample: 3,
-            idle: Micros::from_secs(20),
-            on_demand_patience: Micros::from_secs(120),
-            reserve: 0.5,
+            candidate_sample: 3,
+            max_idle: Micros::from_secs(20),
+            on_demand_max_wait: Micros::from_secs(120),
+            headroom: 0.5,
             objectives: vec![
                 objective("wait", "urgent", 25.0),
                 objective("finished", "urgent", 120.0),
                 objective("deadline", "batch", 0.0),
             ],
-            patience: Micros::from_secs(90),
-            remembered: 8000,
+            max_queue_wait: Micros::from_secs(90),
+            max_gone_machines: 8000,
             value_bytes: 8192,
             job_bytes: 1 << 30,
-            most_machines: 10_000,
+            max_machines: 10_000,
         };
         let mut scheduler = SchedulerState::new(config, TERM, Moment(Micros::from_secs(1000).0), 7);
         scheduler.provisioning.catalog = catalog.types();
@@ -160,7 +160,7 @@
         self.epoch += 1;
         let (epoch, now, wall) = (self.epoch, self.now(), self.wall());
         self.scheduler.add_job(&s, epoch, now, wall);
-        self.scheduler.place_soon(now);
+        self.scheduler.place_if_due(now);
         let work = Work {
             image,
             cpus,
@@ -321,13 +321,13 @@
             self.scheduler.written(write, self.epoch);
         }
         let now = self.now();
-        self.scheduler.place_soon(now);
+        self.scheduler.place_if_due(now);
     }
 
     fn provisioning(&mut self) {
         let now = self.now();
-        self.scheduler.plan_rentals(now);
-        for hire in self.scheduler.provisioning.rental_requests.clone() {
+        self.scheduler.plan_scale_out(now);
+        for hire in self.scheduler.provisioning.requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
             let count = u64::from(hire.count).min(left);
             let names: Vec<String> = (0..count)
@@ -351,12 +351,13 @@
                 self.workers.insert(name.clone(), worker);
             }
             let result = match names.is_empty() {
-                true => RentalResult::NoCapacity,
-                false => RentalResult::Rented(names),
+                true => ProvisioningResult::NoCapacity,
+                false => ProvisioningResult::Granted(names),
             };
-            self.scheduler.rental_answered(&hire.name, result, now);
+            self.scheduler
+                .apply_provisioning_result(&hire.name, result, now);
         }
-        let names = self.scheduler.plan_returns(now);
+        let names = self.scheduler.plan_scale_in(now);
         for name in &names {
             let gone = self.workers.remove(name).unwrap();
             assert!(
@@ -364,7 +365,7 @@
                 "{name} is returned with work on it"
             );
         }
-        self.scheduler.returned(&names);
+        self.scheduler.drop_gone_machines(&names);
     }
 
     fn list(&mut self) {
@@ -385,7 +386,7 @@
         let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
-        self.scheduler.listed(&list.hosts, now, now);
+        self.scheduler.reconcile_machine_list(&list.hosts, now, now);
     }
 
     fn step(&mut self) {
@@ -406,7 +407,7 @@
         }
         for job in self.work.keys() {
             if self.now_ms.is_multiple_of(5000) {
-                self.scheduler.view(job);
+                self.scheduler.job_status(job);
             }
         }
     }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -7,7 +7,7 @@
 
 use aspenreel::jobs::rounds::{WriteKind, affordable};
 use aspenreel::jobs::spec::{Priority, Shape, Submission};
-use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::ProvisioningResult;
 use aspenreel::settings::Objective;
 use aspenreel::workers::direct::DirectResult;
 use insta::assert_snapshot;
@@ -138,9 +138,9 @@
 /// time for a boot, idle machines would cost money for nothing.
 #[test]
 fn room_is_kept_where_no_boot_fits_the_aim() {
-    let rental_requests = |within_s: f64| {
+    let requests = |within_s: f64| {
         let mut w = World::new(2, one_team());
-        w.scheduler.config.reserve = 4.0;
+        w.scheduler.config.headroom = 4.0;
         w.scheduler.config.objectives = vec![Objective {
             kind: "wait".into(),
             class: Some("train".into()),
@@ -150,11 +150,11 @@
         w.at(1.0).job(submission("run-1", |_| ()));
         w.heartbeat("big-east-1", &[])
             .list(&[("big-east-1", "running")]);
-        w.scheduler.plan_rentals(at(2.0));
-        w.scheduler.provisioning.rental_requests.len()
+        w.scheduler.plan_scale_out(at(2.0));
+        w.scheduler.provisioning.requests.len()
     };
     // The soonest machine boots in 20 s, and some take half as long again.
-    assert_eq!((rental_requests(29.0), rental_requests(31.0)), (1, 0));
+    assert_eq!((requests(29.0), requests(31.0)), (1, 0));
 }
 
 /// A lagging list may still name machines that were taken before a takeover. That they existed long
@@ -188,12 +188,12 @@
 fn booting_machines_are_not_waited_for() {
     let mut w = World::new(2, one_team());
     w.job(submission("run-1", |s| s.pieces = 1));
-    w.scheduler.provisioning.listed = true;
-    w.scheduler.plan_rentals(at(1.0));
-    let rental_requests = w.scheduler.provisioning.rental_requests.clone();
-    let rented = RentalResult::Rented(vec!["small-east-7".to_string()]);
+    w.scheduler.provisioning.was_listed = true;
+    w.scheduler.plan_scale_out(at(1.0));
+    let requests = w.scheduler.provisioning.requests.clone();
+    let rented = ProvisioningResult::Granted(vec!["small-east-7".to_string()]);
     w.scheduler
-        .rental_answered(&rental_requests[0].name, rented, at(1.0));
+        .apply_provisioning_result(&requests[0].name, rented, at(1.0));
     let due = |w: &World| {
         format!(
             "roster pages due: {}",
@@ -450,9 +450,9 @@
     }));
     w.rentals();
     w.at(1.0).list(&[]).rentals();
-    w.scheduler.rental_answered(
+    w.scheduler.apply_provisioning_result(
         "r-4-1",
-        RentalResult::Rented(vec!["small-west-7".into()]),
+        ProvisioningResult::Granted(vec!["small-west-7".into()]),
         at(2.0),
     );
     w.at(2.0).rentals();
@@ -463,10 +463,10 @@
     }));
     w.rentals();
     w.scheduler
-        .rental_answered("r-4-2", RentalResult::Unknown, at(4.0));
+        .apply_provisioning_result("r-4-2", ProvisioningResult::Unknown, at(4.0));
     w.at(4.0).rentals();
     w.scheduler
-        .rental_answered("r-4-2", RentalResult::NoCapacity, at(5.0));
+        .apply_provisioning_result("r-4-2", ProvisioningResult::NoCapacity, at(5.0));
     w.at(5.0).rentals();
     assert_snapshot!(w.log);
 }
@@ -478,15 +478,15 @@
     w.recorded("big-east-1", -300.0);
     w.at(1.0)
         .list(&[("big-east-1", "running"), ("small-west-2", "starting")]);
-    let due = w.scheduler.plan_returns(at(1.0));
+    let due = w.scheduler.plan_scale_in(at(1.0));
     w.note(&format!("to return: {due:?}"));
     for t in [5.0, 30.0, 60.0, 140.0] {
         w.at(t).heartbeat("big-east-1", &[]);
         w.on_timer(t);
-        let due = w.scheduler.plan_returns(at(t));
+        let due = w.scheduler.plan_scale_in(at(t));
         w.note(&format!("to return: {due:?}"));
     }
-    w.scheduler.returned(&["big-east-1".into()]);
+    w.scheduler.drop_gone_machines(&["big-east-1".into()]);
     w.at(141.0).heartbeat("big-east-1", &[]);
     assert_snapshot!(w.log);
 }
@@ -556,7 +556,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
-    w.scheduler.place(at(1.0));
+    w.scheduler.run_placement_pass(at(1.0));
     w.record_fleet();
     w.bound().direct(|_| DirectResult::Unreached);
     w.bound().direct(|_| unreachable!());
@@ -587,7 +587,7 @@
             s.ram_gb = decimal(100.0);
         }));
     }
-    w.scheduler.place(at(0.0));
+    w.scheduler.run_placement_pass(at(0.0));
     w.record_fleet();
     let calls = |w: &mut World, seconds: f64| {
         let calls: Vec<_> = std::iter::from_fn(|| w.scheduler.next_direct(at(seconds))).collect();
@@ -633,7 +633,7 @@
 fn memory_is_bounded() {
     let mut w = World::new(2, one_team());
     w.scheduler.config.job_bytes = 100_000;
-    w.scheduler.config.most_machines = 2;
+    w.scheduler.config.max_machines = 2;
     let mut n = 0;
     while !w.scheduler.is_full(false) {
         n += 1;
@@ -785,7 +785,7 @@
 #[test]
 fn one_way_silence() {
     let mut w = World::new(2, one_team());
-    w.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
+    w.scheduler.config.max_idle = aspenreel::time::Micros::from_secs(1000);
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).job(submission("run-1", |s| s.pieces = 2));
     w.on_timer(1.0);
@@ -808,7 +808,7 @@
         w.at(t).send(&next);
         w.direct(|_| DirectResult::Unknown);
     }
-    let due = w.scheduler.plan_returns(at(126.0));
+    let due = w.scheduler.plan_scale_in(at(126.0));
     w.note(&format!("to return: {due:?}"));
     assert_snapshot!(w.log);
 }
@@ -851,7 +851,7 @@
     w.at(41.0).send(&next).bound();
     w.at(42.0).send(&idle).send(&running).bound();
     // The machine is gone.
-    w.scheduler.returned(&["big-east-1".into()]);
+    w.scheduler.drop_gone_machines(&["big-east-1".into()]);
     w.at(60.0).send(&next).bound();
     assert_snapshot!(w.log);
 }
@@ -886,9 +886,11 @@
     let first = submission("run-1", |s| s.pieces = 1);
     w.at(1.0).list(&[]).job(first.clone()).job(first.clone());
     w.rentals();
-    let rented = || RentalResult::Rented(vec!["big-east-7".into()]);
-    w.scheduler.rental_answered("r-4-1", rented(), at(2.0));
-    w.scheduler.rental_answered("r-4-1", rented(), at(2.0));
+    let rented = || ProvisioningResult::Granted(vec!["big-east-7".into()]);
+    w.scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(2.0));
+    w.scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(2.0));
     w.at(2.0).rentals();
     w.at(9.0).heartbeat("big-east-7", &[]);
     w.at(10.0).heartbeat("big-east-7", &["run-1/0#4.1 running"]);
@@ -907,10 +909,11 @@
     w.at(11.0)
         .heartbeat("big-east-7", &["run-1/0#4.1 stopped"])
         .round(true);
-    w.scheduler.returned(&["big-east-7".into()]);
-    w.scheduler.returned(&["big-east-7".into()]);
+    w.scheduler.drop_gone_machines(&["big-east-7".into()]);
+    w.scheduler.drop_gone_machines(&["big-east-7".into()]);
     // A repeated rental that the cloud answers late names a machine that is gone.
-    w.scheduler.rental_answered("r-4-1", rented(), at(12.0));
+    w.scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(12.0));
     w.at(12.0).bound();
     assert_snapshot!(w.log);
 }
@@ -1242,8 +1245,11 @@
         within_s: 2.0,
     }];
     w.at(3.0).rentals();
-    w.scheduler
-        .rental_answered("r-2-1", RentalResult::Rented(Vec::new()), at(3.0));
+    w.scheduler.apply_provisioning_result(
+        "r-2-1",
+        ProvisioningResult::Granted(Vec::new()),
+        at(3.0),
+    );
     w.note("two other machines are up");
     let reports = |w: &mut World| {
         for name in ["small-east-8", "small-east-9"] {
@@ -1319,7 +1325,7 @@
         let now = 24.0 + 3.0 * f64::from(k);
         w.at(now);
         all_but(&mut w, &silent);
-        let due = w.scheduler.plan_returns(at(now + 1.0));
+        let due = w.scheduler.plan_scale_in(at(now + 1.0));
         assert!(!due.contains(&silent[1].to_string()), "{due:?}");
         if due.contains(&replica_on[0]) {
             returned_at.push(now + 1.0);
@@ -1327,7 +1333,7 @@
     }
     // Silent since 21 s.
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
-    w.scheduler.returned(&replica_on);
+    w.scheduler.drop_gone_machines(&replica_on);
     w.on_timer(38.0);
     assert_eq!(holds(&w, "run-1").len(), 1, "it runs elsewhere");
 
@@ -1344,7 +1350,7 @@
         let now = 39.0 + 3.0 * f64::from(k);
         w.at(now);
         all_but(&mut w, &half);
-        let due = w.scheduler.plan_returns(at(now + 1.0));
+        let due = w.scheduler.plan_scale_in(at(now + 1.0));
         assert!(!due.contains(&again_on[0]), "{due:?}");
     }
 }
--- a/tests/traces/orders.rs
+++ b/tests/traces/orders.rs
@@ -108,7 +108,7 @@
         .keys()
         .next()
         .unwrap();
-    w.scheduler.stop_attempt("big-east-1", key);
+    w.scheduler.preempt_attempt("big-east-1", key);
     w.at(2.0)
         .direct(|w| DirectResult::Answered(w.report("big-east-1", 2, 1, &[])));
     for second in (3..=60).step_by(3) {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -269,7 +269,7 @@
 fn the_stricter_limits_hold() {
     let with = |next: &str| -> StateSettings {
         let text = format!("rps = 120.0\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 12\n{next}");
-        toml::from_str::<StateSettings>(&text).unwrap().strict()
+        toml::from_str::<StateSettings>(&text).unwrap().strictest()
     };
     let told = |s: StateSettings| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
     assert_eq!(told(with("")), (120.0, 20.0, 8.0, 12));
