--- a/src/controller/routes.rs
+++ b/src/controller/routes.rs
@@ -1,7 +1,7 @@
 //! Which handler a request of users, workers or health checks belongs to.
 
 use super::Controller;
-use crate::http::server::{Handler, Request, Response};
+use crate::http::server::{Handler, Request, RequestPriority, Response};
 
 /// What a request asks for.
 enum Route<'a> {
@@ -35,7 +35,7 @@
 impl Handler for Controller {
     /// Workers and health checks never wait for what users ask; a status that this node knows is
     /// told at once.
-    fn at_once(&self, request: Request) -> Result<Response, Request> {
+    fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         let response = match route(&request) {
             Route::Heartbeat => Some(self.heartbeat(&request.body)),
             Route::Up => Some(self.up()),
@@ -47,8 +47,11 @@
     }
 
     /// Hundreds of workers check in whatever users do.
-    fn routine(&self, request: &Request) -> bool {
-        matches!(route(request), Route::Heartbeat)
+    fn priority(&self, request: &Request) -> RequestPriority {
+        match route(request) {
+            Route::Heartbeat => RequestPriority::Low,
+            _ => RequestPriority::Normal,
+        }
     }
 
     fn handle(&self, request: Request) -> Response {
