--- a/src/jobs/rounds.rs
+++ b/src/jobs/rounds.rs
@@ -331,7 +331,7 @@
             let before = m.attempts.len();
             m.attempts.retain(|k, _| k.0 != job_id);
             if m.attempts.len() < before {
-                m.rooms.set(None);
+                m.free_capacity.set(None);
             }
         }
     }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,15 +1,15 @@
 //! Placement: which waiting task goes where, and what may be stopped for it.
 
-mod fit;
-mod order;
+mod bin_packing;
 mod preemption;
+mod queue_order;
 mod resources;
 mod schedule;
-mod usage;
+mod team_quota;
 mod zones;
 
-pub use order::QueueOrder;
-pub use resources::Resources;
+pub use queue_order::QueueOrder;
+pub use resources::{FreeCapacity, Resources};
 pub use schedule::PlacementSchedule;
 
 use crate::jobs::JobId;
@@ -109,7 +109,7 @@
             .values()
             .filter(|m| self.usable(m, now))
             .map(|m| {
-                let (free, stopping) = self.rooms(m);
+                let FreeCapacity { free, stopping } = self.capacity_left(m);
                 Place {
                     name: m.name.clone(),
                     free,
@@ -213,7 +213,7 @@
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
         machine.attempts.insert((id, task, number), attempt);
-        machine.rooms.set(None);
+        machine.free_capacity.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
             self.commands.due.insert(place.name.clone());
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -180,7 +180,7 @@
             && let Some(a) = m.attempts.get_mut(&key)
         {
             a.desired = DesiredState::Stop { grace_period };
-            m.rooms.set(None);
+            m.free_capacity.set(None);
             log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
             self.commands.due.insert(machine.to_string());
         }
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -75,3 +75,12 @@
             .clamp(0, 10_000) as u32
     }
 }
+
+/// What a machine has left.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FreeCapacity {
+    /// What no attempt on the machine holds.
+    pub free: Resources,
+    /// What attempts hold that are being stopped.
+    pub stopping: Resources,
+}
--- a/src/placement/usage.rs
+++ b/src/placement/team_quota.rs
@@ -1,6 +1,6 @@
 //! What machines have left, and what teams use of their limits.
 
-use super::Resources;
+use super::{FreeCapacity, Resources};
 use crate::jobs::JobId;
 use crate::scheduler::SchedulerState;
 use crate::workers::{DesiredState, Machine};
@@ -8,20 +8,23 @@
 impl SchedulerState {
     /// What is left on a machine beside everything that may be on it.
     pub fn free_capacity(&self, m: &Machine) -> Resources {
-        self.rooms(m).0
+        self.capacity_left(m).free
     }
 
-    /// What is left on a machine, and what will be free there once what is being stopped is gone.
-    pub(super) fn rooms(&self, m: &Machine) -> (Resources, Resources) {
-        let rooms = m.rooms.get().unwrap_or_else(|| self.count_rooms(m));
-        m.rooms.set(Some(rooms));
-        rooms
+    /// What is left on a machine, and what is being stopped there; kept until an attempt there changes.
+    pub(super) fn capacity_left(&self, m: &Machine) -> FreeCapacity {
+        let left = m
+            .free_capacity
+            .get()
+            .unwrap_or_else(|| self.count_capacity_left(m));
+        m.free_capacity.set(Some(left));
+        left
     }
 
-    fn count_rooms(&self, m: &Machine) -> (Resources, Resources) {
+    fn count_capacity_left(&self, m: &Machine) -> FreeCapacity {
         if m.orphans.iter().any(|g| !g.exited) {
             // Nobody knows what a job without a record takes.
-            return (Resources::default(), Resources::default());
+            return FreeCapacity::default();
         }
         let (mut free, mut stopping) = (m.total, Resources::default());
         let mut last: Option<(JobId, Resources)> = None;
@@ -39,7 +42,7 @@
                 stopping = stopping.plus(need);
             }
         }
-        (free, stopping)
+        FreeCapacity { free, stopping }
     }
 
     /// What each team's tasks take, counting what unseen machines may still run: whatever may be
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -1,10 +1,10 @@
 //! The fleet: which machines are wanted, rented and returned.
 
-mod edge;
-mod list;
-mod plan;
-mod reserve;
-mod returns;
+mod cloud_sync_loop;
+mod headroom;
+mod machine_list;
+mod scale_in;
+mod scale_out;
 pub mod wire;
 
 use crate::jobs::rounds::{Write, WriteKind, page_write};
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -226,7 +226,7 @@
                 };
             }
             if any {
-                m.rooms.set(None);
+                m.free_capacity.set(None);
                 self.commands.due.insert(m.name.clone());
             }
         }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -29,7 +29,7 @@
                 grace_period_s: (!orphan.exited).then_some(0.0),
             });
         }
-        machine.rooms.set(None);
+        machine.free_capacity.set(None);
         // Answers that may not arrive carry no starts.
         let is_suspected = machine.suspicion.is_some();
         let here = (machine.agent_epoch, machine.sequence);
--- a/src/workers/direct.rs
+++ b/src/workers/direct.rs
@@ -196,7 +196,7 @@
             .filter(|(_, a)| unsent(a))
             .map(|(k, _)| *k)
             .collect();
-        machine.rooms.set(None);
+        machine.free_capacity.set(None);
         for key in keys {
             machine.attempts.remove(&key);
             if let Some(job) = self.jobs.table.get_mut(&key.0) {
--- a/src/workers/evidence.rs
+++ b/src/workers/evidence.rs
@@ -110,7 +110,7 @@
             return;
         };
         machine.orphans = orphans;
-        machine.rooms.set(None);
+        machine.free_capacity.set(None);
         if machine.busy() {
             machine.idle_since = None;
         } else {
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -3,7 +3,7 @@
 use super::delivery::DeliveryStatus;
 use super::wire::{CommandKind, TaskStatus, WorkerCommand};
 use crate::jobs::{Job, JobId};
-use crate::placement::Resources;
+use crate::placement::{FreeCapacity, Resources};
 use crate::time::{Micros, Moment};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -196,7 +196,7 @@
     pub calling: bool,
     /// What is free, and what will be, as last worked out: a pass looks at every machine, and few
     /// changed since the one before. Whatever changes its attempts forgets it.
-    pub rooms: Cell<Option<(Resources, Resources)>>,
+    pub free_capacity: Cell<Option<FreeCapacity>>,
 }
 
 impl Machine {
@@ -243,7 +243,7 @@
             last_listed: None,
             exists_since: None,
             calling: false,
-            rooms: Cell::new(None),
+            free_capacity: Cell::new(None),
         }
     }
 
--- a/src/workers/sessions.rs
+++ b/src/workers/sessions.rs
@@ -26,7 +26,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.rooms.set(None);
+        machine.free_capacity.set(None);
         machine.orphans.clear();
         self.fencing.forget(name);
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
