--- /dev/null
+++ b/src/placement/pass.rs
@@ -0,0 +1,188 @@
+//! One placement pass over all waiting jobs.
+
+use super::preemption::PreemptableAttempt;
+use super::queue_order::Queue;
+use super::{FreeCapacity, QueueOrder, Resources};
+use crate::jobs::JobId;
+use crate::jobs::spec::Priority;
+use crate::scheduler::SchedulerState;
+use crate::time::Moment;
+use std::collections::BTreeSet;
+
+/// A job that has waited too long gets this part of its tasks placed first, at least one.
+const FIRST_SHARE: u32 = 16;
+
+/// One machine in this many, and one more, may be reserved for jobs that have waited too long.
+const RESERVABLE_ONE_IN: usize = 32;
+
+/// A usable machine as one pass sees it.
+pub(super) struct CandidateMachine {
+    pub(super) name: String,
+    /// What no attempt holds.
+    pub(super) free: Resources,
+    /// What will be free once the attempts that are being stopped have left, less what waits for it.
+    pub(super) promised: Resources,
+    /// Kept for a job that has waited too long: nothing else starts here.
+    pub(super) reserved: bool,
+}
+
+/// The highest priority among waiting jobs; None if there are none.
+pub(super) struct HighestWaiting {
+    /// Of all waiting jobs.
+    pub(super) any: Option<Priority>,
+    /// Of those that fit into their team's guarantee.
+    pub(super) within_guarantee: Option<Priority>,
+}
+
+impl HighestWaiting {
+    fn of(waiting: &[(QueueOrder, JobId)]) -> HighestWaiting {
+        let priority = |(order, _): &(QueueOrder, JobId)| order.priority.0;
+        let within = waiting.iter().filter(|(order, _)| !order.over_guarantee);
+        HighestWaiting {
+            any: waiting.iter().map(priority).max(),
+            within_guarantee: within.map(priority).max(),
+        }
+    }
+}
+
+/// What one pass works on. Everything that looks at all machines or all tasks is worked out once
+/// for all jobs: with hundreds of machines and jobs their product would take all of a small
+/// controller's processor.
+pub(super) struct PlacementPass {
+    pub(super) candidates: Vec<CandidateMachine>,
+    /// Indices of candidates with free capacity.
+    pub(super) with_capacity: Vec<usize>,
+    /// Indices of candidates on which attempts are being stopped.
+    pub(super) freeing: Vec<usize>,
+    /// How many candidates are reserved for jobs that have waited too long.
+    pub(super) reserved: usize,
+    /// Demands that no candidate had capacity for; capacity only shrinks in a pass.
+    pub(super) unplaceable: Vec<Resources>,
+    /// What each team may still add within its limit.
+    pub(super) quota_left: Vec<Resources>,
+    /// Worked out when a job looks for something to preempt for the first time.
+    pub(super) preemptable: Option<Vec<PreemptableAttempt>>,
+    /// Thousandths of a CPU that each team uses beyond its guarantee; negative where it uses less.
+    pub(super) borrowed_cpu: Vec<i64>,
+    /// Jobs that don't fit into their team's guarantee beside the team's earlier jobs.
+    pub(super) over_guarantee: BTreeSet<JobId>,
+    /// The lowest priority of which any task is bound to a machine.
+    pub(super) lowest_bound: Option<Priority>,
+    pub(super) highest_waiting: HighestWaiting,
+}
+
+impl SchedulerState {
+    /// Runs a pass if one is due, the last one was long enough ago, and tasks may be assigned now.
+    pub fn place_if_due(&mut self, now: Moment) {
+        if self.permissions().assign && self.placement.may_run(self.machines.len(), now) {
+            self.run_placement_pass(now);
+        }
+    }
+
+    /// One pass: binds waiting tasks to machines, and preempts attempts that must make way.
+    pub fn run_placement_pass(&mut self, now: Moment) {
+        self.placement.begin_pass(now);
+        let Queue {
+            waiting,
+            over_guarantee,
+        } = self.queue(now);
+        if waiting.is_empty() {
+            return;
+        }
+        let highest_waiting = HighestWaiting::of(&waiting);
+        let mut pass = self.start_pass(over_guarantee, highest_waiting, now);
+        for (order, id) in waiting {
+            self.place_job(order, id, &mut pass, now);
+        }
+    }
+
+    /// Works out what all waiting jobs share.
+    fn start_pass(
+        &self,
+        over_guarantee: BTreeSet<JobId>,
+        highest_waiting: HighestWaiting,
+        now: Moment,
+    ) -> PlacementPass {
+        let candidates = self.candidates(now);
+        let used = self.team_usage();
+        let indices_of = |wanted: fn(&CandidateMachine) -> bool| -> Vec<usize> {
+            (0..candidates.len())
+                .filter(|index| wanted(&candidates[*index]))
+                .collect()
+        };
+        let bound = self.jobs.table.values().filter(|j| j.is_bound());
+        PlacementPass {
+            with_capacity: indices_of(|c| c.free.cpu > 0),
+            freeing: indices_of(|c| c.promised != c.free),
+            reserved: 0,
+            unplaceable: Vec::new(),
+            quota_left: self.quota_left_beside(&used),
+            preemptable: None,
+            borrowed_cpu: self.borrowed_cpu(&used),
+            over_guarantee,
+            lowest_bound: bound.map(|j| j.spec.rank).min(),
+            highest_waiting,
+            candidates,
+        }
+    }
+
+    /// All usable machines, by name.
+    fn candidates(&self, now: Moment) -> Vec<CandidateMachine> {
+        let usable = self.machines.values().filter(|m| self.usable(m, now));
+        usable
+            .map(|m| {
+                let FreeCapacity { free, stopping } = self.capacity_left(m);
+                CandidateMachine {
+                    name: m.name.clone(),
+                    free,
+                    promised: free.plus(stopping),
+                    reserved: false,
+                }
+            })
+            .collect()
+    }
+
+    /// Places as many of a job's waiting tasks as there is capacity for, and preempts others for the rest.
+    fn place_job(&mut self, order: QueueOrder, id: JobId, pass: &mut PlacementPass, now: Moment) {
+        let Some(job) = self.jobs.table.get(&id) else {
+            return;
+        };
+        let Some(team) = job.team else { return };
+        let (demand, mut ready) = (job.spec.need, job.ready());
+        let constrains_zones = job.spec.constrains_zones();
+        let overdue = order.overdue.0;
+        if overdue {
+            ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
+        }
+        let mut zones = self.tasks_by_zone(id);
+        let mut lacks_machine = false;
+        for _ in 0..ready {
+            if !demand.fits(pass.quota_left[team]) {
+                if overdue {
+                    // What gets free of the team's limit is kept until it is enough.
+                    pass.quota_left[team] = pass.quota_left[team].minus(demand);
+                }
+                break;
+            }
+            let Some(index) = self.choose_machine(id, pass, &zones) else {
+                lacks_machine = true;
+                if overdue && pass.reserved <= pass.candidates.len() / RESERVABLE_ONE_IN {
+                    self.reserve_machine(id, pass, &zones);
+                }
+                break;
+            };
+            let candidate = &mut pass.candidates[index];
+            let Some(zone) = self.bind_next_task(id, candidate, overdue, now) else {
+                return;
+            };
+            if constrains_zones {
+                *zones.entry(zone).or_insert(0) += 1;
+            }
+            pass.quota_left[team] = pass.quota_left[team].minus(demand);
+        }
+        let waiting = self.request_start_watermark(id, now);
+        if lacks_machine {
+            self.preempt_for(order, id, waiting, pass, now);
+        }
+    }
+}
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,187 +1,308 @@
-//! Preemption: what is stopped so that more important work gets room.
+//! Preemption: which attempts are stopped so that more important work gets their capacity.
 
-use super::{Place, PlacementPass, QueueOrder, Resources};
-use crate::jobs::JobId;
+use super::pass::PlacementPass;
+use super::zones::TasksByZone;
+use super::{QueueOrder, Resources};
 use crate::jobs::spec::Priority;
+use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::wire::TaskStatus;
-use crate::workers::{AttemptKey, DesiredState};
+use crate::workers::{Attempt, AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
-/// A task that could be stopped.
-pub(super) struct Victim {
-    /// What would be lost: the work done so far.
+/// Added to the time that a task takes to save a checkpoint.
+const SAVE_MARGIN: Micros = Micros::from_secs(2);
+
+/// An attempt that could be preempted.
+pub(super) struct PreemptableAttempt {
+    /// What would be lost: the processor time used so far, in microseconds of a thousandth of a CPU.
     lost: u64,
-    at: usize,
+    /// The index of its machine among the pass's candidates.
+    candidate: usize,
     key: AttemptKey,
-    need: Resources,
+    demand: Resources,
     team: usize,
-    rank: Priority,
-    stopped: bool,
+    priority: Priority,
+    /// This pass preempts it.
+    preempted: bool,
 }
 
-impl SchedulerState {
-    /// What could be stopped for anything that waits, the least loss first.
-    fn victims(&self, pass: &PlacementPass, now: Moment) -> Vec<Victim> {
-        let (highest, within) = pass.highest;
-        let mut victims = Vec::new();
-        for (at, place) in pass.places.iter().enumerate() {
-            let Some(m) = self.machines.get(&place.name) else {
-                continue;
-            };
-            for (key, a) in &m.attempts {
-                if !a.holds()
-                    || a.desired != DesiredState::Run
-                    || a.status == Some(TaskStatus::Flushing)
-                {
-                    continue;
-                }
-                let Some(v) = self.jobs.table.get(&key.0) else {
-                    continue;
-                };
-                // Else what begins at last would be stopped at once, again and again.
-                let begins = !v.begun && now - v.accepted_at > self.config.max_queue_wait;
-                if a.protected || begins || place.reserved {
-                    continue;
-                }
-                let Some(team) = v.team else { continue };
-                let rank = Some(v.spec.rank);
-                if rank >= highest && (rank > within || pass.over[team] <= 0) {
-                    continue;
-                }
-                let ran = (now - a.running_since.unwrap_or(now)).0;
-                victims.push(Victim {
-                    lost: ran.saturating_mul(v.spec.need.cpu as u64),
-                    at,
-                    key: *key,
-                    need: v.spec.need,
-                    team,
-                    rank: v.spec.rank,
-                    stopped: false,
-                });
-            }
+/// A job that looks for capacity.
+struct Preemptor<'a> {
+    job: &'a Job,
+    team: usize,
+    /// It fits into its team's guarantee, and so may take back what other teams borrowed.
+    within_guarantee: bool,
+    zones: TasksByZone,
+}
+
+/// What preempting some attempts on one machine would free.
+struct Gathered {
+    /// The capacity promised once they have left.
+    capacity: Resources,
+    /// Their indices among the preemptable attempts.
+    attempts: Vec<usize>,
+}
+
+/// An attempt to be preempted.
+struct Preemption {
+    machine: String,
+    attempt: AttemptKey,
+}
+
+impl Preemptor<'_> {
+    /// True if the job may take the attempt's place.
+    ///
+    /// That is only what comes later in the queue order: what fits into its own team's guarantee would preempt
+    /// the same work in turn, since both teams may have borrowed, again and again.
+    fn may_preempt(&self, attempt: &PreemptableAttempt, pass: &PlacementPass) -> bool {
+        let is_borrowed = || {
+            self.within_guarantee
+                && attempt.team != self.team
+                && attempt.priority <= self.job.spec.rank
+                && pass.over_guarantee.contains(&attempt.key.0)
+                && pass.borrowed_cpu[attempt.team] >= attempt.demand.cpu
+        };
+        !attempt.preempted && (attempt.priority < self.job.spec.rank || is_borrowed())
+    }
+
+    /// False if nothing can be preempted for the job: most jobs that wait needn't look at all that runs.
+    fn may_preempt_anything(&self, pass: &PlacementPass) -> bool {
+        let lower = pass
+            .lowest_bound
+            .is_some_and(|lowest| lowest < self.job.spec.rank);
+        let mut teams = pass.borrowed_cpu.iter().enumerate();
+        let others_borrow = |(team, borrowed): (usize, &i64)| team != self.team && *borrowed > 0;
+        lower || (self.within_guarantee && teams.any(others_borrow))
+    }
+}
+
+impl PlacementPass {
+    /// Promises a candidate's capacity to as many of `waiting` tasks as it holds; returns how many still wait.
+    fn promise(&mut self, candidate: usize, demand: Resources, mut waiting: u32) -> u32 {
+        let candidate = &mut self.candidates[candidate];
+        while waiting > 0 && demand.fits(candidate.promised) {
+            candidate.promised = candidate.promised.minus(demand);
+            waiting -= 1;
         }
-        victims.sort_unstable_by_key(|v| (v.lost, v.at, v.key));
-        victims
+        waiting
     }
+}
 
-    /// Stops lower work, or work that others borrowed, where that makes room for waiting tasks.
-    pub(super) fn make_room(
+impl SchedulerState {
+    /// Preempts lower work, or work that others borrowed capacity for, where that lets waiting tasks start.
+    pub(super) fn preempt_for(
         &mut self,
-        queue_order: QueueOrder,
+        order: QueueOrder,
         id: JobId,
         waiting: u32,
         pass: &mut PlacementPass,
         now: Moment,
     ) {
+        for preemption in self.plan_preemptions(order, id, waiting, pass, now) {
+            self.preempt_attempt(&preemption.machine, preemption.attempt);
+        }
+    }
+
+    fn plan_preemptions(
+        &self,
+        order: QueueOrder,
+        id: JobId,
+        waiting: u32,
+        pass: &mut PlacementPass,
+        now: Moment,
+    ) -> Vec<Preemption> {
         let Some(job) = self.jobs.table.get(&id) else {
-            return;
+            return Vec::new();
         };
-        let Some(team) = job.team else { return };
-        let (need, rank) = (job.spec.need, job.spec.rank);
-        // Most jobs that wait may stop nothing: they needn't look at all that runs.
-        let lower = pass.lowest.is_some_and(|lowest| lowest < rank);
-        let mut others = pass.over.iter().enumerate().filter(|(t, _)| *t != team);
-        let borrowed = !queue_order.beyond_guarantee && others.any(|(_, over)| *over > 0);
-        if !lower && !borrowed {
-            return;
+        let Some(team) = job.team else {
+            return Vec::new();
+        };
+        let mut preemptor = Preemptor {
+            job,
+            team,
+            within_guarantee: !order.over_guarantee,
+            zones: TasksByZone::new(),
+        };
+        if !preemptor.may_preempt_anything(pass) {
+            return Vec::new();
+        }
+        preemptor.zones = self.tasks_by_zone(id);
+        let waiting = waiting.min(pass.quota_left[team].count_of(job.spec.need));
+        let waiting = self.await_capacity(&preemptor, waiting, pass);
+        if waiting == 0 {
+            return Vec::new();
         }
-        let mut left = waiting.min(pass.quota_left[team].count_of(need));
-        let zones = self.tasks_by_zone(id);
-        let allowed = |at: usize, places: &[Place]| {
-            job.spec.anywhere()
-                || self.machines.get(&places[at].name).is_some_and(|m| {
-                    job.spec.allows(&m.type_name, &m.zone, m.spot)
-                        && Self::zone_allowed(job, &m.zone, &zones)
-                })
+        let mut attempts = match pass.preemptable.take() {
+            Some(attempts) => attempts,
+            None => self.preemptable_attempts(pass, now),
         };
-        // Room that is being made already is waited for, not made twice.
-        for at in &pass.making {
-            if !allowed(*at, &pass.places) {
+        let preemptions = self.choose_preemptions(&preemptor, waiting, &mut attempts, pass);
+        pass.preemptable = Some(attempts);
+        preemptions
+    }
+
+    /// True if the preemptor's tasks may run on the candidate, as far as anything but capacity goes.
+    fn allows_candidate(
+        &self,
+        preemptor: &Preemptor<'_>,
+        candidate: usize,
+        pass: &PlacementPass,
+    ) -> bool {
+        preemptor.job.spec.is_unconstrained()
+            || self
+                .machines
+                .get(&pass.candidates[candidate].name)
+                .is_some_and(|m| preemptor.job.allows_machine(m, &preemptor.zones))
+    }
+
+    /// Capacity that is being freed already is waited for: nothing is preempted twice for it. Returns how many
+    /// tasks it isn't enough for.
+    fn await_capacity(
+        &self,
+        preemptor: &Preemptor<'_>,
+        mut waiting: u32,
+        pass: &mut PlacementPass,
+    ) -> u32 {
+        for i in 0..pass.freeing.len() {
+            let candidate = pass.freeing[i];
+            if self.allows_candidate(preemptor, candidate, pass) {
+                waiting = pass.promise(candidate, preemptor.job.spec.need, waiting);
+            }
+        }
+        waiting
+    }
+
+    /// What could be preempted for anything that waits, the least loss first.
+    fn preemptable_attempts(&self, pass: &PlacementPass, now: Moment) -> Vec<PreemptableAttempt> {
+        let mut preemptable = Vec::new();
+        for (index, candidate) in pass.candidates.iter().enumerate() {
+            let Some(m) = self.machines.get(&candidate.name) else {
+                continue;
+            };
+            if candidate.reserved {
                 continue;
             }
-            let place = &mut pass.places[*at];
-            while left > 0 && need.fits(place.promised) {
-                place.promised = place.promised.minus(need);
-                left -= 1;
+            for (key, attempt) in &m.attempts {
+                let Some(job) = self.jobs.table.get(&key.0) else {
+                    continue;
+                };
+                let Some(team) = job.team else { continue };
+                if !self.is_preemptable(job, team, attempt, pass, now) {
+                    continue;
+                }
+                let ran = (now - attempt.running_since.unwrap_or(now)).0;
+                preemptable.push(PreemptableAttempt {
+                    lost: ran.saturating_mul(job.spec.need.cpu as u64),
+                    candidate: index,
+                    key: *key,
+                    demand: job.spec.need,
+                    team,
+                    priority: job.spec.rank,
+                    preempted: false,
+                });
             }
         }
-        if left == 0 {
-            return;
-        }
-        if pass.victims.is_none() {
-            pass.victims = Some(self.victims(pass, now));
+        preemptable.sort_unstable_by_key(|a| (a.lost, a.candidate, a.key));
+        preemptable
+    }
+
+    /// True if something that waits might take the attempt's place.
+    fn is_preemptable(
+        &self,
+        job: &Job,
+        team: usize,
+        attempt: &Attempt,
+        pass: &PlacementPass,
+        now: Moment,
+    ) -> bool {
+        let runs = attempt.holds()
+            && attempt.desired == DesiredState::Run
+            && attempt.status != Some(TaskStatus::Flushing);
+        // What begins after too long a wait would else be preempted at once, again and again.
+        let begins_late = !job.begun && now - job.accepted_at > self.config.max_queue_wait;
+        if !runs || attempt.protected || begins_late {
+            return false;
         }
-        // By place, what might be stopped there: nothing is, unless it makes enough room together.
-        // What is stopped in vain starts again in the room that it left, and is stopped again, without
-        // end, where the rest of a machine can't be stopped.
-        let mut together: BTreeMap<usize, (Resources, Vec<usize>)> = BTreeMap::new();
-        let mut stops = Vec::new();
-        let victims = pass.victims.as_mut().map_or(&mut [][..], |v| &mut v[..]);
-        for i in 0..victims.len() {
-            if left == 0 {
+        let priority = Some(job.spec.rank);
+        priority < pass.highest_waiting.any
+            || (priority <= pass.highest_waiting.within_guarantee && pass.borrowed_cpu[team] > 0)
+    }
+
+    /// Chooses what is preempted so that as many waiting tasks as possible can start.
+    ///
+    /// On each machine nothing is preempted unless it frees enough together. What is preempted in vain starts
+    /// again in the capacity that it left, and is preempted again, without end, where the rest of a machine
+    /// can't be preempted.
+    fn choose_preemptions(
+        &self,
+        preemptor: &Preemptor<'_>,
+        mut waiting: u32,
+        attempts: &mut [PreemptableAttempt],
+        pass: &mut PlacementPass,
+    ) -> Vec<Preemption> {
+        let demand = preemptor.job.spec.need;
+        let mut gathered: BTreeMap<usize, Gathered> = BTreeMap::new();
+        let mut preemptions = Vec::new();
+        for i in 0..attempts.len() {
+            if waiting == 0 {
                 break;
             }
-            let v = &victims[i];
-            // Only what comes later in the order: what fits into its own team's guarantee would stop
-            // the same work in turn, since both teams may have borrowed, again and again.
-            let borrowed = !queue_order.beyond_guarantee
-                && v.team != team
-                && v.rank <= rank
-                && pass.beyond.contains(&v.key.0)
-                && pass.over[v.team] >= v.need.cpu;
-            if v.stopped || (v.rank >= rank && !borrowed) || !allowed(v.at, &pass.places) {
+            let candidate = attempts[i].candidate;
+            if !preemptor.may_preempt(&attempts[i], pass)
+                || !self.allows_candidate(preemptor, candidate, pass)
+            {
                 continue;
             }
-            let at = v.at;
-            let promised = pass.places[at].promised;
-            let (room, stopped) = together.entry(at).or_insert((promised, Vec::new()));
-            *room = room.plus(v.need);
-            stopped.push(i);
-            if !need.fits(*room) {
+            let on_machine = gathered.entry(candidate).or_insert_with(|| Gathered {
+                capacity: pass.candidates[candidate].promised,
+                attempts: Vec::new(),
+            });
+            on_machine.capacity = on_machine.capacity.plus(attempts[i].demand);
+            on_machine.attempts.push(i);
+            if !demand.fits(on_machine.capacity) {
                 continue;
             }
-            let room = *room;
-            for i in std::mem::take(stopped) {
-                let v = &mut victims[i];
-                v.stopped = true;
-                pass.over[v.team] -= v.need.cpu;
-                stops.push((pass.places[at].name.clone(), v.key));
-            }
-            let place = &mut pass.places[at];
-            if place.promised == place.free {
-                pass.making.push(at);
+            for preempted in on_machine.attempts.drain(..) {
+                let attempt = &mut attempts[preempted];
+                attempt.preempted = true;
+                pass.borrowed_cpu[attempt.team] -= attempt.demand.cpu;
+                preemptions.push(Preemption {
+                    machine: pass.candidates[candidate].name.clone(),
+                    attempt: attempt.key,
+                });
             }
-            place.promised = room;
-            while left > 0 && need.fits(place.promised) {
-                place.promised = place.promised.minus(need);
-                left -= 1;
+            if pass.candidates[candidate].promised == pass.candidates[candidate].free {
+                pass.freeing.push(candidate);
             }
-            let promised = place.promised;
-            together.insert(at, (promised, Vec::new()));
-        }
-        for (name, key) in stops {
-            self.preempt_attempt(&name, key);
+            pass.candidates[candidate].promised = on_machine.capacity;
+            waiting = pass.promise(candidate, demand, waiting);
+            on_machine.capacity = pass.candidates[candidate].promised;
         }
+        preemptions
     }
 
-    /// Wants one attempt gone, with time to save where that keeps something.
-    pub fn preempt_attempt(&mut self, machine: &str, key: crate::workers::AttemptKey) {
+    /// Wants one attempt stopped, with time to save a checkpoint where its job makes any.
+    pub fn preempt_attempt(&mut self, machine: &str, key: AttemptKey) {
         let Some(job) = self.jobs.table.get(&key.0) else {
             return;
         };
-        let grace_period = if job.spec.checkpoint > Micros::ZERO {
-            job.spec.save + Micros::from_secs(2)
-        } else {
-            Micros::ZERO
+        let grace_period = match job.spec.checkpoint > Micros::ZERO {
+            true => job.spec.save + SAVE_MARGIN,
+            false => Micros::ZERO,
         };
         if let Some(m) = self.machines.get_mut(machine)
-            && let Some(a) = m.attempts.get_mut(&key)
+            && let Some(attempt) = m.attempts.get_mut(&key)
         {
-            a.desired = DesiredState::Stop { grace_period };
+            attempt.desired = DesiredState::Stop { grace_period };
             m.free_capacity.set(None);
-            log::debug!("stopping {}/{} on {machine}", job.spec.id, key.1);
+            log::debug!(
+                "attempt preempted: machine={machine} job={} task={} attempt={}",
+                job.spec.id,
+                key.1,
+                key.2
+            );
             self.commands.due.insert(machine.to_string());
         }
     }
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -1,17 +1,31 @@
-//! Amounts of resources: what tasks need, and what machines and limits have.
+//! Amounts of resources: what tasks demand, and the capacity of machines and quotas.
 
-/// Resources in whole thousandths, so that sums are exact.
+/// An amount of each resource, in thousandths (of a CPU, of a GPU, of a gigabyte), so that sums are exact.
+///
+/// A difference may be negative: it then says how much is missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resources {
+    /// Thousandths of a CPU.
     pub cpu: i64,
+    /// Thousandths of a GPU.
     pub gpu: i64,
+    /// Thousandths of a gigabyte of memory.
     pub ram: i64,
 }
 
+/// Units in one CPU, GPU or gigabyte.
+const UNITS: f64 = 1000.0;
+
+/// Decimal fractions are inexact as floating-point numbers: so much of a unit is not counted when rounding.
+const ROUNDING_SLACK: f64 = 1e-6;
+
+/// The largest number that [`Resources::count_of`] returns.
+const MAX_COUNT: i64 = 10_000;
+
 impl Resources {
-    /// What a task takes: rounded up.
+    /// What a task demands: each amount is rounded up.
     pub fn demand(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
-        let up = |x: f64| (x * 1000.0 - 1e-6).ceil() as i64;
+        let up = |amount: f64| (amount * UNITS - ROUNDING_SLACK).ceil() as i64;
         Resources {
             cpu: up(cpus),
             gpu: up(gpus),
@@ -19,9 +33,9 @@
         }
     }
 
-    /// What a machine or a limit has: rounded down.
+    /// The capacity of a machine or of a quota: each amount is rounded down.
     pub fn capacity(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
-        let down = |x: f64| (x * 1000.0 + 1e-6).floor() as i64;
+        let down = |amount: f64| (amount * UNITS + ROUNDING_SLACK).floor() as i64;
         Resources {
             cpu: down(cpus),
             gpu: down(gpus),
@@ -29,50 +43,67 @@
         }
     }
 
-    pub fn fits(self, room: Resources) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.ram <= room.ram
+    /// True if no amount is above that of the capacity.
+    pub fn fits(self, capacity: Resources) -> bool {
+        self.cpu <= capacity.cpu && self.gpu <= capacity.gpu && self.ram <= capacity.ram
+    }
+
+    /// The sum.
+    pub fn plus(self, other: Resources) -> Resources {
+        Resources {
+            cpu: self.cpu + other.cpu,
+            gpu: self.gpu + other.gpu,
+            ram: self.ram + other.ram,
+        }
     }
 
-    pub fn plus(self, o: Resources) -> Resources {
+    /// The difference; an amount that falls short is negative.
+    pub fn minus(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu + o.cpu,
-            gpu: self.gpu + o.gpu,
-            ram: self.ram + o.ram,
+            cpu: self.cpu - other.cpu,
+            gpu: self.gpu - other.gpu,
+            ram: self.ram - other.ram,
         }
     }
 
-    pub fn minus(self, o: Resources) -> Resources {
+    /// The smaller amount of each resource.
+    pub fn min(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu - o.cpu,
-            gpu: self.gpu - o.gpu,
-            ram: self.ram - o.ram,
+            cpu: self.cpu.min(other.cpu),
+            gpu: self.gpu.min(other.gpu),
+            ram: self.ram.min(other.ram),
         }
     }
 
-    /// The smaller of both, for each resource.
-    pub fn at_most(self, o: Resources) -> Resources {
+    /// The larger amount of each resource.
+    pub fn max(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu.min(o.cpu),
-            gpu: self.gpu.min(o.gpu),
-            ram: self.ram.min(o.ram),
+            cpu: self.cpu.max(other.cpu),
+            gpu: self.gpu.max(other.gpu),
+            ram: self.ram.max(other.ram),
         }
     }
 
-    pub fn scaled(self, n: i64) -> Resources {
+    /// What `count` tasks of this demand take together.
+    pub fn scaled(self, count: i64) -> Resources {
         Resources {
-            cpu: self.cpu * n,
-            gpu: self.gpu * n,
-            ram: self.ram * n,
+            cpu: self.cpu * count,
+            gpu: self.gpu * count,
+            ram: self.ram * count,
         }
     }
 
-    /// How many tasks of this need the room holds.
-    pub fn count_of(self, need: Resources) -> u32 {
-        let one = |have: i64, need: i64| if need <= 0 { i64::MAX } else { have / need };
-        one(self.cpu, need.cpu)
-            .min(one(self.gpu, need.gpu))
-            .min(one(self.ram, need.ram))
-            .clamp(0, 10_000) as u32
+    /// How many tasks of the demand this capacity holds, 10,000 at most. A resource that the task doesn't
+    /// demand sets no bound.
+    pub fn count_of(self, demand: Resources) -> u32 {
+        let count = |capacity: i64, demand: i64| match demand {
+            ..=0 => i64::MAX,
+            _ => capacity / demand,
+        };
+        count(self.cpu, demand.cpu)
+            .min(count(self.gpu, demand.gpu))
+            .min(count(self.ram, demand.ram))
+            .clamp(0, MAX_COUNT) as u32
     }
 }
 
--- a/src/placement/schedule.rs
+++ b/src/placement/schedule.rs
@@ -5,7 +5,7 @@
 /// Passes are at least this long apart for each machine: a pass looks at every machine and waiting job.
 const SPACING_PER_MACHINE: Micros = Micros(100);
 
-/// When placement passes run.
+/// When placement passes run: after a change, and not too often.
 #[derive(Debug)]
 pub struct PlacementSchedule {
     /// Something changed that a pass should look at.
@@ -29,4 +29,10 @@
         let spacing = Micros(SPACING_PER_MACHINE.0 * machines as u64);
         self.due && now - self.last_pass >= spacing
     }
+
+    /// Notes that a pass begins.
+    pub(super) fn begin_pass(&mut self, now: Moment) {
+        self.due = false;
+        self.last_pass = now;
+    }
 }
--- a/src/placement/team_quota.rs
+++ b/src/placement/team_quota.rs
@@ -1,103 +1,78 @@
-//! What machines have left, and what teams use of their limits.
+//! What teams use, and what their limits leave.
 
-use super::{FreeCapacity, Resources};
-use crate::jobs::JobId;
+use super::Resources;
 use crate::scheduler::SchedulerState;
-use crate::workers::{DesiredState, Machine};
 
-impl SchedulerState {
-    /// What is left on a machine beside everything that may be on it.
-    pub fn free_capacity(&self, m: &Machine) -> Resources {
-        self.capacity_left(m).free
-    }
-
-    /// What is left on a machine, and what is being stopped there; kept until an attempt there changes.
-    pub(super) fn capacity_left(&self, m: &Machine) -> FreeCapacity {
-        let left = m
-            .free_capacity
-            .get()
-            .unwrap_or_else(|| self.count_capacity_left(m));
-        m.free_capacity.set(Some(left));
-        left
-    }
-
-    fn count_capacity_left(&self, m: &Machine) -> FreeCapacity {
-        if m.orphans.iter().any(|g| !g.exited) {
-            // Nobody knows what a job without a record takes.
-            return FreeCapacity::default();
-        }
-        let (mut free, mut stopping) = (m.total, Resources::default());
-        let mut last: Option<(JobId, Resources)> = None;
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
-            let need = match last {
-                Some((id, need)) if id == key.0 => need,
-                _ => match self.jobs.table.get(&key.0) {
-                    Some(job) => job.spec.need,
-                    None => continue,
-                },
-            };
-            last = Some((key.0, need));
-            free = free.minus(need);
-            if attempt.desired != DesiredState::Run {
-                stopping = stopping.plus(need);
-            }
-        }
-        FreeCapacity { free, stopping }
-    }
+/// Quotas limit CPUs and GPUs, not memory. Sums with this amount stay far from an overflow.
+const UNLIMITED_RAM: i64 = i64::MAX / 4;
 
-    /// What each team's tasks take, counting what unseen machines may still run: whatever may be
-    /// there, but no more than they can hold, since a worker refuses what doesn't fit.
+impl SchedulerState {
+    /// What each team's tasks take, in the order of the configured teams.
+    ///
+    /// What unreconciled machines may still run counts as well, but no more than they can hold, since a worker
+    /// refuses what doesn't fit.
     pub(super) fn team_usage(&self) -> Vec<Resources> {
         let mut used = vec![Resources::default(); self.config.teams.len()];
         let mut unreconciled = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
-            let need = job.spec.need;
-            used[team] = used[team].plus(need.scaled(i64::from(job.bound_attempts())));
+            let demand = job.spec.need;
+            used[team] = used[team].plus(demand.scaled(i64::from(job.bound_attempts())));
             if job.held_below > 0 {
-                unreconciled[team] =
-                    unreconciled[team].plus(need.scaled(i64::from(job.maybe_unreconciled())));
+                let held = demand.scaled(i64::from(job.maybe_unreconciled()));
+                unreconciled[team] = unreconciled[team].plus(held);
             }
         }
         let most = self.unreconciled_capacity();
-        let with_unseen = |(used, unreconciled): (&Resources, Resources)| {
-            used.plus(most.map_or(unreconciled, |most| unreconciled.at_most(most)))
+        let with_unreconciled = |(used, unreconciled): (&Resources, Resources)| {
+            used.plus(most.map_or(unreconciled, |most| unreconciled.min(most)))
         };
-        used.iter().zip(unreconciled).map(with_unseen).collect()
+        used.iter()
+            .zip(unreconciled)
+            .map(with_unreconciled)
+            .collect()
     }
 
-    /// What all unseen machines together have; None if nobody knows.
+    /// What all unreconciled machines can hold together; None if nobody knows which machines these are. A machine
+    /// whose size is unknown counts with the largest amount of each resource in the catalog.
     fn unreconciled_capacity(&self) -> Option<Resources> {
         if self.prior_term.watermarks_lost {
             return None;
         }
         let types = self.provisioning.catalog.iter().map(|t| t.capacity);
-        let largest = types.reduce(|a, b| Resources {
-            cpu: a.cpu.max(b.cpu),
-            gpu: a.gpu.max(b.gpu),
-            ram: a.ram.max(b.ram),
-        })?;
-        let room = |name: &String| match self.machines.get(name) {
+        let largest = types.reduce(Resources::max)?;
+        let capacity = |name: &String| match self.machines.get(name) {
             Some(m) if m.total.cpu > 0 => m.total,
             _ => largest,
         };
-        let all = self.prior_term.unreconciled.iter().map(room);
+        let all = self.prior_term.unreconciled.iter().map(capacity);
         Some(all.fold(Resources::default(), Resources::plus))
     }
 
-    /// What each team may still add. Memory isn't limited.
-    pub fn quota_left(&self) -> Vec<Resources> {
+    /// What each team may still add within its limit, in the order of the configured teams.
+    pub(crate) fn quota_left(&self) -> Vec<Resources> {
         self.quota_left_beside(&self.team_usage())
     }
 
+    /// The same for teams whose usage is known already.
     pub(super) fn quota_left_beside(&self, used: &[Resources]) -> Vec<Resources> {
         used.iter()
             .zip(&self.config.teams)
-            .map(|(used, t)| {
-                let mut room = Resources::capacity(t.cpus_max, t.gpus_max, 0.0).minus(*used);
-                room.ram = i64::MAX / 4;
-                room
+            .map(|(used, team)| {
+                let limit = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
+                Resources {
+                    ram: UNLIMITED_RAM,
+                    ..limit.minus(*used)
+                }
             })
             .collect()
     }
+
+    /// How many thousandths of a CPU each team uses beyond its guarantee; negative where it uses less.
+    pub(super) fn borrowed_cpu(&self, used: &[Resources]) -> Vec<i64> {
+        used.iter()
+            .zip(&self.config.teams)
+            .map(|(used, team)| used.cpu - Resources::capacity(team.cpus, 0.0, 0.0).cpu)
+            .collect()
+    }
 }
--- a/src/provisioning/scale_out.rs
+++ b/src/provisioning/scale_out.rs
@@ -151,7 +151,7 @@
                 }
                 quota_left[team] = quota_left[team].minus(need);
                 while let Some(Reverse((_, i))) = starts.peek()
-                    && !Self::zone_allowed(job, &bins[*i].zone, &zones)
+                    && !job.zone_allowed(&bins[*i].zone, &zones)
                 {
                     starts.pop();
                 }
@@ -213,7 +213,7 @@
                 // A machine that is late to boot is still likely to be up before a new one.
                 let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
                 job.spec.allows(&t.name, &o.zone, o.spot)
-                    && Self::zone_allowed(job, &o.zone, zones)
+                    && job.zone_allowed(&o.zone, zones)
                     && need.fits(t.capacity)
                     && self
                         .provisioning
