--- a/src/controller.rs
+++ b/src/controller.rs
@@ -11,7 +11,7 @@
 use crate::leadership::level::Level;
 use crate::leadership::peer::{PeerClient, PeerReply, PeerRequest, serve_peers};
 use crate::leadership::{LeaderLease, LeaderRecord};
-use crate::links::Links;
+use crate::link_health::LinkHealth;
 use crate::os::{EventCount, HttpClient, Os, System};
 use crate::provisioning::MachineType;
 use crate::scheduler::{SchedulerConfig, SchedulerState};
@@ -20,8 +20,8 @@
 use crate::state_store::bucket::TokenBucket;
 use crate::time::{Micros, Moment};
 use crate::workers::edge::WorkerClients;
-use aspenreel_links::evidence::{Link, NodeName};
-use aspenreel_links::handover::{HandoverPlanner, HandoverRecord};
+use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord};
+use aspenreel_link_health::link::{Link, NodeName};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
@@ -100,13 +100,13 @@
     pub cloud_tokens: Mutex<TokenBucket>,
     pub catalog: Mutex<Option<Arc<Vec<MachineType>>>>,
     /// Connections of users and workers that are open.
-    pub open: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
     /// Neither the state service nor any peer answers.
     pub isolated: AtomicBool,
     /// The record format that all controllers are known to know, as last read.
     pub level: Mutex<Level>,
     /// What is believed of the links, where they are watched.
-    pub links: Option<Arc<Links>>,
+    pub link_health: Option<Arc<LinkHealth>>,
 }
 
 impl Controller {
@@ -117,9 +117,12 @@
     ) -> Result<Controller, SettingsError> {
         let asked = options.leader_lease_ms.map(Micros::from_millis);
         let lease_life = settings.leader_lease(asked)?;
-        let links = options.links.settings()?;
-        let links = links.map(|links| Arc::new(Links::new(&settings, links, os.wall())));
-        let sink = links.as_ref().map(|links| links.sink.clone());
+        let link_settings = options.links.settings()?;
+        let link_health =
+            link_settings.map(|links| Arc::new(LinkHealth::new(&settings, links, os.wall())));
+        let observations = link_health
+            .as_ref()
+            .map(|health| health.observations.clone());
         let now = os.now();
         let nodes = settings.members.len() as f64 + 1.0;
         let site = &settings.settings;
@@ -132,14 +135,14 @@
             .map(|member| {
                 let link = Link::Peer(NodeName(member.node.clone()));
                 let client = PeerClient::new(os.clone(), member.peer_addr);
-                let client = client.with_evidence(link, sink.clone());
+                let client = client.with_observations(link, observations.clone());
                 (member.node.clone(), client)
             })
             .collect();
         Ok(Controller {
             // The leader reads and writes most; the shares still stay below the limit together.
             store: Store::new(settings.endpoints.state, limits.rps / nodes, os.clone())
-                .with_evidence(sink),
+                .with_observations(observations),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
                 terminal_states: TerminalStates::new(site.quota.max_remembered()),
@@ -152,10 +155,10 @@
             submit_tokens: Mutex::new(TokenBucket::new(submit, submit.max(4.0), now)),
             cloud_tokens: Mutex::new(TokenBucket::new(site.cloud.rps * 0.9, site.cloud.rps, now)),
             catalog: Mutex::new(None),
-            open: Arc::default(),
+            open_connections: Arc::default(),
             isolated: AtomicBool::new(false),
             level: Mutex::default(),
-            links,
+            link_health,
             lease_life,
             os,
             settings,
@@ -222,9 +225,9 @@
             ("company", duty(Controller::peer_probe_loop)),
             ("level", duty(Controller::level_loop)),
         ];
-        if self.links.is_some() {
-            duties.push(("links", duty(Controller::links_loop)));
-            duties.push(("link-exchange", duty(Controller::link_exchange_loop)));
+        if self.link_health.is_some() {
+            duties.push(("links", duty(Controller::link_state_loop)));
+            duties.push(("link-exchange", duty(Controller::view_exchange_loop)));
         }
         for _ in 0..self.settings.settings.quota.direct_threads() {
             duties.push(("direct", duty(Controller::direct_loop)));
@@ -262,8 +265,8 @@
             max_pool_threads: quota.pool_threads(),
             max_buffered_bytes: quota.buffered(),
         };
-        let open = self.open.clone();
-        serve(public, self, system, limits, open)
+        let open_connections = self.open_connections.clone();
+        serve(public, self, system, limits, open_connections)
     }
 
     fn timer_loop(&self) {
@@ -312,8 +315,8 @@
 
     /// A leader that hears few workers stands down whoever else hears them, unless it can tell.
     fn stands_down_unasked(&self) -> bool {
-        let links = self.links.as_ref();
-        links.is_none_or(|links| links.some_peer_without_views())
+        let link_health = self.link_health.as_ref();
+        link_health.is_none_or(|health| health.any_peer_without_views())
     }
 
     pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
