--- a/src/jobs/edge.rs
+++ b/src/jobs/edge.rs
@@ -55,7 +55,7 @@
     pub fn rounds_loop(&self) {
         let site = self.settings.settings.state.strictest();
         let rate = site.write_rps * self.options.write_budget as f64 / 100.0;
-        let round = Micros::from_millis(self.options.round_ms);
+        let round = Micros::from_millis(self.options.record_round_ms);
         let mut tokens = TokenBucket::new(rate, rate.max(site.txn_ops as f64), self.now());
         let mut next_round = self.now();
         let mut not_before = Moment(0);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -109,7 +109,7 @@
     assert!(err.contains("--no-such-flag"), "{err}");
     let (code, err) = run(&["serve", "--config", "x", "--round-ms", "0"], "info");
     assert_eq!(code, Some(2));
-    assert!(err.contains("--round-ms"), "{err}");
+    assert!(err.contains("--record-round-ms"), "{err}");
     let (code, err) = run(&["serve", "--config", "x"], "loud");
     assert_eq!(code, Some(2));
     assert!(err.contains("LOG_LEVEL"), "{err}");
@@ -152,7 +152,7 @@
         .output()
         .unwrap();
     let told = String::from_utf8(patience.stderr).unwrap();
-    assert!(told.contains("--on-demand-patience-ms"), "{told}");
+    assert!(told.contains("--on-demand-max-wait-ms"), "{told}");
     std::fs::remove_file(&path).unwrap();
 }
 
