--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -1,64 +1,82 @@
-//! Calls to the cloud, behind their tokens, and the catalog's copy in the state service.
+//! The leader's loop that keeps its machines and the cloud in step: list, requests, returns.
 
-use super::ProvisioningResult;
-use super::wire::{Catalog, MachineList, Names, ProvisioningCall};
+use super::cloud_client::ProvisioningResponse;
+use super::{ProvisioningRequest, ProvisioningResult};
 use crate::controller::Controller;
-use crate::http::cbor::{decode, encode, json_len};
-use crate::os::random_pause;
-use crate::state_store::{Change, Urgency, from_value, to_value};
 use crate::time::{Micros, Moment};
-use std::sync::Arc;
 use std::time::Duration;
 
-const CATALOG_KEY: &str = "catalog";
-const CALL_TIME: Duration = Duration::from_secs(4);
+/// Time between two steps of the loop.
 const STEP: Duration = Duration::from_millis(500);
-const LIST_EVERY: Micros = Micros::from_secs(3);
-/// While a takeover waits for machines that lists may prove to be gone.
-const LIST_SOON: Micros = Micros::from_secs(1);
-const CATALOG_EVERY: Micros = Micros::from_secs(60);
-const LIST_PAGE: usize = 500;
-/// A list of many pages waits for tokens between them, for so long in all. One that took longer would
-/// say little of the time at which it was asked for.
-const LIST_TIME: Micros = Micros::from_secs(10);
-/// Of the cloud's calls, lists take one in so many at most: rentals and returns need the others.
+
+/// Time between two lists.
+const LIST_INTERVAL: Micros = Micros::from_secs(3);
+
+/// The same while a new leader waits for machines that lists may prove to be gone.
+const LIST_INTERVAL_IN_FAILOVER: Micros = Micros::from_secs(1);
+
+/// Time between two looks at the catalog.
+const CATALOG_INTERVAL: Micros = Micros::from_secs(60);
+
+/// Of the cloud's calls, lists take one in so many at most: requests and returns need the others.
 const LIST_SHARE: f64 = 2.0;
 
+/// Wait after a request whose outcome is unknown.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+
+/// What the loop remembers between its steps.
+struct SyncProgress {
+    /// When the catalog was last fetched here.
+    catalog_fetched_at: Option<Moment>,
+    /// The term in which the catalog's copy was last stored; 0 if in none.
+    catalog_saved_in: u64,
+    /// How many pages the last list had.
+    list_pages: usize,
+}
+
+/// What a step has to do.
+struct SyncStep {
+    term: u64,
+    is_list_due: bool,
+}
+
 impl Controller {
-    fn cloud_call(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-        let now = self.now();
-        {
-            let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
-            if !tokens.take(1.0, now) {
-                return None;
-            }
-        }
-        match self.cloud.call(method, path, body, CALL_TIME) {
-            Ok(answer) if answer.status == 429 => {
-                let pause = Micros::from_millis(500 + fastrand::u64(0..500));
-                let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
-                tokens.punish(pause, now);
-                None
-            }
-            Ok(answer) => Some((answer.status, answer.body)),
-            Err(e) => {
-                log::debug!("cloud: {path}: {e}");
-                None
+    /// While this controller leads: fetches the catalog, lists machines, sends requests and returns machines.
+    pub(crate) fn cloud_sync_loop(&self) {
+        let mut progress = SyncProgress {
+            catalog_fetched_at: None,
+            catalog_saved_in: 0,
+            list_pages: 1,
+        };
+        loop {
+            self.os.sleep(STEP);
+            let now = self.now();
+            let Some(step) = self.next_sync_step(&progress, now) else {
+                continue;
+            };
+            self.sync_catalog(&mut progress, step.term, now);
+            if step.is_list_due {
+                progress.list_pages = self.sync_machine_list();
             }
+            self.scale_out();
+            self.scale_in();
         }
     }
 
-    /// Waits until there is a token, until then at the longest.
-    fn await_cloud_token(&self, until: Moment) {
-        let rate = self.settings.settings.cloud.rps;
-        let wait = Micros::from_secs_f64(1.0 / rate);
-        let empty = || {
-            let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
-            tokens.available(self.now()) < 1.0
+    /// What is due; None if this controller doesn't lead.
+    fn next_sync_step(&self, progress: &SyncProgress, now: Moment) -> Option<SyncStep> {
+        let mut state = self.state();
+        let (lead, scheduler) = state.acting(now)?;
+        let interval = match scheduler.prior_term.released {
+            true => LIST_INTERVAL,
+            false => LIST_INTERVAL_IN_FAILOVER,
         };
-        while empty() && self.now() < until {
-            self.os.sleep(wait.duration());
-        }
+        let interval = interval.max(self.list_interval(progress.list_pages));
+        let last_listed_at = scheduler.provisioning.last_listed_at;
+        Some(SyncStep {
+            term: lead.term,
+            is_list_due: last_listed_at.is_none_or(|t| now - t >= interval),
+        })
     }
 
     /// How often a list of so many pages may be asked for.
@@ -67,236 +85,105 @@
         Micros::from_secs_f64(time)
     }
 
-    fn set_catalog(&self, catalog: &Catalog) {
-        let types = Arc::new(catalog.types());
-        *self.catalog.lock().unwrap_or_else(|e| e.into_inner()) = Some(types.clone());
-        if let Some(scheduler) = &mut self.state().scheduler {
-            scheduler.provisioning.catalog = types.to_vec();
-        }
-    }
-
-    fn fetch_catalog(&self) -> Option<Catalog> {
-        let (status, body) = self.cloud_call("GET", "/catalog", &[])?;
-        if status != 200 {
-            return None;
-        }
-        match decode::<Catalog>(&body) {
-            Ok(catalog) if !catalog.builds.is_empty() => Some(catalog),
-            Ok(_) => None,
-            Err(e) => {
-                log::info!("malformed catalog: {e}");
-                None
-            }
-        }
-    }
-
-    /// Gets the catalog: at the start from the copy that a leader keeps, which is there sooner
-    /// and even while the cloud is down, else from the cloud; then from the cloud now and then.
-    pub fn catalog_loop(&self) {
-        while self.catalog().is_none() {
-            if let Ok(Some(row)) = self.store.get(CATALOG_KEY, Urgency::Normal)
-                && let Some(catalog) = from_value::<Catalog>(&row.data)
-                && !catalog.builds.is_empty()
-            {
-                self.set_catalog(&catalog);
-            } else if let Some(catalog) = self.fetch_catalog() {
-                self.set_catalog(&catalog);
-            } else {
-                random_pause(&*self.os, 300, 600);
-            }
-        }
-        loop {
-            random_pause(&*self.os, 240_000, 360_000);
-            if let Some(catalog) = self.fetch_catalog() {
-                self.set_catalog(&catalog);
-            }
-        }
-    }
-
-    pub fn cloud_sync_loop(&self) {
-        let mut last_catalog: Option<Moment> = None;
-        let mut saved_term = 0;
-        let mut list_pages = 1;
-        loop {
-            self.os.sleep(STEP);
-            let now = self.now();
-            let (list_due, term) = {
-                let mut state = self.state();
-                let Some((lead, scheduler)) = state.acting(now) else {
-                    continue;
-                };
-                let every = if scheduler.prior_term.released {
-                    LIST_EVERY
-                } else {
-                    LIST_SOON
-                };
-                let every = every.max(self.list_interval(list_pages));
-                let due = scheduler
-                    .provisioning
-                    .last_listed_at
-                    .is_none_or(|t| now - t >= every);
-                (due, lead.term)
-            };
-            let catalog_due = last_catalog.is_none_or(|t| now - t > CATALOG_EVERY);
-            if (catalog_due || saved_term != term)
-                && let Some(catalog) = self.fetch_catalog()
-            {
-                last_catalog = Some(now);
-                self.set_catalog(&catalog);
-                if saved_term != term && self.save_catalog(&catalog) {
-                    saved_term = term;
-                }
-            }
-            if list_due {
-                list_pages = self.list_machines();
-            }
-            self.rent();
-            self.return_machines();
+    /// Fetches the catalog if it is due, and stores a copy once in each term.
+    fn sync_catalog(&self, progress: &mut SyncProgress, term: u64, now: Moment) {
+        let is_due = progress
+            .catalog_fetched_at
+            .is_none_or(|t| now - t > CATALOG_INTERVAL);
+        if !is_due && progress.catalog_saved_in == term {
+            return;
         }
-    }
-
-    /// Keeps a copy, so that a restarted node can take submissions while the cloud is down.
-    fn save_catalog(&self, catalog: &Catalog) -> bool {
-        let Some(guard) = self.state().lead.as_ref().map(|l| l.guard()) else {
-            return false;
+        let Ok(catalog) = self.fetch_catalog() else {
+            return;
         };
-        let data = to_value(catalog);
-        if json_len(&data) > self.settings.settings.state.strictest().value_bytes() {
-            log::info!("the catalog is too large for the state service: it isn't kept there");
-            return true;
+        progress.catalog_fetched_at = Some(now);
+        self.set_catalog(&catalog);
+        if progress.catalog_saved_in != term && self.save_catalog(&catalog) {
+            progress.catalog_saved_in = term;
         }
-        let change = Change::write(CATALOG_KEY, data);
-        self.store
-            .transact(&[guard], &[change], Urgency::Lazy)
-            .is_ok()
     }
 
-    /// Asks for the whole list, and takes it in; how many pages it has had.
-    fn list_machines(&self) -> usize {
+    /// Asks for the machine list and reconciles the machines with it; how many pages it had.
+    fn sync_machine_list(&self) -> usize {
         let asked = self.now();
-        let mut pages = 0;
-        let mut list = Vec::new();
-        let mut since = String::new();
-        loop {
-            let after = if since.is_empty() {
-                String::new()
-            } else {
-                format!("since={since}&")
-            };
-            let path = format!("/rentals?{after}most={LIST_PAGE}");
-            pages += 1;
-            if pages > 1 {
-                self.await_cloud_token(asked + LIST_TIME);
-            }
-            let Some((200, body)) = self.cloud_call("GET", &path, &[]) else {
-                return pages;
-            };
-            let page: MachineList = match decode(&body) {
-                Ok(page) => page,
-                Err(e) => {
-                    log::info!("malformed machine list: {e}");
-                    return pages;
-                }
-            };
-            let last = page.hosts.last().map(|h| h.name.clone());
-            list.extend(page.hosts);
-            match last {
-                Some(last) if page.more => since = last,
-                _ => break,
+        let outcome = self.fetch_machine_list();
+        if let Ok(machines) = &outcome.machines {
+            let now = self.now();
+            if let Some((_, scheduler)) = self.state().acting(now) {
+                scheduler.reconcile_machine_list(machines, asked, now);
+                self.wake(scheduler);
             }
         }
-        let now = self.now();
-        if let Some((_, scheduler)) = self.state().acting(now) {
-            scheduler.reconcile_machine_list(&list, asked, now);
-            self.wake(scheduler);
-        }
-        pages
+        outcome.pages
     }
 
-    fn rent(&self) {
-        let now = self.now();
-        let requests = {
-            let mut state = self.state();
-            let Some((_, scheduler)) = state.acting(now) else {
-                return;
-            };
-            scheduler.plan_scale_out(now);
-            scheduler.provisioning.requests.clone()
-        };
-        for request in requests {
+    /// Plans requests for machines and sends those that have no answer yet.
+    fn scale_out(&self) {
+        for request in self.pending_requests() {
             let now = self.now();
             if self.state().acting(now).is_none() {
                 return;
             }
-            log::info!(
-                "renting {} {} in {} (spot {}) as {}",
-                request.count,
-                request.type_name,
-                request.offer.zone,
-                request.offer.spot,
-                request.name
-            );
-            let body = encode(&ProvisioningCall {
-                hire: &request.name,
-                build: &request.type_name,
-                yard: &request.offer.zone,
-                loaners: request.offer.spot,
-                count: request.count,
-            });
-            let result = match self.cloud_call("POST", "/rentals", &body) {
-                Some((200, body)) => match decode::<Names>(&body) {
-                    Ok(names) => ProvisioningResult::Granted(names.hosts),
-                    Err(e) => {
-                        log::info!("malformed rental: {e}");
-                        ProvisioningResult::Unknown
-                    }
-                },
-                Some((503, body)) if no_capacity(&body) => ProvisioningResult::NoCapacity,
-                Some((400, _)) => {
-                    log::error!("the cloud calls rental {} malformed", request.name);
-                    ProvisioningResult::NoCapacity
-                }
-                _ => ProvisioningResult::Unknown,
-            };
-            let failed = matches!(result, ProvisioningResult::Unknown);
+            let result = self.request_machines(&request);
+            let is_unknown = matches!(result, ProvisioningResult::Unknown);
             let now = self.now();
             if let Some((_, scheduler)) = self.state().acting(now) {
                 scheduler.apply_provisioning_result(&request.name, result, now);
             }
-            if failed {
-                self.os.sleep(Duration::from_millis(500));
+            if is_unknown {
+                self.os.sleep(RETRY_PAUSE);
                 return;
             }
         }
     }
 
-    fn return_machines(&self) {
+    /// The planned requests that have no answer yet; none if this controller doesn't lead.
+    fn pending_requests(&self) -> Vec<ProvisioningRequest> {
         let now = self.now();
-        let names = {
-            let mut state = self.state();
-            let Some((_, scheduler)) = state.acting(now) else {
-                return;
-            };
-            scheduler.plan_scale_in(now)
+        let mut state = self.state();
+        let Some((_, scheduler)) = state.acting(now) else {
+            return Vec::new();
         };
-        if names.is_empty() {
+        scheduler.plan_scale_out(now);
+        scheduler.provisioning.requests.clone()
+    }
+
+    /// Sends one request. After an error nobody knows whether it was executed.
+    fn request_machines(&self, request: &ProvisioningRequest) -> ProvisioningResult {
+        log::info!(
+            "machines requested: request={} type={} zone={} spot={} count={}",
+            request.name,
+            request.type_name,
+            request.offer.zone,
+            request.offer.spot,
+            request.count
+        );
+        match self.send_provisioning_request(request) {
+            Ok(ProvisioningResponse::Granted(names)) => ProvisioningResult::Granted(names),
+            Ok(ProvisioningResponse::NoCapacity) => ProvisioningResult::NoCapacity,
+            Err(_) => ProvisioningResult::Unknown,
+        }
+    }
+
+    /// Returns the machines whose return is due, and drops those that are gone then.
+    fn scale_in(&self) {
+        let due = self.due_returns();
+        if due.is_empty() {
             return;
         }
-        let body = encode(&Names { hosts: names });
-        let Some((200, _)) = self.cloud_call("POST", "/rentals/return", &body) else {
+        let Ok(gone) = self.return_machines(due) else {
             return;
         };
-        let names = decode::<Names>(&body).map(|n| n.hosts).unwrap_or_default();
         if let Some(scheduler) = &mut self.state().scheduler {
-            scheduler.drop_gone_machines(&names);
+            scheduler.drop_gone_machines(&gone);
         }
     }
-}
 
-fn no_capacity(body: &[u8]) -> bool {
-    #[derive(serde::Deserialize)]
-    struct Problem {
-        error: String,
+    /// Names of machines whose return is due; none if this controller doesn't lead.
+    fn due_returns(&self) -> Vec<String> {
+        let now = self.now();
+        let mut state = self.state();
+        let acting = state.acting(now);
+        acting.map_or_else(Vec::new, |(_, scheduler)| scheduler.plan_scale_in(now))
     }
-    decode::<Problem>(body).is_ok_and(|p| p.error == "no capacity")
 }
--- a/src/provisioning/scale_out.rs
+++ b/src/provisioning/scale_out.rs
@@ -1,68 +1,49 @@
-//! The rental plan: what waiting work needs beyond the machines that are there and on their way.
+//! Scale-out: which machines are requested, and what comes of the requests.
 
-use super::{ListStatus, MAX_REQUESTED, Offer, ProvisioningRequest};
-use crate::jobs::Job;
-use crate::placement::Resources;
+use super::capacity_plan::CapacityPlan;
+use super::{ListStatus, Offer, ProvisioningRequest, ProvisioningResult};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use crate::workers::Machine;
+use std::collections::BTreeMap;
 
-/// A machine as the plan sees it: room, and when it gets free.
-struct Bin {
-    type_index: usize,
-    zone: String,
-    spot: bool,
-    releases: Vec<(Moment, Resources)>,
-}
-
-impl Bin {
-    /// When enough is free for one more task.
-    fn earliest(&self, need: Resources) -> Option<Moment> {
-        let mut free = Resources::default();
-        self.releases.iter().find_map(|(at, room)| {
-            free = free.plus(*room);
-            need.fits(free).then_some(*at)
-        })
-    }
-
-    /// Takes room for a task from `start` for `run`.
-    fn take(&mut self, start: Moment, need: Resources, run: Micros) {
-        let mut free = Resources::default();
-        self.releases.retain(|(at, room)| {
-            let taken = *at <= start;
-            if taken {
-                free = free.plus(*room);
-            }
-            !taken
-        });
-        self.releases.push((start, free.minus(need)));
-        self.releases.push((start + run, need));
-        self.releases.sort_by_key(|r| r.0);
-    }
-}
-
-/// Tasks of one job that a plan looks at.
-const MAX_PLANNED: u32 = 300;
+/// Machines in one request.
+pub(super) const MAX_REQUESTED: u32 = 50;
 
 /// Machines that one plan asks for: ten requests. The next plan follows once these are answered.
-const MOST_WANTED: u32 = 10 * MAX_REQUESTED;
+const MAX_WANTED: u32 = 10 * MAX_REQUESTED;
 
 /// Plans are at least this long apart for each machine: one looks at every task on every machine.
 const PLAN_SPACING: Micros = Micros(500);
 
 impl SchedulerState {
-    /// Adds the rentals that waiting work needs beyond what is there and on its way.
+    /// Adds the requests that waiting work needs beyond the machines that are there and on their way.
     pub fn plan_scale_out(&mut self, now: Moment) {
         let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
-        let soon = self.provisioning.planned.is_some_and(|t| now - t < spacing);
-        if !self.provisioning.was_listed || !self.provisioning.requests.is_empty() || soon {
+        let provisioning = &mut self.provisioning;
+        let planned_lately = provisioning
+            .last_planned_at
+            .is_some_and(|t| now - t < spacing);
+        if !provisioning.was_listed || !provisioning.requests.is_empty() || planned_lately {
             return;
         }
-        self.provisioning.planned = Some(now);
-        let mut wanted = self.wanted_offers(now);
+        provisioning.last_planned_at = Some(now);
+        for (offer, count) in self.all_wanted_offers(now) {
+            let mut left = count;
+            while left > 0 {
+                let count = left.min(MAX_REQUESTED);
+                left -= count;
+                self.provisioning
+                    .add_request(self.term, offer.clone(), count);
+            }
+        }
+    }
+
+    /// What waiting work wants, else headroom, and headroom for replicas in any case.
+    fn all_wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
+        let mut wanted = self.wanted_for_waiting_work(now);
         if wanted.is_empty()
-            && let Some(offer) = self.reserve_offer(now)
+            && let Some(offer) = self.headroom_offer(now)
         {
             wanted.insert(offer, 1);
         }
@@ -70,200 +51,88 @@
             let planned = wanted.entry(offer).or_insert(0);
             *planned = count.max(*planned);
         }
-        for (offer, count) in wanted {
-            let mut left = count;
-            while left > 0 {
-                let n = left.min(MAX_REQUESTED);
-                left -= n;
-                self.provisioning.request_count += 1;
-                let name = format!("r-{}-{}", self.term, self.provisioning.request_count);
-                let type_name = self.provisioning.catalog[offer.type_index].name.clone();
-                self.provisioning.requests.push(ProvisioningRequest {
-                    name,
-                    offer: offer.clone(),
-                    type_name,
-                    count: n,
-                });
-            }
-        }
+        wanted
     }
 
-    /// Plans the waiting tasks on what is there and on its way, in order of priority; a task
+    /// Plans the waiting tasks, in queue order, on what is there and on its way; a task
     /// that would start too late there asks for a new machine.
-    fn wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
-        let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
+    fn wanted_for_waiting_work(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let offers = self.provisioning.offers();
-        let refused = |o: &Offer| {
-            self.provisioning
-                .no_capacity_until
-                .get(o)
-                .is_some_and(|t| *t > now)
-        };
-        if offers.iter().all(|(o, _)| refused(o)) {
-            return wanted;
+        if !offers
+            .iter()
+            .any(|priced| self.provisioning.may_request(&priced.offer, now))
+        {
+            return BTreeMap::new();
         }
         let order = self.queue_order(now);
         if order.is_empty() {
-            return wanted;
+            return BTreeMap::new();
         }
-        let mut bins: Vec<Bin> = self
-            .machines
-            .values()
-            .filter(|m| !m.returning && !m.faulty && !m.has_preemption_notice && !m.lost)
-            .filter(|m| m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now))
-            .filter_map(|m| self.bin_of(m, now))
-            .collect();
-        let eager = self.aims_at_waits();
-        let mut quota_left = self.quota_left();
+        let machines = self.machines.values();
+        let counted = machines.filter(|m| self.counts_as_capacity(m, now));
+        let forecasts = counted.filter_map(|m| self.forecast(m, now)).collect();
+        // Whoever aims at starting times wants every start as soon as a machine can be had.
+        let starts_at_once = self.aims_at_waits();
+        let mut plan = CapacityPlan::new(forecasts, self.quota_left(), offers, starts_at_once);
         for (_, id) in order {
-            let Some(job) = self.jobs.table.get(&id) else {
-                continue;
-            };
-            let Some(team) = job.team else { continue };
-            let need = job.spec.need;
-            let run = self.expected_run_time(job);
-            // Whoever aims at starting times wants every start as soon as a machine can be had.
-            let latest = match eager || job.spec.standing {
-                true => now,
-                false => self.latest_start(job),
-            };
-            // By when a task could start there: only the bin that takes one changes.
-            let earliest = |bins: &[Bin], i: usize| {
-                let bin = &bins[i];
-                let t = &self.provisioning.catalog[bin.type_index];
-                let allowed =
-                    need.fits(t.capacity) && job.spec.allows(&t.name, &bin.zone, bin.spot);
-                let start = if allowed {
-                    bin.earliest(need)?
-                } else {
-                    return None;
-                };
-                Some(Reverse((start.max(now), i)))
-            };
-            // A job bound to one zone, or spread over several, has no use for room elsewhere.
-            let zoned = job.spec.one_zone || job.spec.spread;
-            let mut zones = self.tasks_by_zone(id);
-            let mut starts: BinaryHeap<Reverse<(Moment, usize)>> =
-                (0..bins.len()).filter_map(|i| earliest(&bins, i)).collect();
-            for _ in 0..job.ready().min(MAX_PLANNED) {
-                if !need.fits(quota_left[team]) {
-                    break;
-                }
-                quota_left[team] = quota_left[team].minus(need);
-                while let Some(Reverse((_, i))) = starts.peek()
-                    && !job.zone_allowed(&bins[*i].zone, &zones)
-                {
-                    starts.pop();
-                }
-                let best = starts.peek().map(|Reverse(best)| *best);
-                let offer = match best {
-                    Some((start, _)) if start <= latest => None,
-                    _ => {
-                        let existing = best.map(|(start, _)| start);
-                        self.choose_offer(job, &offers, &zones, existing, now)
-                    }
-                };
-                let (start, at) = match (offer, best) {
-                    (Some(offer), _) => {
-                        *wanted.entry(offer.clone()).or_insert(0) += 1;
-                        let t = &self.provisioning.catalog[offer.type_index];
-                        let up = now + t.boot;
-                        bins.push(Bin {
-                            type_index: offer.type_index,
-                            zone: offer.zone,
-                            spot: offer.spot,
-                            releases: vec![(up, t.capacity)],
-                        });
-                        (up, bins.len() - 1)
-                    }
-                    (None, Some((start, at))) => {
-                        starts.pop();
-                        (start, at)
-                    }
-                    (None, None) => break,
-                };
-                if zoned {
-                    *zones.entry(bins[at].zone.clone()).or_insert(0) += 1;
-                }
-                bins[at].take(start, need, run);
-                starts.extend(earliest(&bins, at));
-            }
-            if wanted.values().sum::<u32>() >= MOST_WANTED {
+            self.plan_job(id, &mut plan, now);
+            if plan.wanted_count() >= MAX_WANTED {
                 break;
             }
         }
-        wanted
+        plan.wanted
+    }
+
+    /// True for a machine on which tasks can be planned.
+    fn counts_as_capacity(&self, m: &Machine, now: Moment) -> bool {
+        m.stays() && m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now)
     }
 
-    /// The cheapest offer that helps: spot machines wherever they start the task sooner; ordinary
-    /// ones, which cost several times as much, where they save a long wait, or for want of others.
-    fn choose_offer(
-        &self,
-        job: &Job,
-        offers: &[(Offer, f64)],
-        zones: &BTreeMap<String, u32>,
-        existing: Option<Moment>,
+    /// Settles a request's answer; a request that is unknown, or settled already, is left alone.
+    pub fn apply_provisioning_result(
+        &mut self,
+        name: &str,
+        result: ProvisioningResult,
         now: Moment,
-    ) -> Option<Offer> {
-        let need = job.spec.need;
-        offers
-            .iter()
-            .filter(|(o, _)| {
-                let t = &self.provisioning.catalog[o.type_index];
-                // A machine that is late to boot is still likely to be up before a new one.
-                let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
-                job.spec.allows(&t.name, &o.zone, o.spot)
-                    && job.zone_allowed(&o.zone, zones)
-                    && need.fits(t.capacity)
-                    && self
-                        .provisioning
-                        .no_capacity_until
-                        .get(o)
-                        .is_none_or(|t| *t <= now)
-                    && existing.is_none_or(|start| {
-                        let long = up + self.config.on_demand_max_wait < start;
-                        up < start && (o.spot || !job.spec.spot || long)
-                    })
-            })
-            .min_by(|(a, pa), (b, pb)| {
-                let cost = |o: &Offer, price: f64| {
-                    let room = self.provisioning.catalog[o.type_index].capacity;
-                    price / f64::from(room.count_of(need).max(1))
-                };
-                cost(a, *pa).total_cmp(&cost(b, *pb))
-            })
-            .map(|(offer, _)| offer.clone())
+    ) {
+        let Some(at) = self.provisioning.find_request(name) else {
+            return;
+        };
+        match result {
+            ProvisioningResult::Unknown => {}
+            ProvisioningResult::NoCapacity => {
+                let request = self.provisioning.requests.remove(at);
+                self.provisioning.note_no_capacity(request.offer, now);
+            }
+            ProvisioningResult::Granted(names) => {
+                let request = self.provisioning.requests.remove(at);
+                if names.len() < request.count as usize {
+                    self.provisioning
+                        .note_no_capacity(request.offer.clone(), now);
+                }
+                self.add_granted_machines(&request, names, now);
+            }
+        }
     }
 
-    /// When room gets free on a machine, as far as can be told.
-    fn bin_of(&self, m: &crate::workers::Machine, now: Moment) -> Option<Bin> {
-        let type_index = self
-            .provisioning
-            .catalog
-            .iter()
-            .position(|t| t.name == m.type_name)?;
-        let mut releases = Vec::new();
-        if m.last_report.is_none() {
-            let boot = self.provisioning.catalog[type_index].boot;
-            let up = (m.known_since + boot).max(now + Micros::from_secs(2));
-            releases.push((up, self.provisioning.catalog[type_index].capacity));
-        } else {
-            releases.push((now, self.free_capacity(m)));
-            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
-                let Some(job) = self.jobs.table.get(&key.0) else {
-                    continue;
-                };
-                let from = attempt.running_since.unwrap_or(now);
-                let end = (from + self.expected_run_time(job)).max(now + Micros::from_secs(2));
-                releases.push((end, job.spec.need));
+    /// Adds the machines that a request was granted, unless they are known or gone already.
+    fn add_granted_machines(
+        &mut self,
+        request: &ProvisioningRequest,
+        names: Vec<String>,
+        now: Moment,
+    ) {
+        let capacity = self.provisioning.capacity_of(&request.type_name);
+        for name in names {
+            if self.provisioning.is_gone(&name) || self.machines.contains_key(&name) {
+                continue;
             }
-            releases.sort_by_key(|r| r.0);
+            let Offer { zone, spot, .. } = &request.offer;
+            let mut m = Machine::new(&name, &request.type_name, zone, *spot, capacity, now);
+            m.list_status = Some(ListStatus::Starting);
+            m.last_listed = Some(now);
+            m.exists_since = Some(now);
+            self.machines.insert(name, m);
         }
-        Some(Bin {
-            type_index,
-            zone: m.zone.clone(),
-            spot: m.spot,
-            releases,
-        })
     }
 }
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -1,4 +1,4 @@
-//! The cloud's messages as they stand on the wire.
+//! The cloud's messages as they stand on the wire. Names of the wire stand here only, as serde names.
 
 use super::{ListStatus, MachineType};
 use crate::http::cbor::Number;
@@ -6,82 +6,139 @@
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The catalog, as the cloud gives it and as `catalog` in the state service keeps it.
+/// The catalog, as the cloud gives it and as the store's key `catalog` keeps it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Catalog {
-    pub builds: Vec<Build>,
+    /// The machine types that can be requested.
+    #[serde(rename = "builds")]
+    pub machine_types: Vec<CatalogMachineType>,
 }
 
+/// A machine type of the catalog.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Build {
-    pub label: String,
+pub struct CatalogMachineType {
+    /// Its name.
+    #[serde(rename = "label")]
+    pub name: String,
+    /// CPUs of a machine.
     pub cpus: Number,
+    /// GPUs of a machine; none if absent.
     #[serde(default)]
     pub gpus: Option<Number>,
+    /// Memory of a machine, in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: Number,
+    /// Size of the image cache, in GB.
     #[serde(rename = "cacheGb")]
     pub cache_gb: Number,
+    /// Rate at which images are fetched, in GB a second.
     #[serde(rename = "fetchGbPerS")]
     pub fetch_gb_per_s: Number,
-    pub rate: Number,
+    /// Price of an on-demand machine.
+    #[serde(rename = "rate")]
+    pub price: Number,
+    /// Price of a spot machine.
     #[serde(rename = "lowPrice")]
-    pub low_price: Number,
+    pub spot_price: Number,
+    /// Time to boot, in seconds.
     #[serde(rename = "startupS")]
-    pub startup_s: Number,
-    pub yards: Vec<String>,
+    pub boot_s: Number,
+    /// The zones in which it can be had.
+    #[serde(rename = "yards")]
+    pub zones: Vec<String>,
 }
 
 impl Catalog {
+    /// The machine types as the scheduler uses them, in the catalog's order.
     pub fn types(&self) -> Vec<MachineType> {
-        self.builds
-            .iter()
-            .map(|b| MachineType {
-                name: b.label.clone(),
-                capacity: Resources::capacity(b.cpus.0, b.gpus.unwrap_or_default().0, b.ram_gb.0),
-                cache_gb: b.cache_gb.0,
-                fetch_gb_per_s: b.fetch_gb_per_s.0,
-                price: b.rate.0,
-                spot_price: b.low_price.0,
-                boot: Micros::from_secs_f64(b.startup_s.0),
-                zones: b.yards.clone(),
-            })
-            .collect()
+        let types = self.machine_types.iter();
+        types.map(CatalogMachineType::to_domain).collect()
+    }
+}
+
+impl CatalogMachineType {
+    fn to_domain(&self) -> MachineType {
+        let gpus = self.gpus.unwrap_or_default();
+        MachineType {
+            name: self.name.clone(),
+            capacity: Resources::capacity(self.cpus.0, gpus.0, self.ram_gb.0),
+            cache_gb: self.cache_gb.0,
+            fetch_gb_per_s: self.fetch_gb_per_s.0,
+            price: self.price.0,
+            spot_price: self.spot_price.0,
+            boot: Micros::from_secs_f64(self.boot_s.0),
+            zones: self.zones.clone(),
+        }
     }
 }
 
+/// The body of a request for machines.
 #[derive(Debug, Serialize)]
 pub struct ProvisioningCall<'a> {
-    pub hire: &'a str,
-    pub build: &'a str,
-    pub yard: &'a str,
-    pub loaners: bool,
+    /// The request's name: the cloud executes each name once.
+    #[serde(rename = "hire")]
+    pub request: &'a str,
+    /// The machine type's name.
+    #[serde(rename = "build")]
+    pub type_name: &'a str,
+    /// The zone.
+    #[serde(rename = "yard")]
+    pub zone: &'a str,
+    /// True for spot machines.
+    #[serde(rename = "loaners")]
+    pub spot: bool,
+    /// How many machines.
     pub count: u32,
 }
 
+/// Names of machines: those that were granted, are to be returned, or were returned.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Names {
-    pub hosts: Vec<String>,
+pub struct MachineNames {
+    /// The names.
+    #[serde(rename = "hosts")]
+    pub machines: Vec<String>,
 }
 
+/// A page of the machine list.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    pub hosts: Vec<ListedMachine>,
+    /// The machines, by name.
+    #[serde(rename = "hosts")]
+    pub machines: Vec<ListedMachine>,
+    /// More follow after the last one.
     #[serde(default)]
     pub more: bool,
 }
 
+/// A machine as the cloud lists it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
+    /// Its name, never used again.
     #[serde(rename = "ref")]
     pub name: String,
+    /// The machine type's name.
     #[serde(rename = "build")]
     pub type_name: String,
+    /// The zone.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// True for a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
+    /// Its state.
     pub status: ListStatus,
+    /// Seconds for which it has been held, as of the list.
     #[serde(rename = "heldS", default)]
     pub held_s: Number,
 }
+
+/// The body of a refusal.
+#[derive(Deserialize)]
+struct Refusal {
+    error: String,
+}
+
+/// True if the refusal says that there are no such machines now.
+pub(super) fn is_no_capacity(body: &[u8]) -> bool {
+    crate::http::cbor::decode::<Refusal>(body).is_ok_and(|r| r.error == "no capacity")
+}
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -386,7 +386,8 @@
         let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
-        self.scheduler.reconcile_machine_list(&list.hosts, now, now);
+        self.scheduler
+            .reconcile_machine_list(&list.machines, now, now);
     }
 
     fn step(&mut self) {
