--- a/src/os.rs
+++ b/src/os.rs
@@ -7,7 +7,7 @@
 #![warn(missing_docs)]
 
 use crate::http::client::{CallError, Client, ClientResponse};
-use crate::leadership::peer::{PeerLink, TcpPeer};
+use crate::peer::{PeerTransport, TcpTransport};
 use crate::time::{Clock, Micros, Moment, WallTime};
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -31,7 +31,7 @@
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
 
     /// A new link to the controller whose peer address is `addr`.
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink>;
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport>;
 }
 
 /// A client of one HTTP server.
@@ -106,8 +106,8 @@
         Arc::new(Client::new(addr))
     }
 
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerLink> {
-        Arc::new(TcpPeer::new(addr))
+    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
+        Arc::new(TcpTransport::new(addr))
     }
 }
 
--- a/src/placement/bin_packing.rs
+++ b/src/placement/bin_packing.rs
@@ -41,7 +41,7 @@
         zones: &TasksByZone,
     ) -> Option<usize> {
         let job = self.jobs.table.get(&id)?;
-        let (demand, is_unconstrained) = (job.spec.need, job.spec.is_unconstrained());
+        let (demand, is_unconstrained) = (job.spec.demand, job.spec.is_unconstrained());
         if pass.unplaceable.iter().any(|other| other.fits(demand)) {
             return None;
         }
@@ -102,7 +102,7 @@
 
     /// What it costs to place the task there, in seconds, lower is better; None if it doesn't fit.
     fn cost(&self, job: &Job, candidate: &CandidateMachine, zones: &TasksByZone) -> Option<f64> {
-        let demand = job.spec.need;
+        let demand = job.spec.demand;
         if !demand.fits(candidate.free) || !demand.fits(candidate.promised) {
             return None;
         }
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -27,7 +27,7 @@
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
         machine.attempts.insert((id, task, number), attempt);
-        machine.free_capacity.set(None);
+        machine.rooms.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
             self.commands.due.insert(candidate.name.clone());
@@ -39,8 +39,8 @@
         let cache_gb = self.provisioning.cache_gb_of(&machine.type_name);
         machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
-        candidate.free = candidate.free.minus(job.spec.need);
-        candidate.promised = candidate.promised.minus(job.spec.need);
+        candidate.free = candidate.free.minus(job.spec.demand);
+        candidate.promised = candidate.promised.minus(job.spec.demand);
         Some(machine.zone.clone())
     }
 
@@ -77,7 +77,7 @@
         let could_run = |candidate: &CandidateMachine| {
             self.machines
                 .get(&candidate.name)
-                .is_some_and(|m| job.spec.need.fits(m.total) && job.allows_machine(m, zones))
+                .is_some_and(|m| job.spec.demand.fits(m.total) && job.allows_machine(m, zones))
         };
         let candidates = pass.candidates.iter_mut().enumerate();
         let largest = candidates
--- a/src/placement/machine_capacity.rs
+++ b/src/placement/machine_capacity.rs
@@ -28,11 +28,8 @@
     /// What is left on a machine, and what is being stopped there. The machine keeps the result until an
     /// attempt on it changes.
     pub(super) fn capacity_left(&self, m: &Machine) -> FreeCapacity {
-        let left = m
-            .free_capacity
-            .get()
-            .unwrap_or_else(|| self.count_capacity_left(m));
-        m.free_capacity.set(Some(left));
+        let left = m.rooms.get().unwrap_or_else(|| self.count_capacity_left(m));
+        m.rooms.set(Some(left));
         left
     }
 
@@ -48,7 +45,7 @@
             let demand = match last {
                 Some((id, demand)) if id == key.0 => demand,
                 _ => match self.jobs.table.get(&key.0) {
-                    Some(job) => job.spec.need,
+                    Some(job) => job.spec.demand,
                     None => continue,
                 },
             };
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -4,7 +4,7 @@
 use super::queue_order::Queue;
 use super::{FreeCapacity, QueueOrder, Resources};
 use crate::jobs::JobId;
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 use std::collections::BTreeSet;
@@ -120,7 +120,7 @@
             preemptable: None,
             borrowed_cpu: self.borrowed_cpu(&used),
             over_guarantee,
-            lowest_bound: bound.map(|j| j.spec.rank).min(),
+            lowest_bound: bound.map(|j| j.spec.priority).min(),
             highest_waiting,
             candidates,
         }
@@ -148,7 +148,7 @@
             return;
         };
         let Some(team) = job.team else { return };
-        let (demand, mut ready) = (job.spec.need, job.ready());
+        let (demand, mut ready) = (job.spec.demand, job.ready());
         let constrains_zones = job.spec.constrains_zones();
         let overdue = order.overdue.0;
         if overdue {
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -3,7 +3,7 @@
 use super::pass::PlacementPass;
 use super::zones::TasksByZone;
 use super::{QueueOrder, Resources};
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -60,18 +60,18 @@
         let is_borrowed = || {
             self.within_guarantee
                 && attempt.team != self.team
-                && attempt.priority <= self.job.spec.rank
+                && attempt.priority <= self.job.spec.priority
                 && pass.over_guarantee.contains(&attempt.key.0)
                 && pass.borrowed_cpu[attempt.team] >= attempt.demand.cpu
         };
-        !attempt.preempted && (attempt.priority < self.job.spec.rank || is_borrowed())
+        !attempt.preempted && (attempt.priority < self.job.spec.priority || is_borrowed())
     }
 
     /// False if nothing can be preempted for the job: most jobs that wait needn't look at all that runs.
     fn may_preempt_anything(&self, pass: &PlacementPass) -> bool {
         let lower = pass
             .lowest_bound
-            .is_some_and(|lowest| lowest < self.job.spec.rank);
+            .is_some_and(|lowest| lowest < self.job.spec.priority);
         let mut teams = pass.borrowed_cpu.iter().enumerate();
         let others_borrow = |(team, borrowed): (usize, &i64)| team != self.team && *borrowed > 0;
         lower || (self.within_guarantee && teams.any(others_borrow))
@@ -129,7 +129,7 @@
             return Vec::new();
         }
         preemptor.zones = self.tasks_by_zone(id);
-        let waiting = waiting.min(pass.quota_left[team].count_of(job.spec.need));
+        let waiting = waiting.min(pass.quota_left[team].count_of(job.spec.demand));
         let waiting = self.await_capacity(&preemptor, waiting, pass);
         if waiting == 0 {
             return Vec::new();
@@ -168,7 +168,7 @@
         for i in 0..pass.freeing.len() {
             let candidate = pass.freeing[i];
             if self.allows_candidate(preemptor, candidate, pass) {
-                waiting = pass.promise(candidate, preemptor.job.spec.need, waiting);
+                waiting = pass.promise(candidate, preemptor.job.spec.demand, waiting);
             }
         }
         waiting
@@ -194,12 +194,12 @@
                 }
                 let ran = (now - attempt.running_since.unwrap_or(now)).0;
                 preemptable.push(PreemptableAttempt {
-                    lost: ran.saturating_mul(job.spec.need.cpu as u64),
+                    lost: ran.saturating_mul(job.spec.demand.cpu as u64),
                     candidate: index,
                     key: *key,
-                    demand: job.spec.need,
+                    demand: job.spec.demand,
                     team,
-                    priority: job.spec.rank,
+                    priority: job.spec.priority,
                     preempted: false,
                 });
             }
@@ -221,11 +221,12 @@
             && attempt.desired == DesiredState::Run
             && attempt.status != Some(TaskStatus::Flushing);
         // What begins after too long a wait would else be preempted at once, again and again.
-        let begins_late = !job.begun && now - job.accepted_at > self.config.max_queue_wait;
+        let begins_late =
+            !job.ran_long_enough && now - job.accepted_at > self.config.max_queue_wait;
         if !runs || attempt.protected || begins_late {
             return false;
         }
-        let priority = Some(job.spec.rank);
+        let priority = Some(job.spec.priority);
         priority < pass.highest_waiting.any
             || (priority <= pass.highest_waiting.within_guarantee && pass.borrowed_cpu[team] > 0)
     }
@@ -242,7 +243,7 @@
         attempts: &mut [PreemptableAttempt],
         pass: &mut PlacementPass,
     ) -> Vec<Preemption> {
-        let demand = preemptor.job.spec.need;
+        let demand = preemptor.job.spec.demand;
         let mut gathered: BTreeMap<usize, Gathered> = BTreeMap::new();
         let mut preemptions = Vec::new();
         for i in 0..attempts.len() {
@@ -288,15 +289,15 @@
         let Some(job) = self.jobs.table.get(&key.0) else {
             return;
         };
-        let grace_period = match job.spec.checkpoint > Micros::ZERO {
-            true => job.spec.save + SAVE_MARGIN,
+        let grace_period = match job.spec.checkpoint_interval > Micros::ZERO {
+            true => job.spec.checkpoint_duration + SAVE_MARGIN,
             false => Micros::ZERO,
         };
         if let Some(m) = self.machines.get_mut(machine)
             && let Some(attempt) = m.attempts.get_mut(&key)
         {
             attempt.desired = DesiredState::Stop { grace_period };
-            m.free_capacity.set(None);
+            m.rooms.set(None);
             log::debug!(
                 "attempt preempted: machine={machine} job={} task={} attempt={}",
                 job.spec.id,
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -1,7 +1,7 @@
 //! The order in which waiting jobs are placed.
 
 use super::Resources;
-use crate::jobs::spec::Priority;
+use crate::jobs::Priority;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -57,7 +57,7 @@
         let mut demanded = vec![Resources::default(); self.config.teams.len()];
         for (id, job) in self.open_jobs_by_age() {
             let Some(team) = job.team else { continue };
-            let demand = job.spec.need.scaled(i64::from(job.remaining()));
+            let demand = job.spec.demand.scaled(i64::from(job.remaining()));
             demanded[team] = demanded[team].plus(demand);
             let settings = &self.config.teams[team];
             let guarantee = Resources::capacity(settings.cpus, settings.gpus, 0.0);
@@ -65,7 +65,7 @@
             if is_over {
                 over_guarantee.insert(*id);
             }
-            if job.ready() > 0 && job.retry_at <= now {
+            if job.ready() > 0 && job.retry_after <= now {
                 let order = self.order_of(job, settings.cpus_max, is_over, now);
                 waiting.push((order, *id));
             }
@@ -83,7 +83,7 @@
             .jobs
             .table
             .iter()
-            .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_asked() && !j.complete())
+            .filter(|(_, j)| j.outcome.is_none() && !j.is_cancel_requested() && !j.is_complete())
             .collect();
         by_age.sort_by_key(|(id, j)| (j.accepted_at, **id));
         by_age
@@ -94,17 +94,17 @@
         let latest_start = self.latest_start(job);
         // For how long the job would take up its team's limit, were it alone: of jobs equally pressed,
         // small ones go first, since they hold up the others least.
-        let run_time = match job.spec.standing {
+        let run_time = match job.spec.is_standing() {
             true => 0.0,
             false => self.expected_run_time(job).as_secs_f64(),
         };
-        let work = f64::from(job.remaining()) * run_time * job.spec.need.cpu as f64;
+        let work = f64::from(job.remaining()) * run_time * job.spec.demand.cpu as f64;
         let alone = work / (cpus_max * CPU_UNITS).max(1.0);
         QueueOrder {
             overdue: Reverse(self.is_overdue(job, now)),
-            priority: Reverse(job.spec.rank),
+            priority: Reverse(job.spec.priority),
             over_guarantee,
-            late: !job.spec.standing && now > latest_start + LATE_GRACE,
+            late: !job.spec.is_standing() && now > latest_start + LATE_GRACE,
             urgency: latest_start + Micros::from_secs_f64(alone * SMALL_JOBS_FIRST),
             accepted: job.accepted_at,
         }
@@ -114,6 +114,6 @@
     /// and late work, high priorities before low ones; each may be endless, so that waiting itself must win
     /// in the end. The age comes from the record, so it survives a failover.
     fn is_overdue(&self, job: &Job, now: Moment) -> bool {
-        !job.begun() && now - job.accepted_at > self.config.max_queue_wait
+        !job.has_begun() && now - job.accepted_at > self.config.max_queue_wait
     }
 }
--- a/src/placement/team_quota.rs
+++ b/src/placement/team_quota.rs
@@ -16,9 +16,9 @@
         let mut unreconciled = used.clone();
         for job in self.jobs.table.values() {
             let Some(team) = job.team else { continue };
-            let demand = job.spec.need;
+            let demand = job.spec.demand;
             used[team] = used[team].plus(demand.scaled(i64::from(job.bound_attempts())));
-            if job.held_below > 0 {
+            if job.unreconciled_below > 0 {
                 let held = demand.scaled(i64::from(job.maybe_unreconciled()));
                 unreconciled[team] = unreconciled[team].plus(held);
             }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -1,6 +1,6 @@
 //! On which machines the tasks of a job may run: type, zone, spot, and the zones of the job's other tasks.
 
-use crate::jobs::spec::JobSpec;
+use crate::jobs::JobSpec;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::workers::Machine;
@@ -12,12 +12,12 @@
 impl JobSpec {
     /// True if any machine with enough capacity will do.
     pub(super) fn is_unconstrained(&self) -> bool {
-        self.spot && self.zone.is_none() && self.types.is_none() && !self.constrains_zones()
+        self.spot && self.zone.is_none() && self.machine_types.is_none() && !self.constrains_zones()
     }
 
     /// True if the zones of the job's tasks depend on one another.
     pub(crate) fn constrains_zones(&self) -> bool {
-        self.one_zone || self.spread
+        self.same_zone || self.spread
     }
 
     /// True if its tasks may run on such a machine, whatever the job's other tasks do.
@@ -25,7 +25,7 @@
         (self.spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
             && self
-                .types
+                .machine_types
                 .as_ref()
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
@@ -39,7 +39,7 @@
         }
         // What an unreconciled machine may run may be in any zone.
         let unreconciled = self.maybe_unreconciled();
-        if self.spec.one_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
+        if self.spec.same_zone && (unreconciled > 0 || zones.keys().any(|z| z != zone)) {
             return false;
         }
         // A job that is spread has at most half of its tasks in one zone.
--- a/src/provisioning/capacity_plan.rs
+++ b/src/provisioning/capacity_plan.rs
@@ -152,7 +152,7 @@
             return;
         };
         let Some(team) = job.team else { return };
-        let demand = job.spec.need;
+        let demand = job.spec.demand;
         let start_on = |plan: &CapacityPlan, machine: usize| {
             let at = self.earliest_start(job, &plan.machines[machine], now)?;
             Some(Reverse(PlannedStart { at, machine }))
@@ -160,7 +160,7 @@
         let mut planned = PlannedJob {
             job,
             run_time: self.expected_run_time(job),
-            latest_start: match plan.starts_at_once || job.spec.standing {
+            latest_start: match plan.starts_at_once || job.spec.is_standing() {
                 true => now,
                 false => self.latest_start(job),
             },
@@ -189,7 +189,7 @@
     /// When a task of the job could start on the machine; None if it never could.
     fn earliest_start(&self, job: &Job, machine: &MachineForecast, now: Moment) -> Option<Moment> {
         let t = &self.provisioning.catalog[machine.type_index];
-        let demand = job.spec.need;
+        let demand = job.spec.demand;
         if !demand.fits(t.capacity) || !job.spec.allows(&t.name, &machine.zone, machine.spot) {
             return None;
         }
@@ -235,7 +235,7 @@
         existing: Option<Moment>,
         now: Moment,
     ) -> Option<Offer> {
-        let demand = planned.job.spec.need;
+        let demand = planned.job.spec.demand;
         let cost = |priced: &PricedOffer| {
             let capacity = self.provisioning.catalog[priced.offer.type_index].capacity;
             priced.price / f64::from(capacity.count_of(demand).max(1))
@@ -262,7 +262,7 @@
         let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
         job.spec.allows(&t.name, &offer.zone, offer.spot)
             && job.zone_allowed(&offer.zone, &planned.zones)
-            && job.spec.need.fits(t.capacity)
+            && job.spec.demand.fits(t.capacity)
             && self.provisioning.may_request(offer, now)
             && existing.is_none_or(|start| {
                 let saves_long_wait = up + self.config.on_demand_max_wait < start;
@@ -303,7 +303,7 @@
             let from = attempt.running_since.unwrap_or(now);
             releases.push(CapacityRelease {
                 at: (from + self.expected_run_time(job)).max(now + SOONEST),
-                amount: job.spec.need,
+                amount: job.spec.demand,
             });
         }
         releases.sort_by_key(|release| release.at);
--- a/src/provisioning/catalog_loop.rs
+++ b/src/provisioning/catalog_loop.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::http::cbor::json_len;
 use crate::os::random_pause;
-use crate::state_store::{Change, Urgency, from_value, to_value};
+use crate::store::{Change, StorePriority, from_value, to_value};
 use std::sync::Arc;
 
 /// The key of the catalog's copy.
@@ -48,7 +48,7 @@
 
     /// The catalog's copy in the store, if there is one that names any machine types.
     fn load_catalog(&self) -> Option<Catalog> {
-        let row = self.store.get(CATALOG_KEY, Urgency::Normal).ok()??;
+        let row = self.store.get(CATALOG_KEY, StorePriority::Normal).ok()??;
         let catalog: Catalog = from_value(&row.data)?;
         (!catalog.machine_types.is_empty()).then_some(catalog)
     }
@@ -56,7 +56,7 @@
     /// Keeps a copy, so that a restarted controller can take submissions while the cloud is down. True if it
     /// needn't be tried again in this term.
     pub(super) fn save_catalog(&self, catalog: &Catalog) -> bool {
-        let Some(guard) = self.state().lead.as_ref().map(|l| l.guard()) else {
+        let Some(guard) = self.state().leader_lease.as_ref().map(|l| l.precondition()) else {
             return false;
         };
         let data = to_value(catalog);
@@ -66,7 +66,7 @@
         }
         let change = Change::write(CATALOG_KEY, data);
         self.store
-            .transact(&[guard], &[change], Urgency::Lazy)
+            .transact(&[guard], &[change], StorePriority::Background)
             .is_ok()
     }
 }
--- a/src/provisioning/cloud_client.rs
+++ b/src/provisioning/cloud_client.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::http::cbor::{DecodeError, decode, encode};
 use crate::http::client::{CallError, ClientResponse};
-use crate::state_store::bucket::TokenBucket;
+use crate::store::token_bucket::TokenBucket;
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
 
     /// Runs something on the tokens for calls to the cloud, under their lock.
     fn with_cloud_tokens<T>(&self, run: impl FnOnce(&mut TokenBucket) -> T) -> T {
-        let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
+        let mut tokens = self.cloud_bucket.lock().unwrap_or_else(|e| e.into_inner());
         run(&mut tokens)
     }
 
--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -66,7 +66,7 @@
     /// What is due; None if this controller doesn't lead.
     fn next_sync_step(&self, progress: &SyncProgress, now: Moment) -> Option<SyncStep> {
         let mut state = self.state();
-        let (lead, scheduler) = state.acting(now)?;
+        let (lead, scheduler) = state.acting_leader(now)?;
         let interval = match scheduler.prior_term.released {
             true => LIST_INTERVAL,
             false => LIST_INTERVAL_IN_FAILOVER,
@@ -109,7 +109,7 @@
         let outcome = self.fetch_machine_list();
         if let Ok(machines) = &outcome.machines {
             let now = self.now();
-            if let Some((_, scheduler)) = self.state().acting(now) {
+            if let Some((_, scheduler)) = self.state().acting_leader(now) {
                 scheduler.reconcile_machine_list(machines, asked, now);
                 self.wake(scheduler);
             }
@@ -121,13 +121,13 @@
     fn scale_out(&self) {
         for request in self.pending_requests() {
             let now = self.now();
-            if self.state().acting(now).is_none() {
+            if self.state().acting_leader(now).is_none() {
                 return;
             }
             let result = self.request_machines(&request);
             let is_unknown = matches!(result, ProvisioningResult::Unknown);
             let now = self.now();
-            if let Some((_, scheduler)) = self.state().acting(now) {
+            if let Some((_, scheduler)) = self.state().acting_leader(now) {
                 scheduler.apply_provisioning_result(&request.name, result, now);
             }
             if is_unknown {
@@ -141,7 +141,7 @@
     fn pending_requests(&self) -> Vec<ProvisioningRequest> {
         let now = self.now();
         let mut state = self.state();
-        let Some((_, scheduler)) = state.acting(now) else {
+        let Some((_, scheduler)) = state.acting_leader(now) else {
             return Vec::new();
         };
         scheduler.plan_scale_out(now);
@@ -183,7 +183,7 @@
     fn due_returns(&self) -> Vec<String> {
         let now = self.now();
         let mut state = self.state();
-        let acting = state.acting(now);
+        let acting = state.acting_leader(now);
         acting.map_or_else(Vec::new, |(_, scheduler)| scheduler.plan_scale_in(now))
     }
 }
--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -95,13 +95,13 @@
     /// Jobs of replicas that may not use spot machines.
     fn on_demand_replica_jobs(&self) -> impl Iterator<Item = &Job> {
         let jobs = self.jobs.table.values();
-        jobs.filter(|j| j.spec.standing && !j.spec.spot && !j.is_closed())
+        jobs.filter(|j| j.spec.is_standing() && !j.spec.spot && !j.is_closed())
     }
 
     /// Thousandths of a CPU to keep for replicas that are yet to come, which can't wait for a boot; None if
     /// none are expected.
     fn replica_headroom(&self, now: Moment) -> Option<i64> {
-        let total = |j: &Job| j.spec.need.scaled(i64::from(j.spec.tasks)).cpu;
+        let total = |j: &Job| j.spec.demand.scaled(i64::from(j.spec.tasks)).cpu;
         let largest = self.on_demand_replica_jobs().map(total).max();
         if largest.is_none() && !self.expects_replicas() {
             return None;
@@ -137,8 +137,8 @@
     pub(super) fn replica_surplus(&self, now: Moment) -> Option<i64> {
         let headroom = self.replica_headroom(now)?;
         let held_by_replica = |key: &AttemptKey| {
-            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.standing);
-            job.map_or(0, |j| j.spec.need.cpu)
+            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.is_standing());
+            job.map_or(0, |j| j.spec.demand.cpu)
         };
         let available = |m: &Machine| {
             let attempts = m.attempts.iter().filter(|(_, a)| a.holds());
--- a/src/provisioning/registry.rs
+++ b/src/provisioning/registry.rs
@@ -1,6 +1,6 @@
 //! The machine registry: machines that may hold tasks, as the store keeps them for the next leader.
 
-use crate::jobs::rounds::{Write, WriteKind, page_write};
+use crate::jobs::{PendingWrite, PendingWriteKind, page_write};
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
@@ -19,11 +19,11 @@
         self.provisioning.registry.is_stored(name)
     }
 
-    /// Pages of the registry that differ from what is stored; without `tidy` only those with new
+    /// PagedMap of the registry that differ from what is stored; without `tidy` only those with new
     /// machines.
-    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<Write> {
-        let due = self.provisioning.registry.due(tidy).into_iter();
-        due.map(|image| page_write(REGISTRY_PREFIX, image, WriteKind::Registry))
+    pub fn pending_registry_writes(&self, tidy: bool) -> Vec<PendingWrite> {
+        let due = self.provisioning.registry.pages_due(tidy).into_iter();
+        due.map(|image| page_write(REGISTRY_PREFIX, image, PendingWriteKind::MachineRegistry))
             .collect()
     }
 }
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -184,7 +184,7 @@
         let mut held = m.attempts.iter().filter(|(_, a)| a.holds());
         held.any(|(key, _)| {
             let job = self.jobs.table.get(&key.0);
-            job.is_some_and(|j| j.spec.standing && !j.is_closed())
+            job.is_some_and(|j| j.spec.is_standing() && !j.is_closed())
         })
     }
 }
--- a/src/provisioning/state.rs
+++ b/src/provisioning/state.rs
@@ -3,7 +3,7 @@
 use super::catalog::PricedOffer;
 use super::{MachineType, Offer, ProvisioningRequest};
 use crate::placement::Resources;
-use crate::state_store::pages::Pages;
+use crate::store::paged_map::PagedMap;
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
 
@@ -43,14 +43,14 @@
     /// Machines that may hold tasks, and until when they surely existed, in microseconds of the time of day. A
     /// machine is registered before its first task, as soon as it is heard from. Sooner would spare its first task
     /// a wait, but a failover then waits for every machine that is still booting, and some machine nearly always is.
-    pub registry: Pages<u64>,
+    pub registry: PagedMap<u64>,
 }
 
 impl Provisioning {
     /// Nothing known yet; pages of the registry hold at most so many bytes.
     pub fn new(value_bytes: usize) -> Provisioning {
         Provisioning {
-            registry: Pages::new(value_bytes),
+            registry: PagedMap::new(value_bytes),
             ..Provisioning::default()
         }
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -196,7 +196,7 @@
     pub calling: bool,
     /// What is free, and what will be, as last worked out: a pass looks at every machine, and few
     /// changed since the one before. Whatever changes its attempts forgets it.
-    pub free_capacity: Cell<Option<FreeCapacity>>,
+    pub rooms: Cell<Option<FreeCapacity>>,
 }
 
 impl Machine {
@@ -243,7 +243,7 @@
             last_listed: None,
             exists_since: None,
             calling: false,
-            free_capacity: Cell::new(None),
+            rooms: Cell::new(None),
         }
     }
 
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -2,8 +2,8 @@
 
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::jobs::LocalStatus;
-use aspenreel::jobs::rounds::{Write as RecordWrite, WriteKind};
-use aspenreel::jobs::spec::Submission;
+use aspenreel::jobs::Submission;
+use aspenreel::jobs::{PendingWrite, PendingWriteKind};
 use aspenreel::provisioning::wire::{Catalog, ListedMachine};
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
@@ -155,7 +155,7 @@
 
     /// A job of which an earlier term claimed every task.
     pub fn old_job(&mut self, submission: Submission) -> &mut Self {
-        let start_watermark = submission.pieces as u32;
+        let start_watermark = submission.tasks as u32;
         self.accepted(submission, start_watermark)
     }
 
@@ -176,7 +176,7 @@
             .add_job(&s, self.epoch, self.now, WallTime(s.accepted_us));
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
-            s.id, s.pieces, s.cpus.0, s.rank
+            s.id, s.tasks, s.cpus.0, s.priority
         ));
         self
     }
@@ -294,7 +294,7 @@
         writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
             self.epoch += 1;
-            self.scheduler.written(write, self.epoch);
+            self.scheduler.apply_written(write, self.epoch);
         }
     }
 
@@ -343,7 +343,7 @@
 
     /// One write round; `commit` says whether the state service took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
-        let mut writes: Vec<RecordWrite> = self.scheduler.pending_final_writes(12);
+        let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
         writes.extend(self.scheduler.pending_retirements(100, 12));
         let told: Vec<String> = writes
@@ -351,11 +351,11 @@
             .map(|w| {
                 let id = |job| &self.scheduler.jobs.table[job].spec.id;
                 match &w.kind {
-                    WriteKind::Final(j, o) => format!("{} is {o:?}", id(j)),
-                    WriteKind::Set { job, chunk, text } => {
+                    PendingWriteKind::FinalState(j, o) => format!("{} is {o:?}", id(j)),
+                    PendingWriteKind::DoneSet { job, chunk, text } => {
                         format!("{} chunk {chunk} = {text:.40}", id(job))
                     }
-                    WriteKind::Retire(j, o) => format!("{} is {o:?} and retired", id(j)),
+                    PendingWriteKind::Retirement(j, o) => format!("{} is {o:?} and retired", id(j)),
                     other => format!("{other:?}"),
                 }
             })
@@ -365,7 +365,7 @@
         if commit {
             for write in &writes {
                 self.epoch += 1;
-                self.scheduler.written(write, self.epoch);
+                self.scheduler.apply_written(write, self.epoch);
             }
         }
         self
@@ -504,7 +504,7 @@
         writes.extend(self.scheduler.pending_retirements(100, 12));
         for write in &writes {
             self.epoch += 1;
-            self.scheduler.written(write, self.epoch);
+            self.scheduler.apply_written(write, self.epoch);
         }
     }
 }
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,7 +1,7 @@
 //! Which task starts where, and which one is preempted for it.
 
 use crate::trace::{World, decimal, one_team, submission, team};
-use aspenreel::jobs::spec::Priority;
+use aspenreel::jobs::Priority;
 use insta::assert_snapshot;
 
 /// `spread`: at most half of the tasks, rounded up, in a zone. `samePlace`: all in one.
@@ -12,12 +12,12 @@
         w.heartbeat(name, &[]);
     }
     w.job(submission("run-1", |s| {
-        s.pieces = 5;
+        s.tasks = 5;
         s.spread = true;
     }));
     w.job(submission("run-2", |s| {
-        s.pieces = 4;
-        s.same_place = true;
+        s.tasks = 4;
+        s.same_zone = true;
     }));
     w.on_timer(1.0).bound();
     assert_snapshot!(w.log);
@@ -30,7 +30,7 @@
     let mut w = World::new(2, teams);
     w.heartbeat("big-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.pieces = 4;
+        s.tasks = 4;
         s.cpus = decimal(8.0);
     }));
     w.at(1.0).heartbeat("big-east-1", &[]);
@@ -42,8 +42,8 @@
     ];
     w.at(2.0).heartbeat("big-east-1", &running);
     w.at(5.0).job(submission("run-2", |s| {
-        s.crew = "b".into();
-        s.pieces = 1;
+        s.team = "b".into();
+        s.tasks = 1;
         s.cpus = decimal(16.0);
     }));
     w.at(5.1).heartbeat("big-east-1", &running);
@@ -56,9 +56,9 @@
     ];
     w.at(8.0).heartbeat("big-east-1", &both);
     w.job(submission("run-3", |s| {
-        s.pieces = 3;
+        s.tasks = 3;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     w.at(9.0).heartbeat("big-east-1", &both);
     assert_snapshot!(w.log);
@@ -68,8 +68,8 @@
 #[test]
 fn failures() {
     let mut w = World::new(2, one_team());
-    w.job(submission("run-1", |s| s.pieces = 1));
-    w.job(submission("run-2", |s| s.pieces = 1));
+    w.job(submission("run-1", |s| s.tasks = 1));
+    w.job(submission("run-2", |s| s.tasks = 1));
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).heartbeat("big-east-1", &[]);
     w.at(2.0)
@@ -91,7 +91,7 @@
     let mut w = World::new(2, one_team());
     w.heartbeat("small-east-1", &[]);
     w.job(submission("run-1", |s| {
-        s.pieces = 2;
+        s.tasks = 2;
         s.cpus = decimal(8.0);
     }));
     w.at(3.0).heartbeat("small-east-1", &[]);
@@ -99,16 +99,16 @@
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     for n in 2..60 {
         w.job(submission(&format!("run-{n}"), |s| {
-            s.pieces = 1;
+            s.tasks = 1;
             s.cpus = decimal(8.0);
-            s.rank = Priority::High;
+            s.priority = Priority::High;
         }));
     }
     w.at(9.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 running"]);
     w.at(12.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 stopped"]);
-    let begun = |w: &World| w.scheduler.jobs.get("run-1").unwrap().begun();
+    let begun = |w: &World| w.scheduler.jobs.get("run-1").unwrap().has_begun();
     let early = begun(&w);
     w.note(&format!("run-1 has begun: {early}"));
     w.at(95.0)
@@ -132,18 +132,18 @@
         w.heartbeat(name, &[]);
     }
     // Each machine has a task that can't be stopped for it, and one that could.
-    w.job(submission("run-1", |s| s.rank = Priority::High));
+    w.job(submission("run-1", |s| s.priority = Priority::High));
     w.at(1.0).heartbeat("small-east-1", &[]);
     w.heartbeat("small-east-2", &[]);
-    w.job(submission("run-2", |s| s.rank = Priority::Low));
+    w.job(submission("run-2", |s| s.priority = Priority::Low));
     w.at(2.0)
         .heartbeat("small-east-1", &["run-1/1#2.2 running"]);
     w.heartbeat("small-east-2", &["run-1/0#2.1 running"]);
     w.at(2.1).bound();
     w.job(submission("run-3", |s| {
-        s.pieces = 1;
+        s.tasks = 1;
         s.cpus = decimal(8.0);
-        s.rank = Priority::High;
+        s.priority = Priority::High;
     }));
     w.on_timer(3.0).bound();
     let both = [
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -8,8 +8,8 @@
 fn quota_counts_unseen_machines() {
     let mut w = World::new(2, vec![team("a", 8.0, 12.0)]);
     w.recorded("big-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 2));
-    w.at(0.1).job(submission("run-2", |s| s.pieces = 3));
+    w.old_job(submission("run-1", |s| s.tasks = 2));
+    w.at(0.1).job(submission("run-2", |s| s.tasks = 3));
     w.at(1.0).heartbeat("big-east-1", &[]).on_timer(1.1).bound();
     let seen = w.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
     w.at(2.0).send(&seen).bound();
@@ -22,9 +22,10 @@
 fn limits_count_what_unseen_machines_can_hold() {
     let mut w = World::new(5, vec![team("a", 40.0, 40.0)]);
     w.recorded("small-east-9", -1.0);
-    w.old_job(submission("run-1", |s| s.pieces = 3));
-    w.scheduler.load_done("run-1", 0, &done_record("0-1"), 50);
-    w.job(submission("run-2", |s| s.pieces = 10));
+    w.old_job(submission("run-1", |s| s.tasks = 3));
+    w.scheduler
+        .apply_done_record("run-1", 0, &done_record("0-1"), 50);
+    w.job(submission("run-2", |s| s.tasks = 10));
     w.heartbeat("big-east-1", &[]);
     w.at(1.0).heartbeat("big-east-1", &[]).bound();
     let old = w.report("small-east-9", 4, 1, &[]);
@@ -51,8 +52,8 @@
     for (id, one_zone) in [("run-1", true), ("run-2", false)] {
         w.accepted(
             submission(id, |s| {
-                s.pieces = 6;
-                s.same_place = one_zone;
+                s.tasks = 6;
+                s.same_zone = one_zone;
                 s.spread = !one_zone;
             }),
             2,
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -1,7 +1,7 @@
 //! Every job starts in bounded time, though small and urgent work never ends.
 
 use crate::trace::{SimWorker, World, at, decimal, submission, team};
-use aspenreel::jobs::spec::Priority;
+use aspenreel::jobs::Priority;
 use std::collections::BTreeMap;
 
 /// Endless small and urgent work, from `from` on, on a machine that it fills. Returns when the
@@ -16,10 +16,10 @@
         let t = f64::from(second);
         w.now = at(t);
         w.job(submission(&format!("run-{}", 1000 + second), |s| {
-            s.pieces = 4;
-            s.rank = Priority::High;
-            s.guess_s = decimal(3.0);
-            s.due_s = Some(decimal(20.0));
+            s.tasks = 4;
+            s.priority = Priority::High;
+            s.estimate_s = decimal(3.0);
+            s.deadline_s = Some(decimal(20.0));
             s.accepted_us = (t * 1e6) as u64;
         }));
         w.serve(worker, t, &|_| 3.0, begun);
@@ -28,11 +28,11 @@
 
 fn patient(w: &mut World) {
     w.note("the patient ones:");
-    w.job(submission("run-1", |s| s.pieces = 5000));
-    w.job(submission("run-2", |s| s.rank = Priority::Low));
-    w.job(submission("run-3", |s| s.due_s = Some(decimal(1.0))));
+    w.job(submission("run-1", |s| s.tasks = 5000));
+    w.job(submission("run-2", |s| s.priority = Priority::Low));
+    w.job(submission("run-3", |s| s.deadline_s = Some(decimal(1.0))));
     w.job(submission("run-4", |s| s.cpus = decimal(32.0)));
-    w.job(submission("run-5", |s| s.crew = "b".into()));
+    w.job(submission("run-5", |s| s.team = "b".into()));
 }
 
 /// Waiting wins: a largest job, a low rank, a late job, a task that fills a machine and a small
@@ -64,7 +64,7 @@
     let mut begun = BTreeMap::new();
     w.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
     // Accepted 85 s ago by the time of day.
-    let old = submission("run-1", |s| s.pieces = 5000);
+    let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
     w.scheduler.add_job(&old, 50, at(0.0), wall);
     crowded(&mut w, &mut worker, &mut begun, 1..40);
