--- /dev/null
+++ b/crates/simulation/src/drawn_faults.rs
@@ -0,0 +1,90 @@
+//! Days of faults drawn by a seed.
+
+use crate::checker::JobPlan;
+use crate::simulation::Simulation;
+use std::sync::Arc;
+
+/// How long jobs come and faults begin, in seconds.
+const DAY_S: f64 = 130.0;
+
+fn some_machines(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) -> Vec<String> {
+    let up = sim.machines_up();
+    let share = rng.f64();
+    up.into_iter().filter(|_| rng.f64() < share).collect()
+}
+
+/// Jobs of all kinds, users of all kinds, and faults.
+pub fn draw(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) {
+    let mut at = 3.0;
+    for i in 0.. {
+        at += rng.f64() * 4.0;
+        if at > DAY_S {
+            break;
+        }
+        let tasks = [1, 1, 2, 3, 8][rng.usize(0..5)];
+        let mut plan = JobPlan::new(
+            i,
+            tasks,
+            [2.0, 4.0, 8.0][rng.usize(0..3)],
+            3.0 + rng.f64() * 25.0,
+        );
+        plan.team = ["a", "a", "b"][rng.usize(0..3)].into();
+        plan.rank = ["low", "normal", "high"][rng.usize(0..3)];
+        match rng.u32(0..8) {
+            0 => plan.one_zone = true,
+            1 => plan.spread = true,
+            2 => plan.zone = Some("west".into()),
+            3 => plan.save_s = 2.0,
+            _ => {}
+        }
+        let id = plan.id.clone();
+        sim.submit(at, plan);
+        if rng.u32(0..3) == 0 {
+            let id = id.clone();
+            sim.at(at + 0.001, move |sim| {
+                sim.change_user(&id, |u| u.asks_closely = true)
+            });
+        }
+        if rng.u32(0..3) == 0 {
+            let when = at + rng.f64() * rng.f64() * 40.0;
+            sim.at(when, move |sim| sim.user_cancels(&id));
+        }
+    }
+    let mut at = 10.0 + rng.f64() * 10.0;
+    while at < DAY_S {
+        // Two or three at a time, close together.
+        for _ in 0..rng.u32(1..4) {
+            one(sim, at + rng.f64() * 3.0, rng);
+        }
+        at += 5.0 + rng.f64() * 30.0;
+    }
+}
+
+fn one(sim: &Arc<Simulation>, at: f64, rng: &mut fastrand::Rng) {
+    let mut own = fastrand::Rng::with_seed(rng.u64(..));
+    let span = [0.5, 4.0, 12.0, 25.0][rng.usize(0..4)] * (0.5 + rng.f64());
+    let kind = rng.u32(0..17);
+    sim.at(at, move |sim| {
+        let leader = sim.leader_or_any();
+        let any = own.usize(0..sim.setup.nodes);
+        match kind {
+            0 => sim.crash(leader, [0.2, 3.0][own.usize(0..2)]),
+            1 => sim.crash(any, 3.0),
+            2 => (0..sim.setup.nodes).for_each(|n| sim.crash(n, 0.1 + 4.0 * own.f64())),
+            3 => sim.freeze(leader, span),
+            4 => sim.refuse_node(leader, span),
+            5 => sim.cut_store(leader, span, own.bool()),
+            6 => sim.cut_workers(leader, span),
+            7 => sim.store_outage(span),
+            8 => sim.late_writes(0.3 + 0.5 * own.f64(), own.bool(), span),
+            9 => sim.late_heartbeats(0.5, own.bool(), span),
+            10 => sim.cut_zone("west", span),
+            11 => sim.freeze_machines(&some_machines(sim, &mut own), span),
+            12 => sim.cut(&some_machines(sim, &mut own), span, own.bool()),
+            13 => sim.drop_outbound(&some_machines(sim, &mut own), span),
+            14 => sim.drop_inbound(&some_machines(sim, &mut own), span),
+            15 => sim.kill_machines(&some_machines(sim, &mut own)),
+            _ => sim.slow_store(0.05 + 0.85 * own.f64(), span),
+        }
+    });
+}
--- a/crates/simulation/src/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -1,16 +1,17 @@
 //! Users of controllers on loopback.
 
 use crate::checker::{Checker, JobPlan, Question};
-use crate::loopback::{LoopbackCluster, NODES, TASK_MS};
-use crate::processes::job;
+use crate::stand_ins::loopback_cluster::{LoopbackCluster, NODES, TASK_MS};
+use crate::stand_ins::processes::job;
 use std::time::{Duration, Instant};
 
 /// What users want done at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
+    /// Jobs that have not ended yet, at most.
     pub open_jobs: usize,
     /// Jobs have from one task up to this many.
-    pub most_tasks: u32,
+    pub max_tasks: u32,
     /// What one task takes.
     pub cpus: f64,
 }
@@ -19,7 +20,7 @@
     fn default() -> Demand {
         Demand {
             open_jobs: 8,
-            most_tasks: 3,
+            max_tasks: 3,
             cpus: 1.0,
         }
     }
@@ -54,7 +55,7 @@
         self.demand = demand;
     }
 
-    /// One in so many jobs is called off, sooner or later.
+    /// One in so many jobs is cancelled, sooner or later.
     pub fn cancels_one_in(&mut self, one_in: u32) {
         self.cancels_one_in = one_in;
     }
@@ -65,7 +66,7 @@
 
     fn submit(&mut self) {
         self.next += 1;
-        let tasks = self.rng.u32(1..=self.demand.most_tasks);
+        let tasks = self.rng.u32(1..=self.demand.max_tasks);
         let plan = JobPlan::new(self.next, tasks, self.demand.cpus, TASK_MS as f64 / 1000.0);
         self.cluster.check(|checker, _| checker.submitted(&plan));
         self.open.push(plan);
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -1,15 +1,14 @@
 //! A worker on loopback, as the protocol's page tells of it, and what all workers share.
 
 use crate::checker::{Checker, Place};
-use crate::machines::foreman_of;
-use crate::processes::LEASE_S;
+use crate::stand_ins::deployment::LEASE_S;
+use crate::worker_protocol::{DirectCommands, leader_of, split_task_id};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
-use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -18,11 +17,13 @@
 
 /// The rules, watched from what workers do.
 pub struct History {
+    /// The rules.
     pub checker: Checker,
     since: Instant,
 }
 
 impl History {
+    /// A history that begins now.
     pub fn new(checker: Checker) -> History {
         History {
             checker,
@@ -37,19 +38,22 @@
 }
 
 /// The ways by which one worker is reached, one for each controller; its own address where there are none.
-pub type WorkerWays = Box<dyn Fn(SocketAddr) -> Vec<SocketAddr> + Send + Sync>;
+pub type WorkerRoutes = Box<dyn Fn(SocketAddr) -> Vec<SocketAddr> + Send + Sync>;
 
 /// What all workers share: who runs what, and what went wrong.
 #[derive(Default)]
-pub struct Ground {
+pub struct WorkerEnvironment {
     /// Where the rules are watched, if they are.
     pub history: Mutex<Option<History>>,
     /// Time between two heartbeats of a worker, in milliseconds; 0: 100.
     pub report_ms: AtomicU64,
     /// How long a task runs, in milliseconds; 0: 150.
     pub task_ms: AtomicU64,
+    /// Tasks that run, and on which machine.
     pub running: Mutex<HashMap<String, String>>,
+    /// Tasks that were ever started.
     pub started: Mutex<HashSet<String>>,
+    /// Tasks that ran twice at a time.
     pub broken: Mutex<Vec<String>>,
     /// Jobs whose tasks run until they are stopped.
     pub endless: Mutex<HashSet<String>>,
@@ -65,7 +69,7 @@
     fencing_token: u64,
     agent_epoch: u64,
     sequence: u64,
-    /// When the last report that was answered was sent, or the session began.
+    /// When the last report that was answered was sent, or the agent epoch began.
     lease_from: Instant,
     /// The cloud took the machine back.
     gone: bool,
@@ -82,13 +86,13 @@
     /// The controller that it reports to.
     at: AtomicUsize,
     inner: Mutex<Inner>,
-    ground: Arc<Ground>,
-    /// Orders are executed one after the other, and no session ends between the look at an order's token
+    environment: Arc<WorkerEnvironment>,
+    /// Commands are executed one after the other, and no agent epoch ends between the look at a command's token
     /// and what it does.
     acting: Mutex<()>,
 }
 
-impl Ground {
+impl WorkerEnvironment {
     fn report_time(&self) -> Duration {
         match self.report_ms.load(Ordering::Relaxed) {
             0 => Duration::from_millis(100),
@@ -111,7 +115,7 @@
     }
 
     fn note_start(&self, task_id: &str, machine: &str) {
-        let (job, task) = parts(task_id);
+        let (job, task) = split_task_id(task_id);
         let place = Place {
             machine: machine.into(),
             zone: "east".into(),
@@ -121,19 +125,14 @@
     }
 
     fn note_end(&self, task_id: &str, machine: &str, done: bool) {
-        let (job, task) = parts(task_id);
+        let (job, task) = split_task_id(task_id);
         self.note(|checker, _| checker.leaves(job, task, machine, done));
     }
 }
 
-fn parts(task_id: &str) -> (&str, u32) {
-    let (job, task) = task_id.rsplit_once('/').unwrap();
-    (job, task.parse().unwrap())
-}
-
 impl Worker {
-    /// A worker that has just begun its first session.
-    pub fn new(name: &str, ground: &Arc<Ground>) -> Arc<Worker> {
+    /// A worker that has just begun its first agent epoch.
+    pub fn new(name: &str, environment: &Arc<WorkerEnvironment>) -> Arc<Worker> {
         Arc::new(Worker {
             name: name.to_string(),
             addresses: Mutex::default(),
@@ -146,7 +145,7 @@
                 lease_from: Instant::now(),
                 gone: false,
             }),
-            ground: ground.clone(),
+            environment: environment.clone(),
             acting: Mutex::default(),
         })
     }
@@ -181,23 +180,23 @@
             match (o.kind, at) {
                 (CommandKind::Run, None) => {
                     let twice = self
-                        .ground
+                        .environment
                         .running
                         .lock()
                         .unwrap()
                         .insert(o.task_id.clone(), self.name.clone());
                     if let Some(other) = twice {
                         let text = format!("{} on {other} and {}", o.task_id, self.name);
-                        self.ground.broken.lock().unwrap().push(text);
+                        self.environment.broken.lock().unwrap().push(text);
                     }
-                    self.ground.note_start(&o.task_id, &self.name);
-                    self.ground
+                    self.environment.note_start(&o.task_id, &self.name);
+                    self.environment
                         .started
                         .lock()
                         .unwrap()
                         .insert(o.task_id.clone());
                     let job = o.task_id.split('/').next().unwrap();
-                    let endless = self.ground.endless.lock().unwrap().contains(job);
+                    let endless = self.environment.endless.lock().unwrap().contains(job);
                     inner.tasks.push(Task {
                         report: ReportedTask {
                             task_id: o.task_id.clone(),
@@ -206,7 +205,7 @@
                             exit_reason: None,
                             checkpointed: None,
                         },
-                        ends: (!endless).then(|| Instant::now() + self.ground.task_time()),
+                        ends: (!endless).then(|| Instant::now() + self.environment.task_time()),
                     });
                 }
                 (CommandKind::Stop, Some(i)) => self.exit(&mut inner.tasks[i], ExitReason::Stopped),
@@ -223,8 +222,9 @@
             task.report.status = TaskStatus::Exited;
             task.report.exit_reason = Some(exit_reason);
             let done = exit_reason == ExitReason::Done;
-            self.ground.note_end(&task.report.task_id, &self.name, done);
-            self.ground
+            self.environment
+                .note_end(&task.report.task_id, &self.name, done);
+            self.environment
                 .running
                 .lock()
                 .unwrap()
@@ -275,7 +275,7 @@
         }
     }
 
-    /// The answer to a heartbeat of that session.
+    /// The answer to a heartbeat of that agent epoch.
     fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: u64, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
@@ -292,11 +292,11 @@
         self.execute(&answer.commands);
     }
 
-    /// Checks in until the test ends, following hints and trying others after failures.
+    /// Sends heartbeats until the test ends, following hints and trying others after failures.
     pub fn work(self: Arc<Self>, controllers: Vec<(String, SocketAddr)>) {
         let mut at = 0;
         while !self.is_gone() {
-            std::thread::sleep(self.ground.report_time());
+            std::thread::sleep(self.environment.report_time());
             self.end_lease();
             let sent = Instant::now();
             let client = Client::new(controllers[at].1);
@@ -309,7 +309,7 @@
                     self.take_answer(&decode(&body).unwrap(), report.agent_epoch, sent)
                 }
                 Ok(ClientResponse { status: 421, body }) => {
-                    let named = foreman_of(&body)
+                    let named = leader_of(&body)
                         .and_then(|f| controllers.iter().position(|(n, _)| *n == f));
                     at = named.unwrap_or((at + 1) % controllers.len());
                 }
@@ -321,25 +321,17 @@
 
 impl Handler for Worker {
     fn handle(&self, r: Request) -> Response {
-        #[derive(Deserialize)]
-        struct DirectCommands {
-            baton: u64,
-            shift: u64,
-            #[serde(rename = "orders")]
-            commands: Vec<WorkerCommand>,
-        }
         let commands: DirectCommands = decode(&r.body).unwrap();
         let controller = self.at.load(Ordering::Relaxed);
-        // A lease that is over is over before anything else happens, also for an order that was held back.
+        // A lease that is over is over before anything else happens, also for a command that was held back.
         self.end_lease();
         let _acting = self.acting.lock().unwrap();
         let is_refused = {
             let mut inner = self.inner.lock().unwrap();
-            let refused = inner.gone
-                || commands.baton < inner.fencing_token
-                || commands.shift != inner.agent_epoch;
+            let refused =
+                inner.gone || commands.are_refused(inner.fencing_token, inner.agent_epoch);
             if !refused {
-                inner.fencing_token = commands.baton;
+                inner.fencing_token = commands.fencing_token;
             }
             refused
         };
--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -1,8 +1,11 @@
 //! Controllers of the program under test.
 
-use aspenreel_simulation::processes::spawn_with;
-pub use aspenreel_simulation::processes::{Addresses, Answer, Nodes, Site, job, leader};
-use aspenreel_simulation::servers::{Cloud, State};
+use aspenreel_simulation::stand_ins::cloud_server::CloudServer;
+pub use aspenreel_simulation::stand_ins::deployment::Deployment;
+pub use aspenreel_simulation::stand_ins::ports::Addresses;
+use aspenreel_simulation::stand_ins::processes::spawn_with;
+pub use aspenreel_simulation::stand_ins::processes::{JobStatus, Nodes, job, leader};
+use aspenreel_simulation::stand_ins::store_server::StoreServer;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Stdio};
@@ -13,7 +16,7 @@
     start_with([state; 3], cloud, tag)
 }
 
-/// The same, each with its own way to the state service.
+/// The same, each with its own way to the key-value store.
 pub fn start_with(states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
     start_as(newest(), states, cloud, tag)
 }
@@ -22,11 +25,11 @@
 pub fn start_as(program: &Path, states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
     let addresses = Addresses::free();
     let peers = addresses.peers.clone();
-    let ways = |_, to: usize| peers[to];
+    let peer_address = |_, to: usize| peers[to];
     Nodes::start_at(
-        &Site::default(),
+        &Deployment::default(),
         addresses,
-        ways,
+        peer_address,
         states,
         cloud,
         tag,
@@ -64,9 +67,9 @@
 }
 
 /// Three controllers that are up, and the stand-ins that they talk to.
-pub fn serving(tag: &str) -> (Arc<State>, Arc<Cloud>, Nodes) {
-    let (state, state_addr) = State::start();
-    let (cloud, cloud_addr) = Cloud::start();
+pub fn serving(tag: &str) -> (Arc<StoreServer>, Arc<CloudServer>, Nodes) {
+    let (state, state_addr) = StoreServer::start();
+    let (cloud, cloud_addr) = CloudServer::start();
     let nodes = start(state_addr, cloud_addr, tag);
     let named = |i: usize| (format!("n-{i}"), nodes.public[i]);
     *cloud.controllers.lock().unwrap() = (0..3).map(named).collect();
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -17,13 +17,13 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-pub struct World {
+pub struct LeaderTrace {
     pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
-    /// The state service takes higher tokens.
+    /// The key-value store takes higher fencing tokens.
     pub raises_tokens: bool,
-    ticks: BTreeMap<String, u64>,
+    sequences: BTreeMap<String, u64>,
     told: BTreeMap<String, u64>,
     epoch: u64,
 }
@@ -105,9 +105,9 @@
     format!("{kind} {}#{term}.{counter}", command.task_id)
 }
 
-impl World {
+impl LeaderTrace {
     /// A leader of `term` that took over at second 0.
-    pub fn new(term: u64, teams: Vec<TeamSettings>) -> World {
+    pub fn new(term: u64, teams: Vec<TeamSettings>) -> LeaderTrace {
         let config = SchedulerConfig {
             teams,
             worker_lease: Micros::from_secs(20),
@@ -127,12 +127,12 @@
         };
         let mut scheduler = SchedulerState::new(config, term, at(0.0), 7);
         scheduler.provisioning.catalog = catalog().types();
-        World {
+        LeaderTrace {
             scheduler,
             log: String::new(),
             now: at(0.0),
             raises_tokens: true,
-            ticks: BTreeMap::new(),
+            sequences: BTreeMap::new(),
             told: BTreeMap::new(),
             epoch: 100,
         }
@@ -188,7 +188,7 @@
         agent_epoch: u64,
         tasks: &[&str],
     ) -> Heartbeat {
-        let sequence = self.ticks.entry(machine.to_string()).or_insert(0);
+        let sequence = self.sequences.entry(machine.to_string()).or_insert(0);
         *sequence += 1;
         // Names tell type and zone: `small-east-1`.
         let parts: Vec<&str> = machine.split('-').collect();
@@ -207,13 +207,13 @@
     }
 
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
-        let fencing_token = self.token_of(machine);
+        let fencing_token = self.known_token(machine);
         let report = self.report(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
     /// The highest token that a worker which takes every answer has seen.
-    fn token_of(&self, machine: &str) -> u64 {
+    fn known_token(&self, machine: &str) -> u64 {
         let told = self.told.get(machine).copied();
         told.unwrap_or(self.scheduler.term)
     }
@@ -225,7 +225,7 @@
 
     /// Sends a report; the token of its answer, if it is answered.
     pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
-        // In a trace claims and the roster are written as soon as they are due.
+        // In a trace claims and the registry are written as soon as they are due.
         self.scheduler.run_placement_pass(self.now);
         self.record_fleet();
         let answer = self.scheduler.heartbeat(report, self.now);
@@ -248,7 +248,7 @@
                 };
                 match fencing_token == self.scheduler.term {
                     true => text,
-                    false => format!("{text} (token {fencing_token})"),
+                    false => format!("{text} (fencing token {fencing_token})"),
                 }
             }
             other => format!("{other:?}"),
@@ -263,7 +263,7 @@
             })
             .collect();
         self.note(&format!(
-            "{} (session {}, tick {}, token {}) reports [{}] -> {text}",
+            "{} (agent epoch {}, sequence {}, fencing token {}) reports [{}] -> {text}",
             report.machine,
             report.agent_epoch,
             report.sequence,
@@ -278,12 +278,12 @@
         fencing_token
     }
 
-    /// Puts a higher token on record, if one is wanted.
+    /// Puts a higher fencing token on record, if one is wanted.
     fn raise_fencing_token(&mut self) {
         if self.raises_tokens && self.scheduler.token_raise_due(self.now) {
             let fencing_token = self.scheduler.fencing.newest() + 1;
             self.scheduler.fencing_token_raised(fencing_token, self.now);
-            self.note(&format!("token {fencing_token} is on record"));
+            self.note(&format!("fencing token {fencing_token} is on record"));
         }
     }
 
@@ -298,7 +298,7 @@
         }
     }
 
-    /// A machine on an earlier term's roster.
+    /// A machine on an earlier term's registry.
     pub fn recorded(&mut self, machine: &str, since: f64) -> &mut Self {
         self.epoch += 1;
         let page = self.epoch as u32;
@@ -319,7 +319,7 @@
     }
 
     /// Sends one direct call, if there is one, and ends it as told.
-    pub fn direct(&mut self, result: impl FnOnce(&mut World) -> DirectResult) -> &mut Self {
+    pub fn direct(&mut self, result: impl FnOnce(&mut LeaderTrace) -> DirectResult) -> &mut Self {
         let Some(call) = self.scheduler.next_direct(self.now) else {
             self.note("no direct call");
             return self;
@@ -341,7 +341,7 @@
         self
     }
 
-    /// One write round; `commit` says whether the state service took it.
+    /// One write round; `commit` says whether the key-value store took it.
     pub fn round(&mut self, commit: bool) -> &mut Self {
         let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
@@ -441,15 +441,15 @@
 }
 
 /// A worker as a long trace needs it: it does what it is told, and its tasks end by themselves.
-pub struct SimWorker {
+pub struct ExecutingWorker {
     pub name: String,
     tasks: Vec<(String, u64, f64)>,
     over: Vec<(String, u64)>,
 }
 
-impl SimWorker {
-    pub fn new(name: &str) -> SimWorker {
-        SimWorker {
+impl ExecutingWorker {
+    pub fn new(name: &str) -> ExecutingWorker {
+        ExecutingWorker {
             name: name.into(),
             tasks: Vec::new(),
             over: Vec::new(),
@@ -457,12 +457,12 @@
     }
 }
 
-impl World {
+impl LeaderTrace {
     /// One heartbeat of such a worker at `seconds`. Tasks run for `run` of their job. Jobs that it
     /// starts for the first time go into `begun`.
     pub fn serve(
         &mut self,
-        worker: &mut SimWorker,
+        worker: &mut ExecutingWorker,
         seconds: f64,
         run: &impl Fn(&str) -> f64,
         begun: &mut BTreeMap<String, f64>,
