--- /dev/null
+++ b/src/settings/mod.rs
@@ -0,0 +1,21 @@
+//! The platform's settings file: read once, checked whole; unknown fields are ignored.
+//!
+//! [`Settings`] is the file as it stands, under the file's names; [`QuotaSettings`] tells the limits that follow
+//! from the process's quotas. The file is documented for operators in the README.
+
+#![warn(missing_docs)]
+
+mod checks;
+mod error;
+mod file;
+mod leader_lease;
+mod parse;
+mod quota;
+mod store_limits;
+
+pub use error::SettingsError;
+pub use file::{
+    CloudSettings, Endpoints, Member, Objective, Settings, Site, TeamSettings, WorkerSettings,
+};
+pub use quota::QuotaSettings;
+pub use store_limits::{StateLimits, StateSettings};
--- /dev/null
+++ b/src/settings/parse.rs
@@ -0,0 +1,46 @@
+//! Reading the file.
+
+use super::{Settings, SettingsError};
+use std::path::Path;
+
+/// Characters of the faulty line that an error quotes.
+const MAX_QUOTED: usize = 80;
+
+impl Settings {
+    /// Reads the file and checks it.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or what [`Settings::parse`] finds.
+    pub fn load(path: &Path) -> Result<Settings, SettingsError> {
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
+            path: path.to_path_buf(),
+            source,
+        })?;
+        Settings::parse(&text)
+    }
+
+    /// Reads the file's text and checks it.
+    ///
+    /// # Errors
+    ///
+    /// The first fault: of the form, else the first absurd field.
+    pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+        let settings: Settings = toml::from_str(text).map_err(|e| parse_error(text, &e))?;
+        settings.check()?;
+        Ok(settings)
+    }
+}
+
+/// One clear line: the message names the field, the span tells where.
+fn parse_error(text: &str, error: &toml::de::Error) -> SettingsError {
+    let start = error.span().map_or(0, |span| span.start);
+    let line = text.get(..start).unwrap_or("").matches('\n').count();
+    let content = text.lines().nth(line).unwrap_or("");
+    let quoted: String = content.chars().take(MAX_QUOTED).collect();
+    SettingsError::Parse {
+        line: line + 1,
+        found: quoted.trim().to_string(),
+        problem: error.message().replace('\n', " "),
+    }
+}
