--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -1,7 +1,7 @@
 //! Jobs that enter the leader's state, and when no more of them may.
 
 use super::{Job, JobId, JobSpec, Submission};
-use crate::scheduler::{MAX_CLASSES, SchedulerState};
+use crate::scheduler::SchedulerState;
 use crate::time::{Moment, WallTime};
 
 impl SchedulerState {
@@ -18,8 +18,8 @@
             return id;
         }
         let spec = submission.spec();
-        if !spec.is_standing() && self.classes.with_arrays.len() < MAX_CLASSES {
-            self.classes.with_arrays.insert(spec.class.clone());
+        if !spec.is_standing() {
+            self.classes.note_array(&spec.class);
         }
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
         let age = wall.0.saturating_sub(spec.accepted_at.0);
--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -37,7 +37,7 @@
     fn array_waits(&self) -> impl Iterator<Item = &Objective> {
         self.wait_objectives().filter(|o| {
             let class = o.class.as_ref();
-            class.is_none_or(|c| self.classes.with_arrays.contains(c))
+            class.is_none_or(|c| self.classes.has_arrays(c))
         })
     }
 
@@ -125,7 +125,7 @@
     /// no time for a boot, of a class without arrays.
     fn expects_replicas(&self) -> bool {
         let soonest = self.provisioning.soonest_boot();
-        let has_no_arrays = |class: &String| !self.classes.with_arrays.contains(class);
+        let has_no_arrays = |class: &String| !self.classes.has_arrays(class);
         self.wait_objectives().any(|o| {
             Self::is_shorter_than_boot(o, soonest) && o.class.as_ref().is_some_and(has_no_arrays)
         })
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,8 +1,12 @@
-//! What the leader holds in memory, and the events that change it.
+//! The leader's state in memory: one struct for each owner, held together.
 //!
-//! Everything here is deterministic: events, `now` and a seeded generator go in, the wanted
-//! state comes out. Threads, sockets and clocks stay outside, so that a test replays a trace.
+//! Everything here is deterministic: events, `now` and a seeded generator go in, the desired
+//! state comes out. Threads, sockets and clocks stay outside, so that a test replays a trace. The decisions over
+//! the state stand in the slices: [placement](crate::placement), [provisioning](crate::provisioning),
+//! [workers](crate::workers) and [jobs](crate::jobs).
 
+mod class_statistics;
+mod config;
 mod overload;
 mod prior_term;
 mod reachability;
@@ -12,50 +16,20 @@
 use crate::jobs::{Job, JobTable};
 use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
-use crate::settings::{Objective, TeamSettings};
 use crate::time::{Micros, Moment, WallTime, at_most};
 use crate::workers::fencing::Fencing;
 use crate::workers::{CommandQueue, Machine};
 use aspenreel_link_health::permissions::Permissions;
+use class_statistics::ClassStatistics;
 use overload::OverloadMonitor;
 use prior_term::PriorTerm;
-use run_times::ClassStatistics;
 use std::collections::BTreeMap;
 
-/// What an operator and the platform set.
-#[derive(Clone, Debug)]
-pub struct SchedulerConfig {
-    pub teams: Vec<TeamSettings>,
-    pub worker_lease: Micros,
-    /// Within this long after its confirmation a cancellation must be complete.
-    pub cancellation_bound: Micros,
-    pub heartbeat_interval: Micros,
-    pub list_lag: Micros,
-    pub candidate_sample: usize,
-    pub max_idle: Micros,
-    /// An ordinary machine is worth renting for work that may use spot ones if it saves this.
-    pub on_demand_max_wait: Micros,
-    /// Share of the CPUs in use that is kept ready where objectives tell of waiting times.
-    pub headroom: f64,
-    pub objectives: Vec<Objective>,
-    /// A job that has not begun for this long goes before all others with its first tasks.
-    pub max_queue_wait: Micros,
-    /// Bytes that a value in the state service may have.
-    pub value_bytes: usize,
-    /// Bytes that jobs may take; beyond it none are accepted until some are over.
-    pub job_bytes: usize,
-    /// Machines that are known at once, at most: reports of others are turned away.
-    pub max_machines: usize,
-    /// Names of machines that are gone, kept against late copies of their reports.
-    pub max_gone_machines: usize,
-}
+pub use config::SchedulerConfig;
 
-/// Beside clock drift, allow for timers and for time between reading a clock and sending.
+/// Added to a lease beside clock drift: for timers, and for the time between reading a clock and sending.
 pub const LEASE_MARGIN: Micros = Micros::from_millis(500);
 
-/// Classes of jobs whose run times are learned.
-pub(crate) const MAX_CLASSES: usize = 1000;
-
 /// The leader's state, each part with its owner.
 #[derive(Debug)]
 pub struct SchedulerState {
@@ -65,7 +39,7 @@
     pub term: u64,
     /// Attempt numbers are `term << 32 | attempt_counter`: they rise across leaders with nothing written.
     pub attempt_counter: u32,
-    /// When the lead was surely ours: older leaders answered nobody after this.
+    /// When this term surely began: leaders of earlier terms answered nobody after this.
     pub started: Moment,
     /// The time of day at `started`.
     pub wall_at_start: WallTime,
@@ -120,7 +94,7 @@
         }
     }
 
-    /// After this long without an answer a worker's session is over.
+    /// After this long without a reply a worker's agent epoch is surely over.
     pub fn lease_span(&self) -> Micros {
         at_most(self.config.worker_lease) + LEASE_MARGIN
     }
@@ -130,12 +104,12 @@
         WallTime(self.wall_at_start.0 + (now - self.started).0)
     }
 
-    /// Lets earlier terms' claimed tasks go once no unseen machine can hold them any more.
+    /// Lets tasks of earlier terms be placed once no unreconciled machine can hold them any more.
     ///
-    /// A task starts only on a machine that is on the roster, and only once it is claimed. So
-    /// tasks that were not claimed never started, and the claimed ones can only be on machines of
-    /// the roster. Once each of these was counted in under this term, or its session surely
-    /// ended, nothing is unseen, and the wait for a full lease ends early.
+    /// A task starts only on a registered machine, and only once a start watermark covers it. So
+    /// tasks above the watermarks never started, and the others can only be on registered
+    /// machines. Once each of these was reconciled in this term, or its agent epoch surely
+    /// ended, nothing is unreconciled, and the wait for a full lease ends early.
     pub fn release_prior_term(&mut self, now: Moment) {
         if self.prior_term.released {
             return;
@@ -143,17 +117,18 @@
         let machines = &self.machines;
         let provisioning = &self.provisioning;
         self.prior_term.unreconciled.retain(|name| {
-            let seen = machines
+            let reconciled = machines
                 .get(name)
                 .is_some_and(|m| m.reconciled || m.epoch_over);
-            !seen && !provisioning.is_gone(name)
+            !reconciled && !provisioning.is_gone(name)
         });
-        let lease_over = now - self.started >= self.lease_span();
-        if !lease_over && !self.prior_term.unreconciled.is_empty() {
+        let lease_expired = now - self.started >= self.lease_span();
+        if !lease_expired && !self.prior_term.unreconciled.is_empty() {
             return;
         }
         log::info!(
-            "earlier jobs are released, {} machines unseen",
+            "jobs of earlier terms released: term={} unreconciled_machines={}",
+            self.term,
             self.prior_term.unreconciled.len()
         );
         for name in std::mem::take(&mut self.prior_term.unreconciled) {
@@ -184,16 +159,17 @@
         may_record_again
     }
 
-    /// What time alone changes.
+    /// Does what time alone makes due: expired leases, revocations, retries and placement passes.
     pub fn on_timer(&mut self, now: Moment) {
         self.expire_leases(now);
         self.check_revocations(now);
-        let retry = self.jobs.table.values().any(retry_due(now));
-        self.placement.due |= retry;
+        let is_retry_due = self.jobs.table.values().any(|job| is_retry_due(job, now));
+        self.placement.due |= is_retry_due;
         self.place_if_due(now);
     }
 }
 
-fn retry_due(now: Moment) -> impl Fn(&Job) -> bool {
-    move |j| j.retry_after > Moment(0) && j.retry_after <= now && j.ready() > 0
+/// True if waiting tasks of the job may be tried again by now.
+fn is_retry_due(job: &Job, now: Moment) -> bool {
+    job.retry_after > Moment(0) && job.retry_after <= now && job.ready() > 0
 }
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -4,11 +4,15 @@
 use crate::invariants::violation_count;
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
-use crate::workers::DesiredState;
 use crate::workers::wire::TaskStatus;
+use crate::workers::{Attempt, DesiredState};
 use std::collections::BTreeMap;
 
+/// Thousandths in a CPU, the unit of amounts.
+const CPU_UNITS: i64 = 1000;
+
 impl SchedulerState {
+    /// What this leader's memory tells of a job, by the name that its user gave it.
     pub fn job_status(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
             return LocalStatus::Nothing;
@@ -35,6 +39,7 @@
         })
     }
 
+    /// How many tasks of the job run, as far as heartbeats tell.
     fn running_of(&self, id: JobId) -> u32 {
         self.machines
             .values()
@@ -43,12 +48,12 @@
             .count() as u32
     }
 
-    /// One line on orders that went straight to workers, and those in doubt.
+    /// One line on commands that went straight to workers, and on starts whose delivery is unconfirmed.
     pub fn command_summary(&self) -> String {
         let counters = &self.fencing.counters;
         format!(
-            "orders: direct_calls={} starts_in_doubt={} ended_by_token={} ended_by_session={} \
-             machines_in_doubt={} tokens_raised={} heartbeats_withheld={} invariants_violated={}",
+            "commands: direct_calls={} unconfirmed_starts={} ended_by_fencing_token={} ended_by_agent_epoch={} \
+             unconfirmed_machines={} fencing_tokens_raised={} heartbeats_withheld={} invariants_violated={}",
             counters.calls,
             counters.unconfirmed_starts,
             counters.ended_by_token,
@@ -63,7 +68,7 @@
     /// One line on where the CPUs are, for whoever wonders why work waits.
     pub fn capacity_summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
-        let mut by_state: BTreeMap<&str, i64> = BTreeMap::new();
+        let mut held: BTreeMap<&str, i64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.last_report.is_some()) {
             total += m.total.cpu;
             if self.usable(m, now) {
@@ -71,36 +76,36 @@
             } else {
                 unusable += m.total.cpu;
             }
-            for (key, a) in m.attempts.iter().filter(|(_, a)| a.holds()) {
-                let state = match (a.desired, a.status) {
-                    (DesiredState::Stop { .. }, _) => "stopping",
-                    (_, None) => "starting",
-                    (_, Some(TaskStatus::Fetching)) => "fetching",
-                    (_, Some(TaskStatus::Running)) => "running",
-                    _ => "other",
-                };
-                let need = self.jobs.table.get(&key.0).map_or(0, |j| j.spec.demand.cpu);
-                *by_state.entry(state).or_insert(0) += need;
+            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+                let job = self.jobs.table.get(&key.0);
+                let demand = job.map_or(0, |j| j.spec.demand.cpu);
+                *held.entry(attempt_phase(attempt)).or_insert(0) += demand;
             }
         }
-        let waiting: i64 = self
-            .jobs
-            .table
-            .values()
-            .map(|j| j.spec.demand.cpu * i64::from(j.ready()))
-            .sum();
-        let by_state: Vec<String> = by_state
+        let jobs = self.jobs.table.values();
+        let waiting: i64 = jobs.map(|j| j.spec.demand.cpu * i64::from(j.ready())).sum();
+        let held: String = held
             .iter()
-            .map(|(state, cpu)| format!("{} {state}", cpu / 1000))
+            .map(|(phase, cpu)| format!(" {phase}={}", cpu / CPU_UNITS))
             .collect();
         format!(
-            "CPUs: {} up, {} on machines that take no work, {} free, {}; {} waited for by {} jobs",
-            total / 1000,
-            unusable / 1000,
-            free / 1000,
-            by_state.join(", "),
-            waiting / 1000,
+            "CPUs: up={} unusable={} free={}{held} waiting={} jobs={}",
+            total / CPU_UNITS,
+            unusable / CPU_UNITS,
+            free / CPU_UNITS,
+            waiting / CPU_UNITS,
             self.jobs.table.len()
         )
     }
 }
+
+/// What an attempt does with the CPUs that it holds, in a word.
+fn attempt_phase(attempt: &Attempt) -> &'static str {
+    match (attempt.desired, attempt.status) {
+        (DesiredState::Stop { .. }, _) => "stopping",
+        (_, None) => "starting",
+        (_, Some(TaskStatus::Fetching)) => "fetching",
+        (_, Some(TaskStatus::Running)) => "running",
+        _ => "other",
+    }
+}
