--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -81,8 +81,8 @@
         scheduler.overload.note(is_late, now);
         scheduler.on_timer(now);
         log_summary(scheduler, &mut timer.summary_logged_at, now);
-        self.wake(scheduler);
-        let hears_too_few_workers = scheduler.unheard(acting_since, now);
+        self.wake_loops(scheduler);
+        let hears_too_few_workers = scheduler.is_cut_off_from_workers(acting_since, now);
         if hears_too_few_workers {
             self.step_down_unless_paused(&mut state, now);
         }
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -90,7 +90,7 @@
         }
         if now < leader_lease.valid_until {
             scheduler.place_if_due(now);
-            self.wake(scheduler);
+            self.wake_loops(scheduler);
         }
     }
 
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -6,7 +6,7 @@
 use crate::jobs::JobId;
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
-use crate::workers::Attempt;
+use crate::workers::{Attempt, AttemptKey};
 use std::cmp::Reverse;
 
 impl SchedulerState {
@@ -26,8 +26,15 @@
         let number = (self.term << 32) | u64::from(self.attempt_counter);
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
-        machine.attempts.insert((id, task, number), attempt);
-        machine.rooms.set(None);
+        machine.attempts.insert(
+            AttemptKey {
+                job: id,
+                task,
+                attempt: number,
+            },
+            attempt,
+        );
+        machine.free_resources.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
             self.commands.due.insert(candidate.name.clone());
@@ -37,7 +44,9 @@
             waiting.insert(candidate.name.clone());
         }
         let cache_gb = self.provisioning.cache_gb_of(&machine.type_name);
-        machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
+        machine
+            .images
+            .note_use(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         candidate.free = candidate.free.minus(job.spec.demand);
         candidate.promised = candidate.promised.minus(job.spec.demand);
--- a/src/placement/machine_capacity.rs
+++ b/src/placement/machine_capacity.rs
@@ -11,10 +11,10 @@
     /// heartbeats arrive.
     pub(crate) fn usable(&self, m: &Machine, now: Moment) -> bool {
         m.reconciled
-            && m.recorded
-            && m.suspicion.is_none()
-            && !m.lost
-            && !m.returning
+            && m.registered
+            && m.quarantine.is_none()
+            && !m.unreachable
+            && !m.draining
             && !m.faulty
             && !m.has_preemption_notice
             && m.is_alive(self.config.heartbeat_interval, now)
@@ -28,8 +28,11 @@
     /// What is left on a machine, and what is being stopped there. The machine keeps the result until an
     /// attempt on it changes.
     pub(super) fn capacity_left(&self, m: &Machine) -> FreeCapacity {
-        let left = m.rooms.get().unwrap_or_else(|| self.count_capacity_left(m));
-        m.rooms.set(Some(left));
+        let left = m
+            .free_resources
+            .get()
+            .unwrap_or_else(|| self.count_capacity_left(m));
+        m.free_resources.set(Some(left));
         left
     }
 
@@ -41,15 +44,15 @@
         let (mut free, mut stopping) = (m.total, Resources::default());
         // Attempts of one job are neighbours: the job is looked up once.
         let mut last: Option<(JobId, Resources)> = None;
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
             let demand = match last {
-                Some((id, demand)) if id == key.0 => demand,
-                _ => match self.jobs.table.get(&key.0) {
+                Some((id, demand)) if id == key.job => demand,
+                _ => match self.jobs.table.get(&key.job) {
                     Some(job) => job.spec.demand,
                     None => continue,
                 },
             };
-            last = Some((key.0, demand));
+            last = Some((key.job, demand));
             free = free.minus(demand);
             if attempt.desired != DesiredState::Run {
                 stopping = stopping.plus(demand);
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -61,7 +61,7 @@
             self.within_guarantee
                 && attempt.team != self.team
                 && attempt.priority <= self.job.spec.priority
-                && pass.over_guarantee.contains(&attempt.key.0)
+                && pass.over_guarantee.contains(&attempt.key.job)
                 && pass.borrowed_cpu[attempt.team] >= attempt.demand.cpu
         };
         !attempt.preempted && (attempt.priority < self.job.spec.priority || is_borrowed())
@@ -185,7 +185,7 @@
                 continue;
             }
             for (key, attempt) in &m.attempts {
-                let Some(job) = self.jobs.table.get(&key.0) else {
+                let Some(job) = self.jobs.table.get(&key.job) else {
                     continue;
                 };
                 let Some(team) = job.team else { continue };
@@ -217,7 +217,7 @@
         pass: &PlacementPass,
         now: Moment,
     ) -> bool {
-        let runs = attempt.holds()
+        let runs = attempt.holds_resources()
             && attempt.desired == DesiredState::Run
             && attempt.status != Some(TaskStatus::Flushing);
         // What begins after too long a wait would else be preempted at once, again and again.
@@ -286,7 +286,7 @@
 
     /// Wants one attempt stopped, with time to save a checkpoint where its job makes any.
     pub fn preempt_attempt(&mut self, machine: &str, key: AttemptKey) {
-        let Some(job) = self.jobs.table.get(&key.0) else {
+        let Some(job) = self.jobs.table.get(&key.job) else {
             return;
         };
         let grace_period = match job.spec.checkpoint_interval > Micros::ZERO {
@@ -297,12 +297,12 @@
             && let Some(attempt) = m.attempts.get_mut(&key)
         {
             attempt.desired = DesiredState::Stop { grace_period };
-            m.rooms.set(None);
+            m.free_resources.set(None);
             log::debug!(
                 "attempt preempted: machine={machine} job={} task={} attempt={}",
                 job.spec.id,
-                key.1,
-                key.2
+                key.task,
+                key.attempt
             );
             self.commands.due.insert(machine.to_string());
         }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -3,7 +3,7 @@
 use crate::jobs::JobSpec;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
-use crate::workers::Machine;
+use crate::workers::{AttemptKey, Machine};
 use std::collections::BTreeMap;
 
 /// How many tasks of a job each zone has; empty for a job whose tasks may be in any zones.
@@ -66,8 +66,8 @@
         for m in self.machines.values() {
             let tasks = m
                 .attempts
-                .range((id, 0, 0)..=(id, u32::MAX, u64::MAX))
-                .filter(|(_, a)| a.holds())
+                .range(AttemptKey::all_of(id))
+                .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if tasks > 0 {
                 *zones.entry(m.zone.clone()).or_insert(0) += tasks;
--- a/src/provisioning/capacity_plan.rs
+++ b/src/provisioning/capacity_plan.rs
@@ -275,7 +275,7 @@
         let catalog = &self.provisioning.catalog;
         let type_index = catalog.iter().position(|t| t.name == m.type_name)?;
         let machine_type = &catalog[type_index];
-        let releases = match m.last_report {
+        let releases = match m.last_seen {
             None => vec![CapacityRelease {
                 at: (m.known_since + machine_type.boot).max(now + SOONEST),
                 amount: machine_type.capacity,
@@ -296,8 +296,8 @@
             at: now,
             amount: self.free_capacity(m),
         }];
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
-            let Some(job) = self.jobs.table.get(&key.0) else {
+        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
+            let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
             let from = attempt.running_since.unwrap_or(now);
--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -111,7 +111,7 @@
             let now = self.now();
             if let Some((_, scheduler)) = self.state().acting_leader(now) {
                 scheduler.reconcile_machine_list(machines, asked, now);
-                self.wake(scheduler);
+                self.wake_loops(scheduler);
             }
         }
         outcome.pages
--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -23,7 +23,7 @@
 impl Machine {
     /// True if it may still take work, or will once it is up.
     pub(super) fn stays(&self) -> bool {
-        !self.returning && !self.faulty && !self.has_preemption_notice && !self.lost
+        !self.draining && !self.faulty && !self.has_preemption_notice && !self.unreachable
     }
 }
 
@@ -72,7 +72,7 @@
         for m in self.machines.values().filter(|m| m.stays()) {
             let capacity = self.provisioning.capacity_of(&m.type_name);
             total += capacity.cpu;
-            free += match m.last_report {
+            free += match m.last_seen {
                 None => capacity.cpu,
                 Some(_) => self.free_capacity(m).cpu,
             };
@@ -137,11 +137,15 @@
     pub(super) fn replica_surplus(&self, now: Moment) -> Option<i64> {
         let headroom = self.replica_headroom(now)?;
         let held_by_replica = |key: &AttemptKey| {
-            let job = self.jobs.table.get(&key.0).filter(|j| j.spec.is_standing());
+            let job = self
+                .jobs
+                .table
+                .get(&key.job)
+                .filter(|j| j.spec.is_standing());
             job.map_or(0, |j| j.spec.demand.cpu)
         };
         let available = |m: &Machine| {
-            let attempts = m.attempts.iter().filter(|(_, a)| a.holds());
+            let attempts = m.attempts.iter().filter(|(_, a)| a.holds_resources());
             let held: i64 = attempts.map(|(key, _)| held_by_replica(key)).sum();
             self.provisioning.capacity_of(&m.type_name).cpu - held
         };
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -36,19 +36,19 @@
         let m = self.machines.entry(listed.name.clone()).or_insert_with(|| {
             let (type_name, zone) = (&listed.type_name, &listed.zone);
             let mut m = Machine::new(&listed.name, type_name, zone, listed.spot, total, now);
-            m.lease_from = started;
+            m.lease_renewed_at = started;
             m.known_since = Moment(now.0.saturating_sub(held.0));
             m
         });
-        m.exists_since = Some(m.exists_since.map_or(existed, |t| t.min(existed)));
+        m.existed_at = Some(m.existed_at.map_or(existed, |t| t.min(existed)));
         m.list_status = Some(listed.status);
         m.last_listed = Some(now);
-        if listed.status == ListStatus::Failed && !m.lost {
+        if listed.status == ListStatus::Failed && !m.unreachable {
             // It stopped by itself, and everything on it with it.
             log::info!("machine failed: machine={}", listed.name);
-            m.lost = true;
-            m.epoch_over = true;
-            m.returning = true;
+            m.unreachable = true;
+            m.epoch_ended = true;
+            m.draining = true;
             self.end_epoch(&listed.name);
         }
     }
@@ -113,7 +113,7 @@
             .filter(|name| !listed.contains(name.as_str()))
             .collect();
         let existed_at = |name: &String| match self.machines.get(name) {
-            Some(m) => m.exists_since,
+            Some(m) => m.existed_at,
             None => self.prior_term.machines.get(name).copied(),
         };
         names
@@ -129,9 +129,9 @@
         let gone: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.lost || m.last_report.is_none())
+            .filter(|m| m.unreachable || m.last_seen.is_none())
             .filter(|m| now - m.last_listed.unwrap_or(m.known_since) > lag)
-            .filter(|m| now - m.lease_from >= self.lease_span())
+            .filter(|m| now - m.lease_renewed_at >= self.lease_span())
             .map(|m| m.name.clone())
             .collect();
         for name in gone {
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -42,11 +42,10 @@
     /// work, so another one is requested in its place. A short suspicion changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
-        let unreconciled = m.last_report.is_some()
-            && !m.reconciled
-            && now - m.known_since.max(self.started) > lease;
+        let unreconciled =
+            m.last_seen.is_some() && !m.reconciled && now - m.known_since.max(self.started) > lease;
         unreconciled
-            || m.suspicion
+            || m.quarantine
                 .is_some_and(|s| now - s.since > lease.scaled(0.5))
     }
 
@@ -55,13 +54,13 @@
         for (name, reason) in self.choose_scale_in(now) {
             log::info!("machine to be returned: machine={name} reason={reason:?}");
             if let Some(m) = self.machines.get_mut(&name) {
-                m.returning = true;
+                m.draining = true;
             }
         }
         let emptied = self
             .machines
             .values()
-            .filter(|m| m.returning && (!m.busy() || m.lost))
+            .filter(|m| m.draining && (!m.is_busy() || m.unreachable))
             .map(|m| m.name.clone());
         emptied
             .chain(self.silent_with_replicas(now))
@@ -74,7 +73,7 @@
         let mut surplus = self.headroom_surplus().unwrap_or(i64::MAX);
         let mut replica_surplus = self.replica_surplus(now).unwrap_or(i64::MAX);
         let mut chosen = Vec::new();
-        for m in self.machines.values().filter(|m| !m.returning) {
+        for m in self.machines.values().filter(|m| !m.draining) {
             let reason = self.defect(m, now).or_else(|| {
                 // What is kept ready stays, also while it is idle.
                 let is_kept = surplus < m.total.cpu || (!m.spot && replica_surplus < m.total.cpu);
@@ -100,7 +99,7 @@
         } else {
             self.config.max_idle.scaled(ON_DEMAND_IDLE)
         };
-        m.reconciled && !m.busy() && m.idle_since.is_some_and(|t| now - t > time)
+        m.reconciled && !m.is_busy() && m.idle_since.is_some_and(|t| now - t > time)
     }
 
     /// Why a machine is of no use any more; None if it is of use.
@@ -108,14 +107,14 @@
     /// A new leader hears from machines one by one: whoever was not heard from since it took over is not
     /// thereby one that never came up.
     fn defect(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
-        let Some(last_report) = m.last_report else {
+        let Some(last_report) = m.last_seen else {
             return self.defect_of_unheard(m, now);
         };
         let lease = self.lease_span();
-        if m.lost && now - last_report > lease.scaled(1.5) {
+        if m.unreachable && now - last_report > lease.scaled(1.5) {
             return Some(ReturnReason::Silent);
         }
-        if m.busy() {
+        if m.is_busy() {
             return None;
         }
         if m.faulty {
@@ -129,7 +128,7 @@
         let watched_for = (now - self.started).min(now - m.known_since);
         let unreconciled = !m.reconciled && watched_for > lease.scaled(2.0);
         let suspected = m
-            .suspicion
+            .quarantine
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
         (unreconciled || suspected).then_some(ReturnReason::Unreached)
     }
@@ -168,7 +167,7 @@
         let known: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.reconciled && !m.lost && m.last_heartbeat.is_some())
+            .filter(|m| m.reconciled && !m.unreachable && m.last_heartbeat.is_some())
             .collect();
         let is_silent = |m: &&Machine| m.last_heartbeat.is_some_and(|t| now - t > silent_after);
         let silent: Vec<&Machine> = known.iter().copied().filter(is_silent).collect();
@@ -181,9 +180,9 @@
 
     /// True if the machine may run replicas of a standing job.
     fn has_replicas(&self, m: &Machine) -> bool {
-        let mut held = m.attempts.iter().filter(|(_, a)| a.holds());
+        let mut held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
         held.any(|(key, _)| {
-            let job = self.jobs.table.get(&key.0);
+            let job = self.jobs.table.get(&key.job);
             job.is_some_and(|j| j.spec.is_standing() && !j.is_closed())
         })
     }
--- a/src/provisioning/scale_out.rs
+++ b/src/provisioning/scale_out.rs
@@ -131,7 +131,7 @@
             let mut m = Machine::new(&name, &request.type_name, zone, *spot, capacity, now);
             m.list_status = Some(ListStatus::Starting);
             m.last_listed = Some(now);
-            m.exists_since = Some(now);
+            m.existed_at = Some(now);
             self.machines.insert(name, m);
         }
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -119,7 +119,7 @@
         self.prior_term.unreconciled.retain(|name| {
             let reconciled = machines
                 .get(name)
-                .is_some_and(|m| m.reconciled || m.epoch_over);
+                .is_some_and(|m| m.reconciled || m.epoch_ended);
             !reconciled && !provisioning.is_gone(name)
         });
         let lease_expired = now - self.started >= self.lease_span();
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
 use crate::workers::wire::TaskStatus;
-use crate::workers::{Attempt, DesiredState};
+use crate::workers::{Attempt, AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
 /// Thousandths in a CPU, the unit of amounts.
@@ -43,7 +43,7 @@
     fn running_of(&self, id: JobId) -> u32 {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
             .filter(|(_, a)| a.status == Some(TaskStatus::Running))
             .count() as u32
     }
@@ -57,8 +57,8 @@
             counters.calls,
             counters.unconfirmed_starts,
             counters.ended_by_token,
-            counters.ended_by_session,
-            self.fencing.unconfirmed_machines(),
+            counters.ended_by_epoch,
+            self.fencing.unconfirmed_machine_count(),
             counters.raises,
             counters.withheld,
             violation_count()
@@ -69,15 +69,15 @@
     pub fn capacity_summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut held: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_report.is_some()) {
+        for m in self.machines.values().filter(|m| m.last_seen.is_some()) {
             total += m.total.cpu;
             if self.usable(m, now) {
                 free += self.free_capacity(m).cpu;
             } else {
                 unusable += m.total.cpu;
             }
-            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds()) {
-                let job = self.jobs.table.get(&key.0);
+            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
+                let job = self.jobs.table.get(&key.job);
                 let demand = job.map_or(0, |j| j.spec.demand.cpu);
                 *held.entry(attempt_phase(attempt)).or_insert(0) += demand;
             }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -14,8 +14,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::DirectResult;
 use aspenreel::workers::HeartbeatReply;
-use aspenreel::workers::direct::DirectResult;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
@@ -284,14 +284,14 @@
     }
 
     fn direct_calls(&mut self) {
-        while let Some(call) = self.scheduler.next_direct(self.now()) {
+        while let Some(call) = self.scheduler.next_direct_call(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
             self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
             self.scheduler
-                .direct_done(&call, DirectResult::Answered(report), now);
+                .direct_call_finished(&call, DirectResult::Answered(report), now);
         }
     }
 
@@ -327,9 +327,9 @@
     fn provisioning(&mut self) {
         let now = self.now();
         self.scheduler.plan_scale_out(now);
-        for hire in self.scheduler.provisioning.requests.clone() {
+        for request in self.scheduler.provisioning.requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
-            let count = u64::from(hire.count).min(left);
+            let count = u64::from(request.count).min(left);
             let names: Vec<String> = (0..count)
                 .map(|_| {
                     self.machines += 1;
@@ -355,7 +355,7 @@
                 false => ProvisioningResult::Granted(names),
             };
             self.scheduler
-                .apply_provisioning_result(&hire.name, result, now);
+                .apply_provisioning_result(&request.name, result, now);
         }
         let names = self.scheduler.plan_scale_in(now);
         for name in &names {
@@ -369,7 +369,7 @@
     }
 
     fn list(&mut self) {
-        let hosts: Vec<ciborium::Value> = self
+        let machines: Vec<ciborium::Value> = self
             .workers
             .values()
             .map(|w| {
@@ -383,7 +383,7 @@
                 .unwrap()
             })
             .collect();
-        let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
+        let wire = encode(&cbor!({"hosts" => machines, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
         self.scheduler
