--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -67,7 +67,7 @@
             let now = self.now();
             match state
                 .acting_leader(now)
-                .map(|(_, scheduler)| scheduler.view(id))
+                .map(|(_, scheduler)| scheduler.job_status(id))
             {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -62,7 +62,7 @@
         let now = self.now();
         match (state.terminal_states.get(id), state.acting_leader(now)) {
             (Some(view), _) => LocalStatus::View(view),
-            (None, Some((_, scheduler))) => scheduler.view(id),
+            (None, Some((_, scheduler))) => scheduler.job_status(id),
             (None, None) => LocalStatus::Nothing,
         }
     }
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -134,7 +134,7 @@
         submission.accepted_us = wall.0;
         let id = &submission.id;
         let data = to_value(&submission);
-        if json_len(&data) > self.settings.settings.state.strict().value_bytes() {
+        if json_len(&data) > self.settings.settings.state.strictest().value_bytes() {
             log::info!(job = id, reason = "too_large"; "submission not recorded");
             return AcceptResult::NotRecorded;
         }
@@ -200,7 +200,7 @@
             && let Some((_, scheduler)) = state.acting_leader(now)
         {
             scheduler.add_job(submission, revision, now, wall);
-            scheduler.place_soon(now);
+            scheduler.place_if_due(now);
             self.wake_loops(scheduler);
         }
     }
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -76,7 +76,7 @@
 
 impl<'a> RecordWriter<'a> {
     fn new(controller: &'a Controller) -> RecordWriter<'a> {
-        let limits = controller.settings.settings.state.strict();
+        let limits = controller.settings.settings.state.strictest();
         let options = &controller.options;
         let rate = limits.write_rps * options.write_budget as f64 / 100.0;
         let burst = rate.max(limits.txn_ops as f64);
@@ -85,7 +85,7 @@
             max_changes: limits.txn_ops,
             rate,
             tokens: TokenBucket::new(rate, burst, controller.now()),
-            round: Micros::from_millis(options.round_ms),
+            round: Micros::from_millis(options.record_round_ms),
             next_round: controller.now(),
             registry_interval: Micros::from_secs_f64(REGISTRY_TOKENS / rate),
             next_registry_write: controller.now(),
--- a/src/jobs/wire.rs
+++ b/src/jobs/wire.rs
@@ -157,7 +157,7 @@
             team: self.team.clone(),
             priority: self.priority,
             tasks: self.tasks.min(MAX_TASKS) as u32,
-            demand: Resources::need(self.cpus.0, self.gpus.0, self.ram_gb.0),
+            demand: Resources::demand(self.cpus.0, self.gpus.0, self.ram_gb.0),
             image: self.image.clone(),
             image_gb: self.image_gb.0,
             machine_types: self.machine_types.clone(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -71,7 +71,7 @@
 /// Lets controllers of earlier versions lead again.
 fn roll_back(options: &RollbackOptions) -> Result<ExitCode, CommandError> {
     let settings = Settings::load(&options.config)?;
-    let rate = settings.settings.state.strict().rps;
+    let rate = settings.settings.state.strictest().rps;
     let store = Store::new(settings.endpoints.state, rate, Arc::new(System::default()));
     allow_earlier_versions(&store)?;
     println!("controllers of earlier versions may lead");
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -32,7 +32,9 @@
 
     /// After this long without a heartbeat a machine is silent.
     fn silent_after(&self) -> Micros {
-        self.config.report.scaled(SILENT_AFTER_INTERVALS)
+        self.config
+            .heartbeat_interval
+            .scaled(SILENT_AFTER_INTERVALS)
     }
 
     fn settling_time(&self) -> Micros {
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -61,7 +61,7 @@
 
     /// The call to this machine, if it may be called and has urgent commands or is to be probed.
     fn direct_call(&mut self, name: &str, now: Moment) -> Option<DirectCall> {
-        let heartbeat_interval = self.config.report;
+        let heartbeat_interval = self.config.heartbeat_interval;
         let machine = self.machines.get_mut(name)?;
         let was_seen_lately = machine
             .last_seen
@@ -113,7 +113,8 @@
     fn direct_command_batch(&mut self, name: &str, now: Moment) -> Option<DirectCommandBatch> {
         let machine = self.machines.get_mut(name)?;
         // Stops may go to any worker that answers; starts only where the lease is known to last.
-        let takes_starts = machine.registered && machine.is_alive(self.config.report, now);
+        let takes_starts =
+            machine.registered && machine.is_alive(self.config.heartbeat_interval, now);
         let mut batch = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
             let Some(job) = self.jobs.table.get(&key.job) else {
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -42,7 +42,7 @@
         }
         self.review_quarantine(&heartbeat.machine, now);
         self.release_prior_term(now);
-        self.place_soon(now);
+        self.place_if_due(now);
         self.reply_with_commands(heartbeat, now)
     }
 
@@ -53,7 +53,7 @@
             return false;
         }
         if !self.machines.contains_key(&heartbeat.machine) {
-            if self.machines.len() >= self.config.most_machines {
+            if self.machines.len() >= self.config.max_machines {
                 return false;
             }
             self.add_machine(heartbeat, now);
@@ -66,7 +66,7 @@
     }
 
     fn add_machine(&mut self, heartbeat: &Heartbeat, now: Moment) {
-        let total = self.provisioning.room_of(&heartbeat.type_name);
+        let total = self.provisioning.capacity_of(&heartbeat.type_name);
         let mut machine = Machine::new(
             &heartbeat.machine,
             &heartbeat.type_name,
@@ -98,7 +98,7 @@
             return false;
         }
         // The machine may take work again from here on.
-        self.placement.due |= !machine.is_alive(self.config.report, now);
+        self.placement.due |= !machine.is_alive(self.config.heartbeat_interval, now);
         machine.note_heartbeat(position, now);
         // Otherwise a direct call's answer, with a newer list of tasks, overtook the heartbeat. The reply to
         // it is as good as any.
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -113,7 +113,7 @@
     /// How long an unconfirmed start may wait for a higher token once its job's cancellation was requested:
     /// a full lease must still fit into the time for the cancellation.
     fn revocation_time(&self) -> Micros {
-        at_least(self.config.cancel).saturating_sub(self.lease_span() + LEASE_MARGIN)
+        at_least(self.config.cancellation_bound).saturating_sub(self.lease_span() + LEASE_MARGIN)
     }
 
     /// True if the machine has an unconfirmed start, of an attempt that no report showed, whose job's
@@ -140,7 +140,7 @@
             let is_reachable = self.machines.get(name).is_some_and(|m| !m.unreachable);
             if is_reachable
                 && self.fencing_token_for(name) <= unconfirmed
-                && self.has_overdue_unconfirmed_start(name, self.config.cancel, now)
+                && self.has_overdue_unconfirmed_start(name, self.config.cancellation_bound, now)
             {
                 invariants::report_violation(
                     Invariant::CancelledStartNotRevoked,
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -40,7 +40,7 @@
 fn a_start_that_is_not_revoked() {
     let mut trace = trace();
     trace.raises_tokens = false;
-    trace.scheduler.config.cancel = Micros::from_secs(5);
+    trace.scheduler.config.cancellation_bound = Micros::from_secs(5);
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -2,7 +2,7 @@
 
 use crate::trace::{LeaderTrace, at, decimal, one_team, submission};
 use aspenreel::jobs::JobKind;
-use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::ProvisioningResult;
 use aspenreel::settings::Objective;
 use insta::assert_snapshot;
 
@@ -10,9 +10,9 @@
 /// time for a boot, idle machines would cost money for nothing.
 #[test]
 fn room_is_kept_where_no_boot_fits_the_aim() {
-    let rental_requests = |within_s: f64| {
+    let requests = |within_s: f64| {
         let mut trace = LeaderTrace::new(2, one_team());
-        trace.scheduler.config.reserve = 4.0;
+        trace.scheduler.config.headroom = 4.0;
         trace.scheduler.config.objectives = vec![Objective {
             kind: "wait".into(),
             class: Some("train".into()),
@@ -23,11 +23,11 @@
         trace
             .heartbeat("big-east-1", &[])
             .list(&[("big-east-1", "running")]);
-        trace.scheduler.plan_rentals(at(2.0));
-        trace.scheduler.provisioning.rental_requests.len()
+        trace.scheduler.plan_scale_out(at(2.0));
+        trace.scheduler.provisioning.requests.len()
     };
     // The soonest machine boots in 20 s, and some take half as long again.
-    assert_eq!((rental_requests(29.0), rental_requests(31.0)), (1, 0));
+    assert_eq!((requests(29.0), requests(31.0)), (1, 0));
 }
 
 /// Waiting work rents the cheapest that holds it; what is refused isn't asked for at once again.
@@ -41,9 +41,9 @@
     }));
     trace.rentals();
     trace.at(1.0).list(&[]).rentals();
-    trace.scheduler.rental_answered(
+    trace.scheduler.apply_provisioning_result(
         "r-4-1",
-        RentalResult::Rented(vec!["small-west-7".into()]),
+        ProvisioningResult::Granted(vec!["small-west-7".into()]),
         at(2.0),
     );
     trace.at(2.0).rentals();
@@ -55,11 +55,11 @@
     trace.rentals();
     trace
         .scheduler
-        .rental_answered("r-4-2", RentalResult::Unknown, at(4.0));
+        .apply_provisioning_result("r-4-2", ProvisioningResult::Unknown, at(4.0));
     trace.at(4.0).rentals();
     trace
         .scheduler
-        .rental_answered("r-4-2", RentalResult::NoCapacity, at(5.0));
+        .apply_provisioning_result("r-4-2", ProvisioningResult::NoCapacity, at(5.0));
     trace.at(5.0).rentals();
     assert_snapshot!(trace.log);
 }
@@ -72,15 +72,15 @@
     trace
         .at(1.0)
         .list(&[("big-east-1", "running"), ("small-west-2", "starting")]);
-    let due = trace.scheduler.plan_returns(at(1.0));
+    let due = trace.scheduler.plan_scale_in(at(1.0));
     trace.note(&format!("to return: {due:?}"));
     for t in [5.0, 30.0, 60.0, 140.0] {
         trace.at(t).heartbeat("big-east-1", &[]);
         trace.on_timer(t);
-        let due = trace.scheduler.plan_returns(at(t));
+        let due = trace.scheduler.plan_scale_in(at(t));
         trace.note(&format!("to return: {due:?}"));
     }
-    trace.scheduler.returned(&["big-east-1".into()]);
+    trace.scheduler.drop_gone_machines(&["big-east-1".into()]);
     trace.at(141.0).heartbeat("big-east-1", &[]);
     assert_snapshot!(trace.log);
 }
@@ -120,9 +120,11 @@
         within_s: 2.0,
     }];
     trace.at(3.0).rentals();
-    trace
-        .scheduler
-        .rental_answered("r-2-1", RentalResult::Rented(Vec::new()), at(3.0));
+    trace.scheduler.apply_provisioning_result(
+        "r-2-1",
+        ProvisioningResult::Granted(Vec::new()),
+        at(3.0),
+    );
     trace.note("two other machines are up");
     let reports = |trace: &mut LeaderTrace| {
         for name in ["small-east-8", "small-east-9"] {
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -103,7 +103,7 @@
         let now = 24.0 + 3.0 * f64::from(k);
         trace.at(now);
         heartbeats_of_all_but(&mut trace, &silent);
-        let due = trace.scheduler.plan_returns(at(now + 1.0));
+        let due = trace.scheduler.plan_scale_in(at(now + 1.0));
         assert!(!due.contains(&silent[1].to_string()), "{due:?}");
         if due.contains(&replica_on[0]) {
             returned_at.push(now + 1.0);
@@ -111,7 +111,7 @@
     }
     // Silent since 21 s.
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
-    trace.scheduler.returned(&replica_on);
+    trace.scheduler.drop_gone_machines(&replica_on);
     trace.on_timer(38.0);
     assert_eq!(machines_with(&trace, "run-1").len(), 1, "it runs elsewhere");
 
@@ -128,7 +128,7 @@
         let now = 39.0 + 3.0 * f64::from(k);
         trace.at(now);
         heartbeats_of_all_but(&mut trace, &half);
-        let due = trace.scheduler.plan_returns(at(now + 1.0));
+        let due = trace.scheduler.plan_scale_in(at(now + 1.0));
         assert!(!due.contains(&again_on[0]), "{due:?}");
     }
 }
