--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,10 +1,11 @@
 //! The protocol's rules, as somebody sees them who only knows what users were told and what is on
 //! machines. It knows nothing of what controllers hold in memory or on record.
 
-pub use crate::observations::{Answer, JobPlan, Place, Question};
 use crate::scheduler::{Time, secs};
 use std::collections::{BTreeMap, BTreeSet};
 
+pub use crate::observations::{Answer, JobPlan, Place, Question};
+
 #[derive(Debug)]
 struct Facts {
     plan: JobPlan,
@@ -110,19 +111,19 @@
 
     /// A user is going to cancel this job.
     pub fn asks_cancel(&mut self, id: &str) {
-        if let Some(f) = self.jobs.get_mut(id) {
-            f.cancel_asked = true;
+        if let Some(facts) = self.jobs.get_mut(id) {
+            facts.cancel_asked = true;
         }
     }
 
     /// No answer in time, or one that tells nothing.
     pub fn unanswered(&mut self, id: &str, question: Question, sent: Time, now: Time) {
         self.unanswered_questions += 1;
-        let Some(f) = self.jobs.get_mut(id) else {
+        let Some(facts) = self.jobs.get_mut(id) else {
             return;
         };
-        if question == Question::Status && f.accepted.is_some_and(|t| t <= sent) {
-            let since = *f.unanswered_since.get_or_insert(sent);
+        if question == Question::Status && facts.accepted.is_some_and(|t| t <= sent) {
+            let since = *facts.unanswered_since.get_or_insert(sent);
             if now - since > secs(90.0) {
                 let text = format!("{id}: not answered about for 90 s");
                 self.note(now, "forgotten", text);
@@ -141,27 +142,27 @@
             answer.state,
             answer.sent as f64 / 1e6
         );
-        let Some(f) = self.jobs.get_mut(id) else {
+        let Some(facts) = self.jobs.get_mut(id) else {
             if matches!(answer.status, 200 | 201) {
                 self.note(now, "invented", text);
             }
             return;
         };
-        let rules = f.rules_broken_by(answer);
-        f.first_asked.get_or_insert(answer.sent);
+        let rules = facts.rules_broken_by(answer);
+        facts.first_asked.get_or_insert(answer.sent);
         if matches!(answer.status, 200 | 201) {
-            f.unanswered_since = None;
-            if f.accepted.is_none() && answer.question != Question::BadSubmit {
-                f.accepted = Some(now);
+            facts.unanswered_since = None;
+            if facts.accepted.is_none() && answer.question != Question::BadSubmit {
+                facts.accepted = Some(now);
             }
         }
         if let Some(state) = answer.final_state()
-            && f.ended.is_none()
+            && facts.ended.is_none()
         {
-            f.ended = Some((state.to_string(), now));
+            facts.ended = Some((state.to_string(), now));
             if state == "done" {
                 self.answered_done += 1;
-                let asked = f.first_asked.unwrap_or(now);
+                let asked = facts.first_asked.unwrap_or(now);
                 self.turnaround.push(now - asked);
             } else {
                 self.answered_cancelled += 1;
@@ -180,17 +181,17 @@
     /// A task has its image and starts.
     pub fn starts(&mut self, id: &str, task: u32, place: &Place, now: Time) {
         self.starts += 1;
-        let Some(f) = self.jobs.get_mut(id) else {
+        let Some(facts) = self.jobs.get_mut(id) else {
             let text = format!("{id}/{task}: nobody submitted it");
             return self.note(now, "invented", text);
         };
         let mut found = Vec::new();
-        if let Some(others) = f.on.get(&task)
+        if let Some(others) = facts.on.get(&task)
             && !others.is_empty()
         {
             found.push(("ran_twice", format!("{others:?} and {place:?}")));
         }
-        if let Some((state, at)) = &f.ended
+        if let Some((state, at)) = &facts.ended
             && state == "cancelled"
         {
             if now > at + self.cancel {
@@ -200,12 +201,13 @@
                 self.late_starts.push(text);
             }
         }
-        let p = &f.plan;
-        let others: Vec<&Place> =
-            f.on.iter()
-                .filter(|(t, _)| **t != task)
-                .flat_map(|(_, places)| places)
-                .collect();
+        let p = &facts.plan;
+        let others: Vec<&Place> = facts
+            .on
+            .iter()
+            .filter(|(t, _)| **t != task)
+            .flat_map(|(_, places)| places)
+            .collect();
         let elsewhere = others.iter().any(|o| o.zone != place.zone);
         let here = others.iter().filter(|o| o.zone == place.zone).count() as u32 + 1;
         if (place.spot && !p.spot)
@@ -216,7 +218,7 @@
             found.push(("wrong_place", format!("{place:?} beside {others:?}")));
         }
         let team = p.team.clone();
-        f.on.entry(task).or_default().insert(place.clone());
+        facts.on.entry(task).or_default().insert(place.clone());
         let used = self.used(&team);
         if self.limits.get(&team).is_some_and(|l| used > l + 1e-6) {
             found.push(("quota", format!("team {team} uses {used} CPUs")));
@@ -228,29 +230,29 @@
 
     /// A task's place is empty again; `done`: it ended well.
     pub fn leaves(&mut self, id: &str, task: u32, machine: &str, done: bool) {
-        let Some(f) = self.jobs.get_mut(id) else {
+        let Some(facts) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Some(places) = f.on.get_mut(&task) {
+        if let Some(places) = facts.on.get_mut(&task) {
             places.retain(|p| p.machine != machine);
             if places.is_empty() {
-                f.on.remove(&task);
+                facts.on.remove(&task);
             }
         }
         if done {
-            f.done.insert(task);
+            facts.done.insert(task);
         }
     }
 
     /// What time alone breaks.
     pub fn look(&mut self, now: Time) {
         let mut found = Vec::new();
-        for (id, f) in &self.jobs {
-            if let Some((state, at)) = &f.ended
+        for (id, facts) in &self.jobs {
+            if let Some((state, at)) = &facts.ended
                 && state == "cancelled"
                 && now > at + self.cancel
             {
-                for (task, places) in &f.on {
+                for (task, places) in &facts.on {
                     found.push(format!("{id}/{task} is on {places:?}"));
                 }
             }
@@ -262,9 +264,11 @@
 
     /// CPUs that tasks of a team hold on machines.
     pub fn used(&self, team: &str) -> f64 {
-        let jobs = self.jobs.values().filter(|f| f.plan.team == team);
-        jobs.map(|f| f.plan.cpus * f.on.values().map(BTreeSet::len).sum::<usize>() as f64)
-            .sum()
+        let jobs = self.jobs.values().filter(|facts| facts.plan.team == team);
+        jobs.map(|facts| {
+            facts.plan.cpus * facts.on.values().map(BTreeSet::len).sum::<usize>() as f64
+        })
+        .sum()
     }
 
     /// A team's limit in CPUs.
@@ -274,37 +278,48 @@
 
     /// Accepted jobs that ought to end and that users don't know to have ended.
     pub fn open(&self) -> Vec<&JobPlan> {
-        let ends = |f: &Facts| !f.plan.standing || f.cancel_asked;
-        let open = |f: &&Facts| f.accepted.is_some() && f.ended.is_none() && ends(f);
-        self.jobs.values().filter(open).map(|f| &f.plan).collect()
+        let ends = |facts: &Facts| !facts.plan.standing || facts.cancel_asked;
+        let open =
+            |facts: &&Facts| facts.accepted.is_some() && facts.ended.is_none() && ends(facts);
+        self.jobs
+            .values()
+            .filter(open)
+            .map(|facts| &facts.plan)
+            .collect()
     }
 
     /// Accepted jobs that nobody cancelled and that have tasks neither done nor on a machine.
     pub fn waiting(&self) -> Vec<&JobPlan> {
-        let waits = |f: &&Facts| {
-            let placed: BTreeSet<u32> = f.done.iter().chain(f.on.keys()).copied().collect();
-            f.accepted.is_some()
-                && f.ended.is_none()
-                && !f.cancel_asked
-                && placed.len() < f.plan.tasks as usize
+        let waits = |facts: &&Facts| {
+            let placed: BTreeSet<u32> = facts.done.iter().chain(facts.on.keys()).copied().collect();
+            facts.accepted.is_some()
+                && facts.ended.is_none()
+                && !facts.cancel_asked
+                && placed.len() < facts.plan.tasks as usize
         };
-        self.jobs.values().filter(waits).map(|f| &f.plan).collect()
+        self.jobs
+            .values()
+            .filter(waits)
+            .map(|facts| &facts.plan)
+            .collect()
     }
 
     /// A user knows that the job was accepted.
     pub fn is_accepted(&self, id: &str) -> bool {
-        self.jobs.get(id).is_some_and(|f| f.accepted.is_some())
+        self.jobs
+            .get(id)
+            .is_some_and(|facts| facts.accepted.is_some())
     }
 
     /// All of its tasks have ended well.
     pub fn all_done(&self, id: &str) -> bool {
-        let full = |f: &Facts| f.done.len() == f.plan.tasks as usize;
+        let full = |facts: &Facts| facts.done.len() == facts.plan.tasks as usize;
         self.jobs.get(id).is_some_and(full)
     }
 
     /// Tasks of all jobs that ended well.
     pub fn tasks_done(&self) -> usize {
-        self.jobs.values().map(|f| f.done.len()).sum()
+        self.jobs.values().map(|facts| facts.done.len()).sum()
     }
 
     /// The final state that a user knows of.
@@ -322,6 +337,6 @@
     pub fn on(&self, id: &str) -> usize {
         self.jobs
             .get(id)
-            .map_or(0, |f| f.on.values().map(BTreeSet::len).sum())
+            .map_or(0, |facts| facts.on.values().map(BTreeSet::len).sum())
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -45,4 +45,5 @@
 mod worker_commands;
 mod worker_heartbeats;
 mod worker_protocol;
+mod worker_tasks;
 pub mod workloads;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -74,7 +74,7 @@
 
     pub(crate) fn free(&self, plans: impl Fn(&str) -> f64) -> f64 {
         let held = self.tasks.iter();
-        let held = held.filter(|(_, t)| t.status != TaskStatus::Exited);
+        let held = held.filter(|(_, task)| task.status != TaskStatus::Exited);
         self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
     }
 
@@ -95,11 +95,11 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task_id, attempt), t)| ReportedTask {
+                .map(|((task_id, attempt), task)| ReportedTask {
                     task_id: task_id.clone(),
                     attempt: *attempt,
-                    status: t.status,
-                    exit_reason: t.exit_reason,
+                    status: task.status,
+                    exit_reason: task.exit_reason,
                     checkpointed: None,
                 })
                 .collect(),
@@ -119,7 +119,9 @@
         let serves = self.alive() && self.lease_from > 0 && self.fencing_token > 0;
         // Whatever runs here takes as much at least: good enough for a bound on waits.
         let held = self.tasks.values();
-        let held = held.filter(|t| t.status != TaskStatus::Exited).count() as f64;
+        let held = held
+            .filter(|task| task.status != TaskStatus::Exited)
+            .count() as f64;
         serves
             && plan.zone.as_ref().is_none_or(|z| *z == self.zone)
             && (plan.spot || !self.spot)
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -79,18 +79,22 @@
         let now = self.now();
         let worker = name.to_string();
         let mut state = self.state();
-        let Some(m) = state.machines.get_mut(name).filter(|m| m.alive()) else {
+        let Some(machine) = state
+            .machines
+            .get_mut(name)
+            .filter(|machine| machine.alive())
+        else {
             return;
         };
-        let ends = m.lease_from + secs(LEASE_S);
+        let ends = machine.lease_from + secs(LEASE_S);
         if now < ends {
             drop(state);
             return self.at_time(ends, move |sim| sim.check_lease(&worker));
         }
-        m.agent_epoch += 1;
-        m.lease_from = now;
-        m.in_flight = None;
-        let lost = std::mem::take(&mut m.tasks);
+        machine.agent_epoch += 1;
+        machine.lease_from = now;
+        machine.in_flight = None;
+        let lost = std::mem::take(&mut machine.tasks);
         for ((task_id, _), task) in lost {
             if on_machine(&task) {
                 let (id, n) = split_task_id(&task_id);
@@ -105,11 +109,11 @@
     /// The next report goes out then, unless another one is asked for before.
     pub(crate) fn heartbeat_at(self: &Arc<Self>, name: &str, at: Time) {
         let mut state = self.state();
-        let Some(m) = state.machines.get_mut(name) else {
+        let Some(machine) = state.machines.get_mut(name) else {
             return;
         };
-        m.next_heartbeat += 1;
-        let (number, worker) = (m.next_heartbeat, name.to_string());
+        machine.next_heartbeat += 1;
+        let (number, worker) = (machine.next_heartbeat, name.to_string());
         drop(state);
         self.at_time(at, move |sim| sim.send_heartbeat(&worker, number));
     }
@@ -117,10 +121,14 @@
     pub(crate) fn heartbeat_soon(self: &Arc<Self>, name: &str) {
         let at = {
             let state = self.state();
-            let Some(m) = state.machines.get(name).filter(|m| m.in_flight.is_none()) else {
+            let Some(machine) = state
+                .machines
+                .get(name)
+                .filter(|machine| machine.in_flight.is_none())
+            else {
                 return;
             };
-            (m.sent + 500_000).max(self.now())
+            (machine.sent + 500_000).max(self.now())
         };
         self.heartbeat_at(name, at);
     }
@@ -128,26 +136,26 @@
     pub(crate) fn send_heartbeat(self: &Arc<Self>, name: &str, number: u64) {
         let now = self.now();
         let mut state = self.state();
-        let Some(m) = state.machines.get_mut(name) else {
+        let Some(machine) = state.machines.get_mut(name) else {
             return;
         };
-        if !m.up(now) || m.next_heartbeat != number || m.in_flight.is_some() {
+        if !machine.up(now) || machine.next_heartbeat != number || machine.in_flight.is_some() {
             return;
         }
-        if m.frozen_until > now {
-            let until = m.frozen_until;
+        if machine.frozen_until > now {
+            let until = machine.frozen_until;
             drop(state);
             return self.heartbeat_at(name, until);
         }
-        let report = m.report(now);
-        m.reports += 1;
-        m.sent = now;
-        m.in_flight = Some(m.reports);
-        let (request, n, worker) = (m.reports, m.node, name.to_string());
-        let cut_until = m.cut_until;
+        let report = machine.report(now);
+        machine.reports += 1;
+        machine.sent = now;
+        machine.in_flight = Some(machine.reports);
+        let (request, n, worker) = (machine.reports, machine.node, name.to_string());
+        let cut_until = machine.cut_until;
         let (lost, held) = (
-            m.cut_until > now || m.outbound_dropped_until > now,
-            m.holds && m.cut_until > now,
+            machine.cut_until > now || machine.outbound_dropped_until > now,
+            machine.holds && machine.cut_until > now,
         );
         drop(state);
         self.after(PATIENCE, move |sim| {
@@ -169,14 +177,14 @@
         let nodes = self.setup.nodes;
         {
             let mut state = self.state();
-            let Some(m) = state.machines.get_mut(name) else {
+            let Some(machine) = state.machines.get_mut(name) else {
                 return;
             };
-            if m.in_flight != Some(request) {
+            if machine.in_flight != Some(request) {
                 return;
             }
-            m.in_flight = None;
-            m.node = (m.node + 1) % nodes;
+            machine.in_flight = None;
+            machine.node = (machine.node + 1) % nodes;
         }
         self.heartbeat_at(name, self.now() + PAUSE);
     }
@@ -205,7 +213,9 @@
         let response = node
             .handle_without_blocking(request)
             .unwrap_or_else(|_| panic!("it waits"));
-        let late = response.valid_until.is_some_and(|t| node.os.now() >= t);
+        let late = response
+            .valid_until
+            .is_some_and(|until| node.os.now() >= until);
         Ok((if late { 503 } else { response.status }, response.body))
     }
 
@@ -281,27 +291,27 @@
     ) {
         let now = self.now();
         let mut state = self.state();
-        let Some(m) = state.machines.get_mut(name) else {
+        let Some(machine) = state.machines.get_mut(name) else {
             return;
         };
-        if !m.up(now) || m.in_flight != Some(request) {
+        if !machine.up(now) || machine.in_flight != Some(request) {
             return;
         }
-        if m.frozen_until > now {
-            let (until, name) = (m.frozen_until, name.to_string());
+        if machine.frozen_until > now {
+            let (until, name) = (machine.frozen_until, name.to_string());
             drop(state);
             return self.at_time(until, move |sim| {
                 sim.answer_arrives(&name, agent_epoch, request, sent, answer);
             });
         }
-        if now - sent > PATIENCE || m.cut_until > now || m.inbound_dropped_until > now {
+        if now - sent > PATIENCE || machine.cut_until > now || machine.inbound_dropped_until > now {
             return;
         }
-        m.in_flight = None;
+        machine.in_flight = None;
         let (wait, commands) = match answer {
-            Some((200, body)) => take_reply(m, &decode(&body).unwrap(), agent_epoch, sent),
-            Some((421, body)) => (follow_refusal(m, &body, self.setup.nodes), Vec::new()),
-            _ => (try_next_controller(m, self.setup.nodes), Vec::new()),
+            Some((200, body)) => take_reply(machine, &decode(&body).unwrap(), agent_epoch, sent),
+            Some((421, body)) => (follow_refusal(machine, &body, self.setup.nodes), Vec::new()),
+            _ => (try_next_controller(machine, self.setup.nodes), Vec::new()),
         };
         drop(state);
         let spread = (HEARTBEAT_S * 250_000.0) as Time;
--- /dev/null
+++ b/crates/simulation/src/worker_tasks.rs
@@ -0,0 +1,216 @@
+//! What simulated workers do with commands, and how their tasks go on.
+
+use crate::machine::{Machine, SimulatedTask, on_machine};
+use crate::scheduler::{Time, secs};
+use crate::simulation::Simulation;
+use crate::state::SimulationState;
+use crate::user_job::UserJob;
+use crate::worker_protocol::split_task_id;
+use aspenreel::workers::wire::{CommandKind, ExitReason, TaskStatus, WorkerCommand};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// The image of all jobs of the simulation.
+const IMAGE: &str = "img";
+
+/// Why a worker refuses a start, if it does.
+fn refusal(
+    machine: &Machine,
+    users: &BTreeMap<String, UserJob>,
+    task_id: &str,
+) -> Option<ExitReason> {
+    let plan_of = |task_id: &str| users.get(split_task_id(task_id).0).map(|user| &user.plan);
+    let attempts = machine.tasks.iter().filter(|((id, _), _)| id == task_id);
+    let mut active = attempts.filter(|(_, task)| task.status != TaskStatus::Exited);
+    let is_busy = active.next().is_some();
+    let cpus = |task_id: &str| plan_of(task_id).map_or(0.0, |plan| plan.cpus);
+    match plan_of(task_id) {
+        None => Some(ExitReason::NoSuch),
+        Some(_) if is_busy => Some(ExitReason::Busy),
+        Some(plan) if plan.cpus > machine.free(cpus) => Some(ExitReason::Full),
+        Some(_) => None,
+    }
+}
+
+impl Simulation {
+    /// Executes commands in their order. Changes are told by a heartbeat soon.
+    pub(crate) fn execute(self: &Arc<Self>, name: &str, commands: &[WorkerCommand]) {
+        let mut changed = false;
+        for command in commands {
+            changed |= match command.kind {
+                CommandKind::Run => self.start_task(name, command),
+                CommandKind::Stop => self.stop_task(name, command),
+                CommandKind::Clear => {
+                    self.clear_task(name, command);
+                    false
+                }
+            };
+        }
+        if changed {
+            self.heartbeat_soon(name);
+        }
+    }
+
+    /// Starts an attempt, or refuses it. False if the worker knows the attempt already.
+    fn start_task(self: &Arc<Self>, name: &str, command: &WorkerCommand) -> bool {
+        let now = self.now();
+        let fetch = secs(self.setup.fetch_s);
+        let key = (command.task_id.clone(), command.attempt);
+        let mut state = self.state();
+        let SimulationState {
+            machines,
+            users,
+            rng,
+            starts_by_term,
+            ..
+        } = &mut *state;
+        let machine = machines.get_mut(name);
+        let Some(machine) = machine.filter(|machine| !machine.tasks.contains_key(&key)) else {
+            return false;
+        };
+        starts_by_term.push((now, command.attempt >> 32));
+        let refused = refusal(machine, users, &command.task_id);
+        let wait = match machine.images.contains(IMAGE) {
+            true => 0,
+            false => rng.u64(fetch / 2..fetch * 2),
+        };
+        machine.timers += 1;
+        let timer = machine.timers;
+        let task = SimulatedTask {
+            status: match refused {
+                None => TaskStatus::Fetching,
+                Some(_) => TaskStatus::Exited,
+            },
+            exit_reason: refused,
+            ends: now + wait,
+            timer,
+        };
+        machine.tasks.insert(key.clone(), task);
+        drop(state);
+        if refused.is_none() {
+            self.task_moves_on_at(now + wait, name, key, timer);
+        }
+        true
+    }
+
+    /// Stops an attempt, at once or after it has saved. False if it is stopping already or has ended.
+    fn stop_task(self: &Arc<Self>, name: &str, command: &WorkerCommand) -> bool {
+        let now = self.now();
+        let key = (command.task_id.clone(), command.attempt);
+        let mut state = self.state();
+        let save_s = state.plan(&command.task_id).map_or(0.0, |p| p.save_s);
+        let SimulationState {
+            machines, checker, ..
+        } = &mut *state;
+        let Some(machine) = machines.get_mut(name) else {
+            return false;
+        };
+        let Some(task) = machine.tasks.get_mut(&key) else {
+            return false;
+        };
+        let stops_already =
+            task.status == TaskStatus::Flushing && command.grace_period_s != Some(0.0);
+        if task.status == TaskStatus::Exited || stops_already {
+            return false;
+        }
+        let saves = save_s > 0.0
+            && command.grace_period_s.is_some_and(|time| time >= save_s)
+            && task.status == TaskStatus::Running;
+        machine.timers += 1;
+        task.timer = machine.timers;
+        if saves {
+            task.status = TaskStatus::Flushing;
+            task.ends = now + secs(save_s);
+            let (at, timer) = (task.ends, task.timer);
+            drop(state);
+            self.task_moves_on_at(at, name, key, timer);
+            return true;
+        }
+        let was_on_machine = on_machine(task);
+        task.status = TaskStatus::Exited;
+        task.exit_reason = Some(ExitReason::Stopped);
+        if was_on_machine {
+            let (id, number) = split_task_id(&command.task_id);
+            checker.leaves(id, number, name, false);
+        }
+        true
+    }
+
+    /// Forgets an attempt that has ended.
+    fn clear_task(&self, name: &str, command: &WorkerCommand) {
+        let key = (command.task_id.clone(), command.attempt);
+        let mut state = self.state();
+        let Some(machine) = state.machines.get_mut(name) else {
+            return;
+        };
+        let exited = |task: &SimulatedTask| task.status == TaskStatus::Exited;
+        if machine.tasks.get(&key).is_some_and(exited) {
+            machine.tasks.remove(&key);
+        }
+    }
+
+    fn task_moves_on_at(self: &Arc<Self>, at: Time, name: &str, key: (String, u64), timer: u64) {
+        let name = name.to_string();
+        self.at_time(at, move |sim| sim.moves_on(&name, &key, timer));
+    }
+
+    /// A task has its image, has run, or has saved.
+    pub(crate) fn moves_on(self: &Arc<Self>, name: &str, key: &(String, u64), timer: u64) {
+        let now = self.now();
+        let mut state = self.state();
+        let plan = state.plan(&key.0).cloned();
+        let SimulationState {
+            machines, checker, ..
+        } = &mut *state;
+        let Some(machine) = machines.get_mut(name).filter(|machine| machine.alive()) else {
+            return;
+        };
+        let place = machine.place();
+        let (frozen_until, frozen_since) = (machine.frozen_until, machine.frozen_since);
+        let Some(task) = machine
+            .tasks
+            .get_mut(key)
+            .filter(|task| task.timer == timer)
+        else {
+            return;
+        };
+        if frozen_until > now {
+            // What was left to do is done once the machine goes on.
+            let left = task.ends.saturating_sub(frozen_since);
+            task.ends = frozen_until + left;
+            let at = task.ends;
+            drop(state);
+            return self.task_moves_on_at(at, name, key.clone(), timer);
+        }
+        let (id, number) = split_task_id(&key.0);
+        match task.status {
+            TaskStatus::Fetching => {
+                task.status = TaskStatus::Running;
+                task.ends =
+                    now + secs(plan.map_or(1.0, |p| p.run_s + f64::from(number) * p.more_s));
+                machine.images.insert(IMAGE.into());
+                checker.starts(id, number, &place, now);
+                let at = task.ends;
+                drop(state);
+                self.task_moves_on_at(at, name, key.clone(), timer);
+            }
+            TaskStatus::Running => {
+                task.status = TaskStatus::Exited;
+                task.exit_reason = Some(ExitReason::Done);
+                let ends = plan.is_none_or(|p| !p.standing);
+                checker.leaves(id, number, name, ends);
+                let id = id.to_string();
+                drop(state);
+                self.task_ended(&id);
+            }
+            TaskStatus::Flushing => {
+                task.status = TaskStatus::Exited;
+                task.exit_reason = Some(ExitReason::Stopped);
+                checker.leaves(id, number, name, false);
+                drop(state);
+            }
+            _ => return,
+        }
+        self.heartbeat_soon(name);
+    }
+}
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,5 +1,7 @@
 //! Each rule of the checker has a case in which it fires.
 
+#![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
+
 use aspenreel_simulation::checker::*;
 use aspenreel_simulation::scheduler::secs;
 
