--- a/src/controller.rs
+++ b/src/controller.rs
@@ -29,7 +29,7 @@
 use crate::store::Store;
 use crate::store::token_bucket::TokenBucket;
 use crate::time::{Micros, Moment};
-use crate::workers::edge::WorkerClients;
+use crate::workers::WorkerClientPool;
 use aspenreel_link_health::handover::{HandoverPlanner, HandoverRecord};
 use aspenreel_link_health::link::{Link, NodeName};
 use std::collections::{BTreeMap, VecDeque};
@@ -118,7 +118,7 @@
     /// Notified when commands have to be sent to workers.
     pub commands_due: Arc<dyn EventCount>,
     /// Clients of workers.
-    pub workers: WorkerClients,
+    pub workers: WorkerClientPool,
     /// Clients of the other controllers by name.
     pub peers: BTreeMap<String, PeerClient>,
     /// Limits the writes for submissions.
@@ -180,7 +180,7 @@
             }),
             state_changed: os.event_count(),
             commands_due: os.event_count(),
-            workers: WorkerClients::default(),
+            workers: WorkerClientPool::default(),
             peers,
             submission_bucket: Mutex::new(TokenBucket::new(submission_rate, submission_burst, now)),
             cloud_bucket: Mutex::new(TokenBucket::new(
--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -4,7 +4,7 @@
 use super::{DoneRecord, FinalWrite, JobId, Outcome};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
-use crate::workers::DesiredState;
+use crate::workers::{AttemptKey, DesiredState};
 
 impl SchedulerState {
     /// Takes in a chunk of a done set as it was read, when this leader's term began or after a conflict.
@@ -78,7 +78,7 @@
     /// Stops all attempts of a job, without time for a checkpoint: nobody has a use for what they do.
     fn stop_attempts_of(&mut self, id: JobId) {
         for machine in self.machines.values_mut() {
-            let own = (id, 0, 0)..=(id, u32::MAX, u64::MAX);
+            let own = AttemptKey::all_of(id);
             let mut any = false;
             for (_, attempt) in machine.attempts.range_mut(own) {
                 any = true;
@@ -87,7 +87,7 @@
                 };
             }
             if any {
-                machine.rooms.set(None);
+                machine.free_resources.set(None);
                 self.commands.due.insert(machine.name.clone());
             }
         }
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -90,7 +90,7 @@
         }
         if now < leader_lease.valid_until {
             scheduler.place_soon(now);
-            self.wake(scheduler);
+            self.wake_loops(scheduler);
         }
     }
 
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -16,7 +16,7 @@
 use crate::jobs::Priority;
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
-use crate::workers::{Attempt, Machine};
+use crate::workers::{Attempt, AttemptKey, Machine};
 use preemption::Victim;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -65,10 +65,10 @@
 impl SchedulerState {
     pub fn usable(&self, m: &Machine, now: Moment) -> bool {
         m.reconciled
-            && m.recorded
-            && m.suspicion.is_none()
-            && !m.lost
-            && !m.returning
+            && m.registered
+            && m.quarantine.is_none()
+            && !m.unreachable
+            && !m.draining
             && !m.faulty
             && !m.has_preemption_notice
             && m.is_alive(self.config.report, now)
@@ -212,8 +212,13 @@
         let number = (self.term << 32) | u64::from(self.attempt_counter);
         let mut attempt = Attempt::placed(now);
         attempt.protected = protected;
-        machine.attempts.insert((id, task, number), attempt);
-        machine.rooms.set(None);
+        let key = AttemptKey {
+            job: id,
+            task,
+            attempt: number,
+        };
+        machine.attempts.insert(key, attempt);
+        machine.free_resources.set(None);
         machine.idle_since = None;
         if task < job.start_watermark {
             self.commands.due.insert(place.name.clone());
@@ -223,7 +228,9 @@
             waiting.insert(place.name.clone());
         }
         let cache_gb = self.provisioning.cache_of(&machine.type_name);
-        machine.note_image(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
+        machine
+            .images
+            .note_use(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         place.free = place.free.minus(job.spec.demand);
         place.promised = place.promised.minus(job.spec.demand);
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -4,8 +4,8 @@
 use crate::invariants::violation_count;
 use crate::jobs::{FinalWrite, JobId, JobView, LocalStatus, ViewState};
 use crate::time::Moment;
-use crate::workers::DesiredState;
 use crate::workers::wire::TaskStatus;
+use crate::workers::{AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
 impl SchedulerState {
@@ -38,7 +38,7 @@
     fn running_of(&self, id: JobId) -> u32 {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range((id, 0, 0)..=(id, u32::MAX, u64::MAX)))
+            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
             .filter(|(_, a)| a.status == Some(TaskStatus::Running))
             .count() as u32
     }
@@ -52,8 +52,8 @@
             counters.calls,
             counters.unconfirmed_starts,
             counters.ended_by_token,
-            counters.ended_by_session,
-            self.fencing.unconfirmed_machines(),
+            counters.ended_by_epoch,
+            self.fencing.unconfirmed_machine_count(),
             counters.raises,
             counters.withheld,
             violation_count()
@@ -64,14 +64,14 @@
     pub fn summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut by_state: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_report.is_some()) {
+        for m in self.machines.values().filter(|m| m.last_seen.is_some()) {
             total += m.total.cpu;
             if self.usable(m, now) {
                 free += self.free_room(m).cpu;
             } else {
                 unusable += m.total.cpu;
             }
-            for (key, a) in m.attempts.iter().filter(|(_, a)| a.holds()) {
+            for (key, a) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
                 let state = match (a.desired, a.status) {
                     (DesiredState::Stop { .. }, _) => "stopping",
                     (_, None) => "starting",
@@ -79,7 +79,11 @@
                     (_, Some(TaskStatus::Running)) => "running",
                     _ => "other",
                 };
-                let need = self.jobs.table.get(&key.0).map_or(0, |j| j.spec.demand.cpu);
+                let need = self
+                    .jobs
+                    .table
+                    .get(&key.job)
+                    .map_or(0, |j| j.spec.demand.cpu);
                 *by_state.entry(state).or_insert(0) += need;
             }
         }
--- /dev/null
+++ b/src/workers/reconciliation.rs
@@ -0,0 +1,172 @@
+//! Reconciliation of a worker's report, from a heartbeat or the answer of a direct call, with the leader's
+//! state: which attempts the machine holds, which have ended, and which never started.
+
+use super::wire::{Heartbeat, ReportedTask, TaskStatus};
+use super::{AttemptKey, DesiredState, Machine, Orphan};
+use crate::invariants::{self, Invariant};
+use crate::placement::Resources;
+use crate::scheduler::SchedulerState;
+use crate::time::{Micros, Moment};
+use std::collections::BTreeSet;
+
+/// How a worker's report reached the leader.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReportSource {
+    /// As a heartbeat.
+    Heartbeat,
+    /// As the answer of a direct call.
+    DirectCall,
+}
+
+impl SchedulerState {
+    /// Reconciles a known machine's report that is newer than the last one that was reconciled.
+    pub(super) fn reconcile(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
+        self.begin_newer_epoch(report, now);
+        let Some(machine) = self.machines.get_mut(&report.machine) else {
+            return;
+        };
+        let total = self.provisioning.room_of(&report.type_name);
+        machine.take_over(report, total, now);
+        let is_reconciled_now = machine.note_seen_fencing_token(report.fencing_token, self.term);
+        self.placement.due |= is_reconciled_now;
+        self.settle_unconfirmed(&report.machine, now);
+        self.reconcile_tasks(report, source, now);
+        self.drain_preempted(&report.machine, now);
+    }
+
+    /// Ends the machine's agent epoch if the report is of a newer one.
+    fn begin_newer_epoch(&mut self, report: &Heartbeat, now: Moment) {
+        let Some(machine) = self.machines.get(&report.machine) else {
+            return;
+        };
+        let current = machine.agent_epoch();
+        if current == 0 || report.agent_epoch <= current {
+            return;
+        }
+        self.end_epoch(&report.machine);
+        if let Some(machine) = self.machines.get_mut(&report.machine) {
+            // The worker may have been away. It may also not receive the replies to its heartbeats.
+            machine.note_undelivered(now);
+        }
+    }
+
+    /// Stops the attempts that can't finish before the cloud takes the machine. Their tasks can then start
+    /// elsewhere at once instead of when the machine's lease has expired.
+    fn drain_preempted(&mut self, name: &str, now: Moment) {
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        let Some(preempted_at) = machine.preempted_at else {
+            return;
+        };
+        let unfinishable: Vec<AttemptKey> = machine
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.holds_resources())
+            .filter(|(_, attempt)| attempt.desired == DesiredState::Run)
+            .filter(|(key, attempt)| {
+                let job = self.jobs.table.get(&key.job);
+                let run_time = job.map_or(Micros::ZERO, |job| self.expected_run(job));
+                attempt.running_since.unwrap_or(now) + run_time > preempted_at
+            })
+            .map(|(key, _)| *key)
+            .collect();
+        for key in unfinishable {
+            self.stop_attempt(name, key);
+        }
+    }
+
+    /// Reconciles the report's list of tasks, which is complete.
+    fn reconcile_tasks(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
+        let mut reported = BTreeSet::new();
+        let mut orphans = Vec::new();
+        for task in &report.tasks {
+            match self.attempt_key(task) {
+                Some(key) => {
+                    reported.insert(key);
+                    self.reconcile_task(report, key, task, now);
+                }
+                None => {
+                    self.check_orphan(&report.machine, task, now);
+                    orphans.push(Orphan {
+                        task_id: task.task_id.clone(),
+                        attempt: task.attempt,
+                        exited: task.status == TaskStatus::Exited,
+                    });
+                }
+            }
+        }
+        self.drop_missing_attempts(report, &reported, source, now);
+        let Some(machine) = self.machines.get_mut(&report.machine) else {
+            return;
+        };
+        machine.orphans = orphans;
+        machine.free_resources.set(None);
+        if machine.is_busy() {
+            machine.idle_since = None;
+        } else {
+            machine.idle_since.get_or_insert(now);
+        }
+    }
+
+    /// The reported attempt's key, if its job is known.
+    fn attempt_key(&self, task: &ReportedTask) -> Option<AttemptKey> {
+        let (job_id, number) = task.parts()?;
+        Some(AttemptKey {
+            job: self.jobs.find(job_id)?,
+            task: number,
+            attempt: task.attempt,
+        })
+    }
+
+    /// Checks that no attempt of this leader runs whose job this leader has retired: a job is retired only
+    /// once none of its attempts can be left.
+    fn check_orphan(&self, machine: &str, task: &ReportedTask, now: Moment) {
+        let known = self.machines.get(machine);
+        // The first report of a machine may be a copy of a very old one.
+        let is_known = known.is_some_and(|m| m.known_since < now);
+        let is_running = task.status != TaskStatus::Exited;
+        if is_known && is_running && task.attempt >> 32 == self.term {
+            invariants::report_violation(
+                Invariant::ReleasedWithoutProof,
+                format_args!(
+                    "machine={machine} task={} attempt={}",
+                    task.task_id, task.attempt
+                ),
+            );
+        }
+    }
+}
+
+impl Machine {
+    /// Takes over what the report says of the machine itself.
+    fn take_over(&mut self, report: &Heartbeat, total: Resources, now: Moment) {
+        self.reconciled_position = report.position();
+        self.unreachable = false;
+        if self.last_seen.is_none() {
+            self.known_since = now;
+        }
+        self.last_seen = Some(now);
+        self.addr.clone_from(&report.addr);
+        self.type_name.clone_from(&report.type_name);
+        self.zone.clone_from(&report.zone);
+        self.spot = report.spot;
+        self.total = total;
+        self.has_preemption_notice = report.preemption_notice_s.is_some();
+        self.preempted_at = report
+            .preemption_notice_s
+            .map(|notice_s| now + Micros::from_secs_f64(notice_s.0));
+    }
+
+    /// Notes the highest fencing token that the worker has seen. True if that completes the machine's
+    /// reconciliation with this term.
+    fn note_seen_fencing_token(&mut self, fencing_token: u64, term: u64) -> bool {
+        self.seen_fencing_token = self.seen_fencing_token.max(fencing_token);
+        if self.reconciled || fencing_token < term {
+            return false;
+        }
+        self.reconciled = true;
+        log::debug!(machine = self.name, term = term; "machine reconciled");
+        true
+    }
+}
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -41,9 +41,10 @@
     }
     let m = trace.scheduler.machines.get_mut("big-east-1").unwrap();
     for n in 0..1000 {
-        m.note_image(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
+        m.images
+            .note_use(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
     }
-    let images = m.images.len();
+    let images = m.images.values().count();
     trace.note(&format!(
         "{images} of 1000 images of no size are remembered"
     ));
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Starts that go straight to a machine, and what has to be on record before them.
 
 use crate::trace::{LeaderTrace, at, decimal, one_team, submission};
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
 /// A start without an answer may arrive at any time: its task stays bound, and the attempt is
@@ -16,13 +16,13 @@
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace
         .on_timer(1.0)
-        .direct(|_| DirectResult::Unknown)
+        .direct(|_| DirectResult::OutcomeUnknown)
         .bound();
     let name = trace
         .scheduler
         .machines
         .values()
-        .find(|m| m.busy())
+        .find(|m| m.is_busy())
         .map(|m| m.name.clone())
         .unwrap();
     trace.scheduler.request_cancellation("run-1", trace.now);
@@ -106,7 +106,7 @@
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.scheduler.place(at(1.0));
     trace.record_fleet();
-    trace.bound().direct(|_| DirectResult::Unreached);
+    trace.bound().direct(|_| DirectResult::Unreachable);
     trace.bound().direct(|_| unreachable!());
     // Another machine takes them; the first is asked again once it reports.
     trace.at(2.0).heartbeat("big-east-2", &[]).bound();
@@ -114,7 +114,7 @@
     trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
     trace
         .at(3.1)
-        .direct(|_| DirectResult::Unsent)
+        .direct(|_| DirectResult::NotSent)
         .direct(|_| unreachable!());
     assert_snapshot!(trace.log);
 }
@@ -140,7 +140,7 @@
     trace.record_fleet();
     let calls = |trace: &mut LeaderTrace, seconds: f64| {
         let calls: Vec<_> =
-            std::iter::from_fn(|| trace.scheduler.next_direct(at(seconds))).collect();
+            std::iter::from_fn(|| trace.scheduler.next_direct_call(at(seconds))).collect();
         let names: Vec<&str> = calls.iter().map(|c| c.machine.as_str()).collect();
         let text = format!("called: [{}]", names.join(", "));
         trace.at(seconds).note(&text);
@@ -149,7 +149,7 @@
     let first = calls(&mut trace, 1.0);
     trace
         .scheduler
-        .direct_done(&first[0], DirectResult::Unsent, at(1.01));
+        .direct_call_finished(&first[0], DirectResult::NotSent, at(1.01));
     calls(&mut trace, 1.02);
     calls(&mut trace, 1.15);
     trace.scheduler.overload.note(true, at(1.3));
@@ -173,7 +173,7 @@
     for t in [22.0, 23.0, 24.0] {
         let report = trace.report("big-east-1", 5, 2, &[]);
         trace.scheduler.heartbeat(&report, at(t));
-        let recorded = trace.scheduler.machines["big-east-1"].recorded;
+        let recorded = trace.scheduler.machines["big-east-1"].registered;
         let pages = due(&trace);
         trace.at(t).note(&format!(
             "reports; recorded: {recorded}, pages due: {pages}"
@@ -193,7 +193,7 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).round(true);
     trace.at(4.0).heartbeat("big-east-1", &[]);
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -1,7 +1,7 @@
 //! Commands that the network holds back: when a leader may count on them not to arrive any more.
 
 use crate::trace::{LeaderTrace, submission, team};
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
 /// As long as a cancellation may take, in the trace's settings.
@@ -71,7 +71,7 @@
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     let held = DelayedCommand {
         fencing_token: 2,
         agent_epoch: 1,
@@ -117,7 +117,7 @@
         let is_bound = trace.scheduler.machines["big-east-1"]
             .attempts
             .get(&key)
-            .is_some_and(|attempt| attempt.holds());
+            .is_some_and(|attempt| attempt.holds_resources());
         assert!(
             is_bound || !worker.executes(held),
             "its task is free at {second} s"
@@ -152,15 +152,15 @@
     worker.heartbeat(&mut trace, 0.0, &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0);
-    let call = trace.scheduler.next_direct(trace.now).unwrap();
+    let call = trace.scheduler.next_direct_call(trace.now).unwrap();
     assert_eq!(call.fencing_token, 2);
     trace.scheduler.fencing_token_raised(3, trace.now);
     worker.fencing_token = 3;
     worker.heartbeat(&mut trace, 2.0, &[]);
     trace
         .scheduler
-        .direct_done(&call, DirectResult::Unknown, trace.now);
-    assert_eq!(trace.scheduler.fencing.unconfirmed_machines(), 0);
+        .direct_call_finished(&call, DirectResult::OutcomeUnknown, trace.now);
+    assert_eq!(trace.scheduler.fencing.unconfirmed_machine_count(), 0);
     worker.heartbeat(&mut trace, 5.0, &[]);
     trace.bound();
     assert_snapshot!(trace.log);
@@ -182,8 +182,8 @@
         s.cpus = trace_cpus();
     }));
     trace.on_timer(1.0);
-    while trace.scheduler.fencing.unconfirmed_machines() < MACHINES as usize {
-        trace.direct(|_| DirectResult::Unknown);
+    while trace.scheduler.fencing.unconfirmed_machine_count() < MACHINES as usize {
+        trace.direct(|_| DirectResult::OutcomeUnknown);
     }
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.raises_tokens = true;
@@ -197,13 +197,13 @@
     let counters = trace.scheduler.fencing.counters;
     assert_eq!(
         (
-            trace.scheduler.fencing.unconfirmed_machines(),
+            trace.scheduler.fencing.unconfirmed_machine_count(),
             counters.raises
         ),
         (0, 1)
     );
     assert_eq!(counters.ended_by_token, u64::from(MACHINES));
-    assert!(trace.scheduler.machines.values().all(|m| !m.busy()));
+    assert!(trace.scheduler.machines.values().all(|m| !m.is_busy()));
 }
 
 /// A task takes all of a machine.
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Late, copied and missing heartbeats.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
 /// Late reports change nothing; one that a direct answer overtook is still answered.
@@ -39,7 +39,9 @@
             trace.heartbeat(&format!("big-east-{n}"), &[]);
         }
         trace.scheduler.overload.note(overloaded, at(4.0));
-        trace.scheduler.unheard(at(0.0), at(at_seconds))
+        trace
+            .scheduler
+            .is_cut_off_from_workers(at(0.0), at(at_seconds))
     };
     assert!(!silent(false, 4.0), "nobody is silent yet");
     assert!(silent(false, 10.0));
@@ -57,12 +59,12 @@
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
-    trace.direct(|_| DirectResult::Unknown).bound();
+    trace.direct(|_| DirectResult::OutcomeUnknown).bound();
     // Its lease runs out, and each agent epoch looks healthy.
     trace.at(3.0).heartbeat("big-east-1", &[]);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
-    trace.direct(|_| DirectResult::Unknown);
+    trace.direct(|_| DirectResult::OutcomeUnknown);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(33.0).list(&[("big-east-1", "running")]);
     trace.send(&next).bound().rentals();
@@ -75,7 +77,7 @@
     for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
         let next = trace.report("small-west-1", 2, agent_epoch, &[]);
         trace.at(t).send(&next);
-        trace.direct(|_| DirectResult::Unknown);
+        trace.direct(|_| DirectResult::OutcomeUnknown);
     }
     let due = trace.scheduler.plan_returns(at(126.0));
     trace.note(&format!("to return: {due:?}"));
@@ -146,7 +148,7 @@
     trace.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     trace
         .on_timer(10.5)
-        .direct(|_| DirectResult::Unknown)
+        .direct(|_| DirectResult::OutcomeUnknown)
         .bound();
     trace.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(trace.log);
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -3,7 +3,7 @@
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::{PendingWriteKind, take_affordable};
 use aspenreel::provisioning::RentalResult;
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
 /// A done task counts, and is cleared, only once its done set is written.
@@ -255,7 +255,7 @@
     trace.heartbeat("big-east-1", &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
-    let call = trace.scheduler.next_direct(at(1.0)).unwrap();
+    let call = trace.scheduler.next_direct_call(at(1.0)).unwrap();
     trace.note("a direct call with its starts is under way");
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).round(true);
@@ -267,7 +267,7 @@
     );
     trace
         .scheduler
-        .direct_done(&call, DirectResult::Answered(report), at(1.2));
+        .direct_call_finished(&call, DirectResult::Answered(report), at(1.2));
     trace.at(1.2).note("answered").round(true).view("run-1");
     trace.direct(|trace| {
         let stopped = ["run-1/0#2.1 stopped", "run-1/1#2.2 stopped"];
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -2,6 +2,7 @@
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::JobKind;
+use aspenreel::workers::AttemptKey;
 use insta::assert_snapshot;
 
 /// Replicas of a standing job run again when they end, whatever the end; the job is never done. Those
@@ -56,9 +57,9 @@
     for name in MACHINES.iter().filter(|name| !silent.contains(name)) {
         let tasks: Vec<String> = trace.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
             let held = m.attempts.keys();
-            let text = |k: &(_, u32, u64)| {
-                let job = &trace.scheduler.jobs.table[&k.0].spec.id;
-                format!("{job}/{}#2.{} running", k.1, k.2 & 0xffff_ffff)
+            let text = |k: &AttemptKey| {
+                let job = &trace.scheduler.jobs.table[&k.job].spec.id;
+                format!("{job}/{}#2.{} running", k.task, k.attempt & 0xffff_ffff)
             };
             held.map(text).collect()
         });
@@ -71,7 +72,7 @@
 fn machines_with(trace: &LeaderTrace, job: &str) -> Vec<String> {
     let id = trace.scheduler.jobs.find(job).unwrap();
     let machines = trace.scheduler.machines.values();
-    let holding = machines.filter(|m| m.attempts.keys().any(|k| k.0 == id));
+    let holding = machines.filter(|m| m.attempts.keys().any(|k| k.job == id));
     holding.map(|m| m.name.clone()).collect()
 }
 
@@ -151,12 +152,14 @@
         let start = 100.0 * f64::from(k);
         trace.at(start).heartbeat(&name, &[]);
         trace.on_timer(start + 1.0);
-        let attempt = trace.scheduler.machines[&name]
+        let key = trace.scheduler.machines[&name]
             .attempts
             .keys()
             .next()
             .copied();
-        let (_, _, attempt) = attempt.expect("it is tried on the machine that is there");
+        let attempt = key
+            .expect("it is tried on the machine that is there")
+            .attempt;
         let ended = format!("run-1/0#2.{} done", attempt & 0xffff_ffff);
         trace.at(start + 3.0).heartbeat(&name, &[]);
         trace.at(start + 6.0).heartbeat(&name, &[&ended]);
