--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -8,7 +8,7 @@
 
 use aspenreel::invariants::violation_count;
 use aspenreel::time::Micros;
-use aspenreel::workers::direct::DirectResult;
+use aspenreel::workers::DirectResult;
 use trace::{LeaderTrace, submission, team};
 
 fn trace() -> LeaderTrace {
@@ -43,7 +43,7 @@
     trace.scheduler.config.cancel = Micros::from_secs(5);
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::Unknown);
+    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.on_timer(7.0);
 }
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -53,7 +53,7 @@
     };
     let ends = run(SEEDS, &site, |sim, _| {
         jobs(sim, 4.0, 90.0, 60, |i, p| {
-            p.rank = ["low", "normal", "high", "production"][i as usize % 4];
+            p.priority = ["low", "normal", "high", "production"][i as usize % 4];
             p.cpus = 4.0;
             p.run_s = 8.0;
         });
@@ -94,7 +94,7 @@
             "{end:?}"
         );
         assert!(end.commands.raises <= 3, "{end:?}");
-        let for_doubt = (end.commands.withheld, end.commands.ended_by_session);
+        let for_doubt = (end.commands.withheld, end.commands.ended_by_epoch);
         assert_eq!(for_doubt, (0, 0), "{end:?}");
     }
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -14,8 +14,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::DirectResult;
 use aspenreel::workers::HeartbeatReply;
-use aspenreel::workers::direct::DirectResult;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
@@ -284,14 +284,14 @@
     }
 
     fn direct_calls(&mut self) {
-        while let Some(call) = self.scheduler.next_direct(self.now()) {
+        while let Some(call) = self.scheduler.next_direct_call(self.now()) {
             self.calls += 1;
             let name = call.machine.clone();
             self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
             let now = self.now();
             self.scheduler
-                .direct_done(&call, DirectResult::Answered(report), now);
+                .direct_call_finished(&call, DirectResult::Answered(report), now);
         }
     }
 
@@ -327,9 +327,9 @@
     fn provisioning(&mut self) {
         let now = self.now();
         self.scheduler.plan_rentals(now);
-        for hire in self.scheduler.provisioning.rental_requests.clone() {
+        for request in self.scheduler.provisioning.rental_requests.clone() {
             let left = self.limit.saturating_sub(self.workers.len() as u64);
-            let count = u64::from(hire.count).min(left);
+            let count = u64::from(request.count).min(left);
             let names: Vec<String> = (0..count)
                 .map(|_| {
                     self.machines += 1;
@@ -354,7 +354,7 @@
                 true => RentalResult::NoCapacity,
                 false => RentalResult::Rented(names),
             };
-            self.scheduler.rental_answered(&hire.name, result, now);
+            self.scheduler.rental_answered(&request.name, result, now);
         }
         let names = self.scheduler.plan_returns(now);
         for name in &names {
@@ -368,7 +368,7 @@
     }
 
     fn list(&mut self) {
-        let hosts: Vec<ciborium::Value> = self
+        let machines: Vec<ciborium::Value> = self
             .workers
             .values()
             .map(|w| {
@@ -382,7 +382,7 @@
                 .unwrap()
             })
             .collect();
-        let wire = encode(&cbor!({"hosts" => hosts, "more" => false}).unwrap());
+        let wire = encode(&cbor!({"hosts" => machines, "more" => false}).unwrap());
         let list: MachineList = decode(&wire).unwrap();
         let now = self.now();
         self.scheduler.listed(&list.hosts, now, now);
