--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -71,7 +71,7 @@
     pub unanswered: Distribution,
     /// How long jobs took.
     pub turnaround: Distribution,
-    /// Jobs that took longer than [`LATE_S`], in each run.
+    /// Jobs that took longer than `LATE_S`, in each run.
     pub late: Distribution,
     /// Broken rules.
     pub broken: Vec<String>,
