--- a/src/placement/bin_packing.rs
+++ b/src/placement/bin_packing.rs
@@ -1,6 +1,6 @@
 //! Bin packing: the best machine for a task among those with free capacity.
 
-use super::pass::{CandidateMachine, PlacementPass};
+use super::pass_state::{CandidateMachine, PlacementPass};
 use super::zones::TasksByZone;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -1,7 +1,7 @@
 //! Binding a task to a machine, and keeping a machine for a job that has waited too long.
 
 use super::Resources;
-use super::pass::{CandidateMachine, PlacementPass};
+use super::pass_state::{CandidateMachine, PlacementPass};
 use super::zones::TasksByZone;
 use crate::jobs::JobId;
 use crate::scheduler::SchedulerState;
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -10,6 +10,7 @@
 mod binding;
 mod machine_capacity;
 mod pass;
+mod pass_state;
 mod preemption;
 mod queue_order;
 mod resources;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,9 +1,8 @@
 //! Preemption: which attempts are stopped so that more important work gets their capacity.
 
-use super::pass::PlacementPass;
+use super::pass_state::{PlacementPass, PreemptableAttempt};
 use super::zones::TasksByZone;
 use super::{QueueOrder, Resources};
-use crate::jobs::Priority;
 use crate::jobs::{Job, JobId};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -14,20 +13,6 @@
 /// Added to the time that a task takes to save a checkpoint.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
-/// An attempt that could be preempted.
-pub(super) struct PreemptableAttempt {
-    /// What would be lost: the processor time used so far, in microseconds of a thousandth of a CPU.
-    lost: u64,
-    /// The index of its machine among the pass's candidates.
-    candidate: usize,
-    key: AttemptKey,
-    demand: Resources,
-    team: usize,
-    priority: Priority,
-    /// This pass preempts it.
-    preempted: bool,
-}
-
 /// A job that looks for capacity.
 struct Preemptor<'a> {
     job: &'a Job,
