--- a/tests/code_shape.rs
+++ b/tests/code_shape.rs
@@ -2,6 +2,8 @@
 //! wire. What doesn't hold the limits yet is listed in `code_shape/exceptions.toml`, which may only
 //! shrink: a test fails as well when an exception is wider than the code needs.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 #[path = "code_shape/exceptions.rs"]
 mod exceptions;
 #[path = "code_shape/imports.rs"]
--- a/tests/doc_links.rs
+++ b/tests/doc_links.rs
@@ -1,5 +1,7 @@
 //! Links between the pages of this repository, and from them to modules, lead somewhere.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use std::path::{Path, PathBuf};
 
 /// The pages in a folder, and in the folders below it.
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,5 +1,7 @@
 //! The form of log lines, and the levels that `LOG_LEVEL` may name.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::logging::{Event, LoggingError, init};
 use log::Record;
 
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -6,6 +6,8 @@
 //! profiler that counts instructions (`docs/operations.md`, *Measuring*), with `REPLAY_SCALE` times
 //! as much work on as many more machines.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::Submission;
 use aspenreel::jobs::take_affordable;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,5 +1,7 @@
 //! Real controller processes on loopback, with stand-ins for all that they talk to.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 #[path = "service/held_commands.rs"]
 mod delayed_commands;
 #[path = "service/half_cut_links.rs"]
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,7 @@
 //! Short soak runs with fixed seeds. Long ones are started by hand (`docs/operators/soak.md`).
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel_soak::run::{RunPlan, run};
 use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -1,5 +1,7 @@
 //! Kept traces: what a leader does, event by event. Each guards one promise.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 mod admission;
 mod direct_calls;
 mod failover;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,8 @@
 //! Two versions side by side: what the version in production wrote and sent, byte by byte, is read and
 //! written by this one just so; and this one's new records wait until nobody of the old one can lead.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::http::cbor::{decode, encode, json_len};
 use aspenreel::jobs::TaskSet;
 use aspenreel::jobs::{DoneRecord, FinalRecord, JobView, Outcome, ViewState};
