--- a/crates/link-health/tests/decisions.rs
+++ b/crates/link-health/tests/decisions.rs
@@ -448,7 +448,7 @@
     assert_eq!(usual.check(), Ok(()));
     let short_bound = LinkSettings {
         up_after_max: Micros::from_millis(999),
-        ..usual.clone()
+        ..usual
     };
     let short_pause = LinkSettings {
         handover_pause_max: Micros::from_secs(19),
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -10,12 +10,15 @@
 pub struct Micros(pub u64);
 
 impl Micros {
+    /// No time.
     pub const ZERO: Micros = Micros(0);
 
+    /// So many seconds.
     pub const fn from_secs(s: u64) -> Self {
         Micros(s * 1_000_000)
     }
 
+    /// So many milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Micros(ms * 1_000)
     }
@@ -28,14 +31,17 @@
         Micros((s.min(1e12) * 1e6).round() as u64)
     }
 
+    /// In seconds, for the wire and for people.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// As the standard library's span.
     pub fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
+    /// The difference, zero if `other` is longer.
     pub fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
@@ -94,12 +100,15 @@
 }
 
 impl Clock {
-    /// Starts late enough that what happened long before the process can be expressed: jobs and
+    /// The steady clock.
+    ///
+    /// It starts late enough that what happened long before the process can be expressed: jobs and
     /// machines are older than a controller that was just restarted, and keep their age.
     pub fn now(&self) -> Moment {
         Moment(LONG_BEFORE.0 + self.origin.elapsed().as_micros() as u64)
     }
 
+    /// The time of day; the epoch if the system's clock stands before it.
     pub fn wall(&self) -> WallTime {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,7 +7,7 @@
 use insta::assert_snapshot;
 use std::process::Command;
 
-pub const GOOD: &str = r#"
+const GOOD: &str = r#"
 node = "n-0"
 location = "east"
 public_addr = "127.0.0.1:0"
