--- a/src/controller.rs
+++ b/src/controller.rs
@@ -158,7 +158,7 @@
             .map(|health| health.observations.clone());
         let now = os.now();
         let controllers = settings.members.len() as f64 + 1.0;
-        let limits = settings.settings.state.strict();
+        let limits = settings.settings.state.strictest();
         let peers = peer_clients(&settings, &os, observations.as_ref());
         // The leader reads and writes most; the shares still stay below the limit together.
         let store = Store::new(
@@ -175,7 +175,7 @@
             store: store.with_observations(observations),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
-                terminal_states: TerminalStates::new(settings.settings.quota.remembered()),
+                terminal_states: TerminalStates::new(settings.settings.quota.max_remembered()),
                 ..ControllerState::default()
             }),
             state_changed: os.event_count(),
@@ -240,20 +240,20 @@
         let site = &self.settings.settings;
         SchedulerConfig {
             teams: site.teams.clone(),
-            lease: site.workers.lease(),
-            cancel: Micros::from_secs_f64(site.workers.cancel_s),
-            report: site.workers.report(),
+            worker_lease: site.workers.lease(),
+            cancellation_bound: Micros::from_secs_f64(site.workers.cancel_s),
+            heartbeat_interval: site.workers.heartbeat_interval(),
             list_lag: Micros::from_secs_f64(site.cloud.list_lag_s),
-            sample: self.options.sample as usize,
-            idle: Micros::from_millis(self.options.idle_ms),
-            on_demand_patience: Micros::from_millis(self.options.on_demand_patience_ms),
-            reserve: self.options.reserve as f64 / 100.0,
+            candidate_sample: self.options.candidate_sample as usize,
+            max_idle: Micros::from_millis(self.options.max_idle_ms),
+            on_demand_max_wait: Micros::from_millis(self.options.on_demand_max_wait_ms),
+            headroom: self.options.headroom as f64 / 100.0,
             objectives: site.objectives.clone(),
-            patience: Micros::from_millis(self.options.patience_ms),
-            remembered: site.quota.remembered(),
-            value_bytes: site.state.strict().value_bytes(),
+            max_queue_wait: Micros::from_millis(self.options.max_queue_wait_ms),
+            max_gone_machines: site.quota.max_remembered(),
+            value_bytes: site.state.strictest().value_bytes(),
             job_bytes: site.quota.job_bytes(),
-            most_machines: site.quota.most_machines(),
+            max_machines: site.quota.max_machines(),
         }
     }
 }
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -28,7 +28,7 @@
         let Some((_, scheduler)) = state.acting_leader(now) else {
             return PeerReply::NotLeading;
         };
-        match scheduler.view(id) {
+        match scheduler.job_status(id) {
             LocalStatus::View(view) => PeerReply::Job(view),
             LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => PeerReply::Unknown,
         }
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -107,7 +107,7 @@
 fn log_summary(scheduler: &SchedulerState, logged_at: &mut Moment, now: Moment) {
     if log::log_enabled!(log::Level::Debug) && now - *logged_at > SUMMARY_INTERVAL {
         *logged_at = now;
-        log::debug!("{}", scheduler.summary(now));
+        log::debug!("{}", scheduler.capacity_summary(now));
         log::debug!("{}", scheduler.command_summary());
     }
 }
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -31,7 +31,7 @@
             }
             scheduler.apply_written(write, revision);
         }
-        scheduler.place_soon(self.now());
+        scheduler.place_if_due(self.now());
         self.wake_loops(scheduler);
     }
 }
--- a/src/jobs/feasibility.rs
+++ b/src/jobs/feasibility.rs
@@ -70,19 +70,19 @@
         Resources {
             // Teams have no limit of memory.
             ram: 0,
-            ..self.demand.by(i64::from(together))
+            ..self.demand.scaled(i64::from(together))
         }
     }
 
     fn fits_machine_type(&self, machine_type: &MachineType) -> bool {
         let allowed = self.machine_types.as_ref();
         let zone = self.zone.as_ref();
-        self.demand.fits(machine_type.room)
+        self.demand.fits(machine_type.capacity)
             && allowed.is_none_or(|names| names.contains(&machine_type.name))
             && zone.is_none_or(|zone| machine_type.zones.contains(zone))
     }
 }
 
 fn limit_of(team: &TeamSettings) -> Resources {
-    Resources::have(team.cpus_max, team.gpus_max, 0.0)
+    Resources::capacity(team.cpus_max, team.gpus_max, 0.0)
 }
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -89,7 +89,7 @@
             }
         }
         if now < leader_lease.valid_until {
-            scheduler.place_soon(now);
+            scheduler.place_if_due(now);
             self.wake_loops(scheduler);
         }
     }
--- a/src/link_health/mod.rs
+++ b/src/link_health/mod.rs
@@ -92,8 +92,8 @@
         let members = settings.members.iter();
         let peers: Vec<NodeName> = members.map(|m| NodeName(m.node.clone())).collect();
         let site = &settings.settings;
-        let window = site.workers.report().scaled(2.0) + WORKER_RETRY;
-        let refused_heartbeats = RefusedHeartbeats::new(site.quota.most_machines(), window);
+        let window = site.workers.heartbeat_interval().scaled(2.0) + WORKER_RETRY;
+        let refused_heartbeats = RefusedHeartbeats::new(site.quota.max_machines(), window);
         let peer_views = PeerViews::new(own_name.clone(), &peers, view_lifetimes(site));
         LinkHealth {
             tracker: Mutex::new(LinkTracker::new(link_settings.clone(), &peers)),
@@ -184,7 +184,10 @@
 }
 
 fn view_lifetimes(site: &Site) -> ViewLifetimes {
-    let direct = site.workers.report().scaled(DIRECT_VIEW_INTERVALS);
+    let direct = site
+        .workers
+        .heartbeat_interval()
+        .scaled(DIRECT_VIEW_INTERVALS);
     ViewLifetimes {
         direct: direct.max(MIN_DIRECT_VIEW_LIFETIME),
         stored: STORED_VIEW_LIFETIME,
--- a/src/workers/direct_results.rs
+++ b/src/workers/direct_results.rs
@@ -50,7 +50,7 @@
             && report.position() > machine.reconciled_position
         {
             self.reconcile(report, ReportSource::DirectCall, now);
-            self.place_soon(now);
+            self.place_if_due(now);
         }
     }
 
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -5,7 +5,7 @@
 use super::image_cache::ImageCache;
 use super::quarantine::Quarantine;
 use crate::jobs::JobId;
-use crate::placement::Resources;
+use crate::placement::{FreeCapacity, Resources};
 use crate::provisioning::ListStatus;
 use crate::time::{Micros, Moment};
 use std::cell::Cell;
@@ -91,7 +91,7 @@
     /// Cached free resources: those free now, and those free once the attempts that are being stopped have
     /// ended. A placement pass looks at every machine, of which few changed since the last pass. Whatever
     /// changes the attempts or orphans resets it to `None`.
-    pub free_resources: Cell<Option<(Resources, Resources)>>,
+    pub free_resources: Cell<Option<FreeCapacity>>,
 }
 
 impl Machine {
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -25,7 +25,7 @@
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
         };
-        let total = self.provisioning.room_of(&report.type_name);
+        let total = self.provisioning.capacity_of(&report.type_name);
         machine.take_over(report, total, now);
         let is_reconciled_now = machine.note_seen_fencing_token(report.fencing_token, self.term);
         self.placement.due |= is_reconciled_now;
@@ -66,13 +66,13 @@
             .filter(|(_, attempt)| attempt.desired == DesiredState::Run)
             .filter(|(key, attempt)| {
                 let job = self.jobs.table.get(&key.job);
-                let run_time = job.map_or(Micros::ZERO, |job| self.expected_run(job));
+                let run_time = job.map_or(Micros::ZERO, |job| self.expected_run_time(job));
                 attempt.running_since.unwrap_or(now) + run_time > preempted_at
             })
             .map(|(key, _)| *key)
             .collect();
         for key in unfinishable {
-            self.stop_attempt(name, key);
+            self.preempt_attempt(name, key);
         }
     }
 
--- a/src/workers/reported_tasks.rs
+++ b/src/workers/reported_tasks.rs
@@ -18,7 +18,7 @@
         task: &ReportedTask,
         now: Moment,
     ) {
-        let cache_gb = self.provisioning.cache_of(&report.type_name);
+        let cache_gb = self.provisioning.cache_gb_of(&report.type_name);
         let (Some(job), Some(machine)) = (
             self.jobs.table.get_mut(&key.job),
             self.machines.get_mut(&report.machine),
@@ -29,7 +29,13 @@
         let mut attempt = known.unwrap_or_else(|| discover_attempt(job, key, task, now));
         let previous = attempt.status.replace(task.status);
         if previous.is_none() {
-            check_first_report(job, task, &report.machine, self.config.cancel, now);
+            check_first_report(
+                job,
+                task,
+                &report.machine,
+                self.config.cancellation_bound,
+                now,
+            );
         }
         note_running(job, &mut attempt, now);
         stop_unwanted(job, key, &mut attempt);
@@ -50,7 +56,7 @@
         machine.images.note_use(image, gb, is_cached, cache_gb, now);
         machine.attempts.insert(key, attempt);
         if let Some(run_time) = run_time {
-            self.note_run(key.job, run_time);
+            self.record_run_time(key.job, run_time);
         }
     }
 }
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -9,7 +9,7 @@
 fn memory_is_bounded() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.scheduler.config.job_bytes = 100_000;
-    trace.scheduler.config.most_machines = 2;
+    trace.scheduler.config.max_machines = 2;
     let mut n = 0;
     while !trace.scheduler.is_full(false) {
         n += 1;
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -104,7 +104,7 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
-    trace.scheduler.place(at(1.0));
+    trace.scheduler.run_placement_pass(at(1.0));
     trace.record_fleet();
     trace.bound().direct(|_| DirectResult::Unreachable);
     trace.bound().direct(|_| unreachable!());
@@ -136,7 +136,7 @@
             s.ram_gb = decimal(100.0);
         }));
     }
-    trace.scheduler.place(at(0.0));
+    trace.scheduler.run_placement_pass(at(0.0));
     trace.record_fleet();
     let calls = |trace: &mut LeaderTrace, seconds: f64| {
         let calls: Vec<_> =
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -2,7 +2,7 @@
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::{JobKind, Submission};
-use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::ProvisioningResult;
 use insta::assert_snapshot;
 
 /// A new leader waits for every recorded machine before it runs an earlier job's tasks again.
@@ -113,13 +113,13 @@
 fn booting_machines_are_not_waited_for() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| s.tasks = 1));
-    trace.scheduler.provisioning.listed = true;
-    trace.scheduler.plan_rentals(at(1.0));
-    let rental_requests = trace.scheduler.provisioning.rental_requests.clone();
-    let rented = RentalResult::Rented(vec!["small-east-7".to_string()]);
+    trace.scheduler.provisioning.was_listed = true;
+    trace.scheduler.plan_scale_out(at(1.0));
+    let requests = trace.scheduler.provisioning.requests.clone();
+    let rented = ProvisioningResult::Granted(vec!["small-east-7".to_string()]);
     trace
         .scheduler
-        .rental_answered(&rental_requests[0].name, rented, at(1.0));
+        .apply_provisioning_result(&requests[0].name, rented, at(1.0));
     let due = |trace: &LeaderTrace| {
         format!(
             "registry pages due: {}",
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -108,7 +108,7 @@
         .keys()
         .next()
         .unwrap();
-    trace.scheduler.stop_attempt("big-east-1", key);
+    trace.scheduler.preempt_attempt("big-east-1", key);
     trace
         .at(2.0)
         .direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -55,7 +55,7 @@
 #[test]
 fn one_way_silence() {
     let mut trace = LeaderTrace::new(2, one_team());
-    trace.scheduler.config.idle = aspenreel::time::Micros::from_secs(1000);
+    trace.scheduler.config.max_idle = aspenreel::time::Micros::from_secs(1000);
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
@@ -79,7 +79,7 @@
         trace.at(t).send(&next);
         trace.direct(|_| DirectResult::OutcomeUnknown);
     }
-    let due = trace.scheduler.plan_returns(at(126.0));
+    let due = trace.scheduler.plan_scale_in(at(126.0));
     trace.note(&format!("to return: {due:?}"));
     assert_snapshot!(trace.log);
 }
@@ -124,7 +124,7 @@
     trace.at(41.0).send(&next).bound();
     trace.at(42.0).send(&idle).send(&running).bound();
     // The machine is gone.
-    trace.scheduler.returned(&["big-east-1".into()]);
+    trace.scheduler.drop_gone_machines(&["big-east-1".into()]);
     trace.at(60.0).send(&next).bound();
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::{PendingWriteKind, take_affordable};
-use aspenreel::provisioning::RentalResult;
+use aspenreel::provisioning::ProvisioningResult;
 use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
@@ -142,9 +142,13 @@
         .job(first.clone())
         .job(first.clone());
     trace.rentals();
-    let rented = || RentalResult::Rented(vec!["big-east-7".into()]);
-    trace.scheduler.rental_answered("r-4-1", rented(), at(2.0));
-    trace.scheduler.rental_answered("r-4-1", rented(), at(2.0));
+    let rented = || ProvisioningResult::Granted(vec!["big-east-7".into()]);
+    trace
+        .scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(2.0));
+    trace
+        .scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(2.0));
     trace.at(2.0).rentals();
     trace.at(9.0).heartbeat("big-east-7", &[]);
     trace
@@ -166,10 +170,12 @@
         .at(11.0)
         .heartbeat("big-east-7", &["run-1/0#4.1 stopped"])
         .round(true);
-    trace.scheduler.returned(&["big-east-7".into()]);
-    trace.scheduler.returned(&["big-east-7".into()]);
+    trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
+    trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
     // A repeated rental that the cloud answers late names a machine that is gone.
-    trace.scheduler.rental_answered("r-4-1", rented(), at(12.0));
+    trace
+        .scheduler
+        .apply_provisioning_result("r-4-1", rented(), at(12.0));
     trace.at(12.0).bound();
     assert_snapshot!(trace.log);
 }
