--- a/tests/flags.rs
+++ b/tests/flags.rs
@@ -1,5 +1,7 @@
 //! Flags and variables that were renamed go on working under their earlier names, which the help doesn't show.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::cli::{Cli, Command, ServeOptions};
 use clap::Parser;
 use std::process::Command as Process;
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,5 +1,7 @@
 //! The HTTP server over real sockets: what faulty clients get, and that they don't disturb others.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::http::client::Client;
 use aspenreel::http::server::{Handler, Request, RequestPriority, Response, ServerLimits, serve};
 use aspenreel::time::Moment;
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -2,6 +2,8 @@
 //!
 //! Violations are counted for the process, so this is a program of its own.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 #[path = "common/trace.rs"]
 #[allow(dead_code)]
 mod trace;
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,5 +1,7 @@
 //! Meetings of faults, brought about in a simulation of several controllers (`docs/meetings.md`).
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 mod behavior;
 mod large;
 mod links;
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,5 +1,7 @@
 //! Small parts by themselves: clocks, kept connections, done sets, links to peers.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::jobs::TaskSet;
 use aspenreel::os::{EventCount, HttpClient, Os, System};
 use aspenreel::peer::{PeerClient, PeerRequest};
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,7 @@
 //! Bad settings and flags end the program at once, with one line that names the field.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use aspenreel::settings::Settings;
 use aspenreel::time::Micros;
 use insta::assert_snapshot;
