--- a/tests/code_shape/source.rs
+++ b/tests/code_shape/source.rs
@@ -53,7 +53,7 @@
         let module = module_path(path);
         let mut reader = Reader {
             owner: String::new(),
-            module: module,
+            module,
             source: Source {
                 path: path.to_string(),
                 lines: text.lines().count(),
