--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -207,5 +207,5 @@
 }
 
 fn leading_term(state: &ControllerState) -> Option<u64> {
-    state.leader_lease.as_ref().map(|lead| lead.term)
+    state.leader_lease.as_ref().map(|lease| lease.term)
 }
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -101,10 +101,10 @@
         let mut state = controller.state();
         match self.next_step(&mut state, now) {
             Step::Wait(time) => controller.wait_for_change(state, time),
-            Step::RaiseFencingToken(lead) => {
+            Step::RaiseFencingToken(lease) => {
                 drop(state);
                 self.tokens.force(1.0, now);
-                controller.raise_fencing_token(&lead);
+                controller.raise_fencing_token(&lease);
             }
             Step::WriteGate { authority, closed } => {
                 drop(state);
@@ -118,21 +118,21 @@
     }
 
     fn next_step(&mut self, state: &mut ControllerState, now: Moment) -> Step {
-        let Some((lead, scheduler)) = state.acting_leader(now) else {
+        let Some((lease, scheduler)) = state.acting_leader(now) else {
             return Step::Wait(STANDBY_TIME);
         };
         if !scheduler.permissions().record {
             return Step::Wait(STANDBY_TIME);
         }
-        if self.gate.term != lead.term {
-            self.gate = AdmissionGate::new(lead.term);
+        if self.gate.term != lease.term {
+            self.gate = AdmissionGate::new(lease.term);
         }
         if scheduler.fencing_token_raise_due(now) && self.tokens.available(now) >= 1.0 {
-            return Step::RaiseFencingToken(lead.clone());
+            return Step::RaiseFencingToken(lease.clone());
         }
         let is_full = scheduler.is_full(self.gate.closed);
         if let Some(closed) = self.gate.next_write(is_full) {
-            let authority = WriteAuthority::of(lead);
+            let authority = WriteAuthority::of(lease);
             return Step::WriteGate { authority, closed };
         }
         let writes = self.collect_due(scheduler, now);
@@ -141,7 +141,7 @@
         }
         // From here on nobody is told anything older than what may be on record soon.
         scheduler.mark_sent(&writes);
-        let authority = WriteAuthority::of(lead);
+        let authority = WriteAuthority::of(lease);
         Step::WriteRecords { authority, writes }
     }
 
--- a/src/jobs/write_authority.rs
+++ b/src/jobs/write_authority.rs
@@ -13,11 +13,11 @@
 }
 
 impl WriteAuthority {
-    pub(super) fn of(lead: &LeaderLease) -> WriteAuthority {
+    pub(super) fn of(lease: &LeaderLease) -> WriteAuthority {
         WriteAuthority {
-            term: lead.term,
-            lease_id: lead.lease_id,
-            precondition: lead.precondition(),
+            term: lease.term,
+            lease_id: lease.lease_id,
+            precondition: lease.precondition(),
         }
     }
 }
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -10,8 +10,9 @@
 use std::cmp::Reverse;
 
 impl SchedulerState {
-    /// Binds the job's next task to a machine, and returns the machine's zone; None if there is no such
-    /// task. The task starts once a start watermark that covers it is on record.
+    /// Decides a start: creates and numbers an attempt of the job's next task on the machine, and returns the
+    /// machine's zone; None if there is no such task. The attempt starts once a start watermark that covers the
+    /// task is on record. A `protected` attempt, the first of a job that waited too long, isn't preempted.
     pub(super) fn bind_next_task(
         &mut self,
         id: JobId,
--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -66,7 +66,7 @@
     /// What is due; None if this controller doesn't lead.
     fn next_sync_step(&self, progress: &SyncProgress, now: Moment) -> Option<SyncStep> {
         let mut state = self.state();
-        let (lead, scheduler) = state.acting_leader(now)?;
+        let (lease, scheduler) = state.acting_leader(now)?;
         let interval = match scheduler.prior_term.released {
             true => LIST_INTERVAL,
             false => LIST_INTERVAL_IN_FAILOVER,
@@ -74,7 +74,7 @@
         let interval = interval.max(self.list_interval(progress.list_pages));
         let last_listed_at = scheduler.provisioning.last_listed_at;
         Some(SyncStep {
-            term: lead.term,
+            term: lease.term,
             is_list_due: last_listed_at.is_none_or(|t| now - t >= interval),
         })
     }
--- a/src/workers/delivery_status.rs
+++ b/src/workers/delivery_status.rs
@@ -21,7 +21,8 @@
 //! A start command that is sent again on purpose needs no status of its own: it names the same attempt, which
 //! the worker runs once until it is cleared.
 //!
-//! `SchedulerState::fence_unconfirmed` makes one of the two events happen, in time for cancelled jobs.
+//! `SchedulerState::fence_unconfirmed` brings about the second event, and `SchedulerState::must_withhold` the first, in time
+//! for cancelled jobs.
 
 use crate::time::Moment;
 
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -1,7 +1,7 @@
 //! The fencing tokens that this leader gives out.
 //!
 //! A fencing token is a number on record that only one leader ever uses: the counter of terms. A leader begins
-//! with its term's number and may raise the counter further while it leads (`leadership::fencing`). From then
+//! with its term's number and may raise the counter further while it leads (`leadership::fencing_counter`). From then
 //! on it answers machines with unconfirmed starts with the new token only. Such a machine either takes a
 //! reply, has seen the token then and refuses the unconfirmed start, or takes none, and its agent epoch ends
 //! with its lease. Its tasks run on meanwhile, and no other machine is affected.
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -31,7 +31,7 @@
         if heartbeat.fencing_token > self.fencing.newest() {
             return HeartbeatReply::Deposed;
         }
-        if !self.admit(heartbeat, now) || !self.accept_heartbeat(heartbeat, now) {
+        if !self.ensure_machine_known(heartbeat, now) || !self.accept_heartbeat(heartbeat, now) {
             return HeartbeatReply::Stale;
         }
         if self.must_withhold(&heartbeat.machine, now) {
@@ -48,7 +48,7 @@
 
     /// Makes sure that the machine is known and queued for the registry. False if it is gone, or if there
     /// are too many machines.
-    fn admit(&mut self, heartbeat: &Heartbeat, now: Moment) -> bool {
+    fn ensure_machine_known(&mut self, heartbeat: &Heartbeat, now: Moment) -> bool {
         if self.provisioning.is_gone(&heartbeat.machine) {
             return false;
         }
