--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -6,6 +6,7 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
+use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
 use aspenreel_simulation::checker::JobPlan;
 use aspenreel_simulation::user_job::body_of;
@@ -129,7 +130,7 @@
         type_name: "small".into(),
         zone: "east".into(),
         spot: true,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch(1),
         sequence,
         fencing_token: TERM,
         preemption_notice_s: None,
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -3,6 +3,7 @@
 use crate::checker::{JobPlan, Place};
 use crate::scheduler::Time;
 use aspenreel::http::cbor::Number;
+use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -34,7 +35,7 @@
     pub(crate) up_at: Time,
     pub(crate) gone_at: Option<Time>,
     pub(crate) died_at: Option<Time>,
-    pub(crate) agent_epoch: u64,
+    pub(crate) agent_epoch: AgentEpoch,
     pub(crate) sequence: u64,
     pub(crate) fencing_token: u64,
     /// When the last answered report was sent, or the agent epoch began.
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -6,6 +6,7 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
+use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
@@ -67,7 +68,7 @@
 struct Inner {
     tasks: Vec<Task>,
     fencing_token: u64,
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     sequence: u64,
     /// When the last report that was answered was sent, or the agent epoch began.
     lease_from: Instant,
@@ -140,7 +141,7 @@
             inner: Mutex::new(Inner {
                 tasks: Vec::new(),
                 fencing_token: 0,
-                agent_epoch: 1,
+                agent_epoch: AgentEpoch(1),
                 sequence: 0,
                 lease_from: Instant::now(),
                 gone: false,
@@ -270,13 +271,13 @@
                 self.exit(task, ExitReason::Stopped);
             }
             inner.tasks.clear();
-            inner.agent_epoch += 1;
+            inner.agent_epoch = inner.agent_epoch.next();
             inner.lease_from = Instant::now();
         }
     }
 
     /// The answer to a heartbeat of that agent epoch.
-    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: u64, sent: Instant) {
+    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: AgentEpoch, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
             let mut inner = self.inner.lock().unwrap();
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -8,6 +8,7 @@
 use crate::worker_protocol::{leader_of, split_task_id};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::{Handler, Request};
+use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{Heartbeat, HeartbeatReplyBody, WorkerCommand};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -43,7 +44,7 @@
                 up_at: first,
                 gone_at: None,
                 died_at: None,
-                agent_epoch: 1,
+                agent_epoch: AgentEpoch(1),
                 sequence: 0,
                 fencing_token: 0,
                 lease_from: first,
@@ -91,7 +92,7 @@
             drop(state);
             return self.at_time(ends, move |sim| sim.check_lease(&worker));
         }
-        machine.agent_epoch += 1;
+        machine.agent_epoch = machine.agent_epoch.next();
         machine.lease_from = now;
         machine.in_flight = None;
         let lost = std::mem::take(&mut machine.tasks);
@@ -284,7 +285,7 @@
     fn answer_arrives(
         self: &Arc<Self>,
         name: &str,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         request: u64,
         sent: Time,
         answer: Option<(u16, Vec<u8>)>,
@@ -328,7 +329,7 @@
 fn take_reply(
     machine: &mut Machine,
     reply: &HeartbeatReplyBody,
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     sent: Time,
 ) -> (Time, Vec<WorkerCommand>) {
     let usual_wait = (HEARTBEAT_S * 1e6) as Time;
--- a/crates/simulation/src/worker_protocol.rs
+++ b/crates/simulation/src/worker_protocol.rs
@@ -1,6 +1,7 @@
 //! What every stand-in of a worker reads from the wire.
 
 use aspenreel::http::cbor::decode;
+use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::WorkerCommand;
 use serde::Deserialize;
 
@@ -12,7 +13,7 @@
     pub fencing_token: u64,
     /// The agent epoch that they are meant for.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// What to do.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
@@ -20,7 +21,7 @@
 
 impl DirectCommands {
     /// Whether a worker in this agent epoch, which knows this fencing token, has to refuse them.
-    pub fn are_refused(&self, fencing_token: u64, agent_epoch: u64) -> bool {
+    pub fn are_refused(&self, fencing_token: u64, agent_epoch: AgentEpoch) -> bool {
         self.fencing_token < fencing_token || self.agent_epoch != agent_epoch
     }
 }
--- a/src/workers/command_log.rs
+++ b/src/workers/command_log.rs
@@ -4,7 +4,7 @@
 //! fencing token and agent epoch, and on what evidence it was believed to be over.
 
 use super::wire::{CommandKind, WorkerCommand};
-use super::{AttemptKey, DirectCall, DirectResult};
+use super::{AgentEpoch, AttemptKey, DirectCall, DirectResult};
 use crate::time::Micros;
 use std::fmt;
 
@@ -47,7 +47,7 @@
 /// Whom commands are for, and what they carry besides themselves.
 pub(super) struct Recipient<'a> {
     pub machine: &'a str,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub fencing_token: u64,
 }
 
--- a/src/workers/direct_call.rs
+++ b/src/workers/direct_call.rs
@@ -1,7 +1,7 @@
 //! A call that brings commands directly to a worker, without waiting for its next heartbeat.
 
-use super::AttemptKey;
 use super::wire::{Heartbeat, WorkerCommand};
+use super::{AgentEpoch, AttemptKey};
 use crate::time::Moment;
 
 /// Commands for one machine that go directly to its worker's address.
@@ -16,7 +16,7 @@
     /// The worker refuses the commands if it has seen a higher token than this.
     pub fencing_token: u64,
     /// The worker refuses the commands in any other agent epoch.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// What the worker is to do, in this order. Empty for a probe.
     pub commands: Vec<WorkerCommand>,
     /// The attempts that the commands start.
--- a/src/workers/heartbeat_position.rs
+++ b/src/workers/heartbeat_position.rs
@@ -1,5 +1,6 @@
 //! The sequence of a worker's heartbeats.
 
+use super::AgentEpoch;
 use super::wire::Heartbeat;
 
 /// The place of a heartbeat among all heartbeats of one worker: a later one is greater.
@@ -8,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatPosition {
     /// The worker's agent epoch. 0 if nothing arrived from the worker yet.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// The heartbeat's sequence number within the epoch.
     pub sequence: u64,
 }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,5 +1,6 @@
 //! What the leader knows of one machine.
 
+use super::AgentEpoch;
 use super::attempt::{Attempt, AttemptKey, Orphan};
 use super::heartbeat_position::HeartbeatPosition;
 use super::image_cache::ImageCache;
@@ -143,7 +144,7 @@
     }
 
     /// Its current agent epoch; 0 before its first heartbeat.
-    pub fn agent_epoch(&self) -> u64 {
+    pub fn agent_epoch(&self) -> AgentEpoch {
         self.reconciled_position.agent_epoch
     }
 
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -10,6 +10,7 @@
 
 #![warn(missing_docs)]
 
+mod agent_epoch;
 mod agent_epochs;
 mod attempt;
 mod command_log;
@@ -35,6 +36,7 @@
 pub mod wire;
 mod worker_clients;
 
+pub use agent_epoch::AgentEpoch;
 pub use attempt::{Attempt, AttemptKey, DesiredState, Orphan};
 pub use command_queue::CommandQueue;
 pub use delivery_status::{DeliveryStatus, UnconfirmedStart};
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -2,7 +2,7 @@
 //! state: which attempts the machine holds, which have ended, and which never started.
 
 use super::wire::{Heartbeat, ReportedTask, TaskStatus};
-use super::{AttemptKey, DesiredState, Machine, Orphan};
+use super::{AgentEpoch, AttemptKey, DesiredState, Machine, Orphan};
 use crate::invariants::{self, Invariant};
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
@@ -40,7 +40,7 @@
             return;
         };
         let current = machine.agent_epoch();
-        if current == 0 || report.agent_epoch <= current {
+        if current == AgentEpoch::UNKNOWN || report.agent_epoch <= current {
             return;
         }
         self.end_epoch(&report.machine);
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -2,6 +2,7 @@
 //!
 //! This is the one place that knows the wire's names; each is mapped to a name of ours by its `serde(rename)`.
 
+use super::AgentEpoch;
 use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +26,7 @@
     pub spot: bool,
     /// The worker's agent epoch, from 1. It rises whenever the worker's lease has expired.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// The heartbeat's sequence number within the agent epoch.
     #[serde(rename = "tick")]
     pub sequence: u64,
@@ -173,7 +174,7 @@
     pub fencing_token: u64,
     /// The worker's agent epoch, as the leader knows it.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// What the worker is to do, in this order.
     #[serde(rename = "orders")]
     pub commands: &'a [WorkerCommand],
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -8,11 +8,10 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::DirectResult;
-use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
 };
+use aspenreel::workers::{AgentEpoch, DirectResult, HeartbeatReply};
 use ciborium::cbor;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -198,7 +197,7 @@
             type_name: parts[0].into(),
             zone: parts[1].into(),
             spot: true,
-            agent_epoch,
+            agent_epoch: AgentEpoch(agent_epoch),
             sequence: *sequence,
             fencing_token,
             preemption_notice_s: None,
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -16,11 +16,10 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::DirectResult;
-use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
+use aspenreel::workers::{AgentEpoch, DirectResult, HeartbeatReply};
 use ciborium::cbor;
 use std::collections::{BTreeMap, HashMap};
 
@@ -193,7 +192,7 @@
             type_name: "t64".into(),
             zone: "a".into(),
             spot: true,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: w.sequence,
             fencing_token: TERM,
             preemption_notice_s: None,
