--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -6,8 +6,8 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::TeamSettings;
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use aspenreel_simulation::checker::JobPlan;
 use aspenreel_simulation::user_job::body_of;
 use ciborium::cbor;
@@ -132,7 +132,7 @@
         spot: true,
         agent_epoch: AgentEpoch(1),
         sequence,
-        fencing_token: TERM,
+        fencing_token: FencingToken::of_term(TERM),
         preemption_notice_s: None,
         tasks,
     }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -3,8 +3,8 @@
 use crate::checker::{JobPlan, Place};
 use crate::scheduler::Time;
 use aspenreel::http::cbor::Number;
-use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
     pub(crate) died_at: Option<Time>,
     pub(crate) agent_epoch: AgentEpoch,
     pub(crate) sequence: u64,
-    pub(crate) fencing_token: u64,
+    pub(crate) fencing_token: FencingToken,
     /// When the last answered report was sent, or the agent epoch began.
     pub(crate) lease_from: Time,
     pub(crate) tasks: BTreeMap<(String, u64), SimulatedTask>,
@@ -117,7 +117,7 @@
 
     /// True if the job could start one more task here: the worker serves and has room.
     pub fn could_take(&self, plan: &JobPlan) -> bool {
-        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > 0;
+        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > FencingToken::NONE;
         // Whatever runs here takes as much at least: good enough for a bound on waits.
         let held = self.tasks.values();
         let held = held
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -6,10 +6,10 @@
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
-use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -67,7 +67,7 @@
 
 struct Inner {
     tasks: Vec<Task>,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     agent_epoch: AgentEpoch,
     sequence: u64,
     /// When the last report that was answered was sent, or the agent epoch began.
@@ -140,7 +140,7 @@
             at: AtomicUsize::new(0),
             inner: Mutex::new(Inner {
                 tasks: Vec::new(),
-                fencing_token: 0,
+                fencing_token: FencingToken::NONE,
                 agent_epoch: AgentEpoch(1),
                 sequence: 0,
                 lease_from: Instant::now(),
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -8,8 +8,8 @@
 use crate::worker_protocol::{leader_of, split_task_id};
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::http::server::{Handler, Request};
-use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::{Heartbeat, HeartbeatReplyBody, WorkerCommand};
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -46,7 +46,7 @@
                 died_at: None,
                 agent_epoch: AgentEpoch(1),
                 sequence: 0,
-                fencing_token: 0,
+                fencing_token: FencingToken::NONE,
                 lease_from: first,
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
--- a/crates/simulation/src/worker_protocol.rs
+++ b/crates/simulation/src/worker_protocol.rs
@@ -1,8 +1,8 @@
 //! What every stand-in of a worker reads from the wire.
 
 use aspenreel::http::cbor::decode;
-use aspenreel::workers::AgentEpoch;
 use aspenreel::workers::wire::WorkerCommand;
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use serde::Deserialize;
 
 /// Commands that a controller sends to a worker's own address.
@@ -10,7 +10,7 @@
 pub(crate) struct DirectCommands {
     /// The sender's fencing token.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The agent epoch that they are meant for.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
@@ -21,7 +21,7 @@
 
 impl DirectCommands {
     /// Whether a worker in this agent epoch, which knows this fencing token, has to refuse them.
-    pub fn are_refused(&self, fencing_token: u64, agent_epoch: AgentEpoch) -> bool {
+    pub fn are_refused(&self, fencing_token: FencingToken, agent_epoch: AgentEpoch) -> bool {
         self.fencing_token < fencing_token || self.agent_epoch != agent_epoch
     }
 }
--- a/src/leadership/fencing_counter.rs
+++ b/src/leadership/fencing_counter.rs
@@ -10,6 +10,7 @@
 use super::term_counter::{TERM_KEY, TermCounter};
 use crate::controller::Controller;
 use crate::store::{Change, Precondition, StorePriority, TransactionOutcome};
+use crate::workers::FencingToken;
 
 impl Controller {
     /// Tries once to store a higher fencing token, and uses it if it is surely stored.
@@ -32,7 +33,7 @@
                 self.note_term_counter(term, raised, revision);
                 let now = self.now();
                 self.with_scheduler(term, |scheduler| {
-                    scheduler.fencing_token_raised(raised.term, now)
+                    scheduler.fencing_token_raised(FencingToken::of_term(raised.term), now)
                 });
             }
             Ok(TransactionOutcome::Conflict { failed }) => {
--- a/src/workers/command_log.rs
+++ b/src/workers/command_log.rs
@@ -4,7 +4,7 @@
 //! fencing token and agent epoch, and on what evidence it was believed to be over.
 
 use super::wire::{CommandKind, WorkerCommand};
-use super::{AgentEpoch, AttemptKey, DirectCall, DirectResult};
+use super::{AgentEpoch, AttemptKey, DirectCall, DirectResult, FencingToken};
 use crate::time::Micros;
 use std::fmt;
 
@@ -48,7 +48,7 @@
 pub(super) struct Recipient<'a> {
     pub machine: &'a str,
     pub agent_epoch: AgentEpoch,
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
 }
 
 /// Logs commands that are about to be sent.
--- a/src/workers/delivery_status.rs
+++ b/src/workers/delivery_status.rs
@@ -23,13 +23,14 @@
 //!
 //! `SchedulerState::fence_unconfirmed` makes one of the two events happen, in time for cancelled jobs.
 
+use super::FencingToken;
 use crate::time::Moment;
 
 /// A start command that may still be executed: no answer came to the call that carried it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedStart {
     /// The fencing token that the command carries.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// When the call began.
     pub since: Moment,
 }
@@ -47,7 +48,10 @@
 
 impl DeliveryStatus {
     /// The status after a call without an answer, for a worker that has seen this fencing token.
-    pub(super) fn unanswered(start: UnconfirmedStart, seen_fencing_token: u64) -> DeliveryStatus {
+    pub(super) fn unanswered(
+        start: UnconfirmedStart,
+        seen_fencing_token: FencingToken,
+    ) -> DeliveryStatus {
         let status = DeliveryStatus::Unconfirmed(start);
         if status.settled_by(seen_fencing_token) {
             DeliveryStatus::Settled
@@ -71,7 +75,7 @@
 
     /// True if a report that shows this fencing token proves that the unconfirmed command won't be executed
     /// any more.
-    pub(super) fn settled_by(self, seen_fencing_token: u64) -> bool {
+    pub(super) fn settled_by(self, seen_fencing_token: FencingToken) -> bool {
         self.unconfirmed()
             .is_some_and(|start| seen_fencing_token > start.fencing_token)
     }
--- a/src/workers/direct_call.rs
+++ b/src/workers/direct_call.rs
@@ -1,7 +1,7 @@
 //! A call that brings commands directly to a worker, without waiting for its next heartbeat.
 
 use super::wire::{Heartbeat, WorkerCommand};
-use super::{AgentEpoch, AttemptKey};
+use super::{AgentEpoch, AttemptKey, FencingToken};
 use crate::time::Moment;
 
 /// Commands for one machine that go directly to its worker's address.
@@ -14,7 +14,7 @@
     /// The term of the leader that decided on the call.
     pub term: u64,
     /// The worker refuses the commands if it has seen a higher token than this.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The worker refuses the commands in any other agent epoch.
     pub agent_epoch: AgentEpoch,
     /// What the worker is to do, in this order. Empty for a probe.
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -15,6 +15,7 @@
 //! stopped answers nobody, and the next one begins with a higher token: both cover a change of leader at any
 //! moment.
 
+use super::FencingToken;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeMap;
 
@@ -45,9 +46,9 @@
 #[derive(Debug)]
 pub struct Fencing {
     /// The highest token on record for this leader.
-    newest: u64,
+    newest: FencingToken,
     /// Machines with unconfirmed starts, and the highest token that one of these starts carries.
-    unconfirmed_machines: BTreeMap<String, u64>,
+    unconfirmed_machines: BTreeMap<String, FencingToken>,
     /// No higher token is requested before this.
     next_raise_at: Moment,
     /// Counts of what happened under this leader.
@@ -58,7 +59,7 @@
     /// The state of a leader that has just won this term.
     pub fn new(term: u64) -> Fencing {
         Fencing {
-            newest: term,
+            newest: FencingToken::of_term(term),
             unconfirmed_machines: BTreeMap::new(),
             next_raise_at: Moment(0),
             counters: CommandCounters::default(),
@@ -66,7 +67,7 @@
     }
 
     /// The highest token that this leader may have given out.
-    pub fn newest(&self) -> u64 {
+    pub fn newest(&self) -> FencingToken {
         self.newest
     }
 
@@ -76,19 +77,19 @@
     }
 
     /// Machines with unconfirmed starts, and the highest token that one of these starts carries.
-    pub(super) fn unconfirmed_machines(&self) -> impl Iterator<Item = (&String, u64)> {
+    pub(super) fn unconfirmed_machines(&self) -> impl Iterator<Item = (&String, FencingToken)> {
         self.unconfirmed_machines
             .iter()
             .map(|(name, fencing_token)| (name, *fencing_token))
     }
 
     /// The highest token that an unconfirmed start on this machine carries, if it has any.
-    pub(super) fn unconfirmed_token(&self, machine: &str) -> Option<u64> {
+    pub(super) fn unconfirmed_token(&self, machine: &str) -> Option<FencingToken> {
         self.unconfirmed_machines.get(machine).copied()
     }
 
     /// Notes a start with this token on this machine that is unconfirmed.
-    pub(super) fn note_unconfirmed(&mut self, machine: &str, fencing_token: u64) {
+    pub(super) fn note_unconfirmed(&mut self, machine: &str, fencing_token: FencingToken) {
         let highest = self
             .unconfirmed_machines
             .entry(machine.to_string())
@@ -107,7 +108,7 @@
     }
 
     /// A higher token is on record for this leader alone.
-    pub(super) fn raised(&mut self, fencing_token: u64, now: Moment) {
+    pub(super) fn raised(&mut self, fencing_token: FencingToken, now: Moment) {
         self.newest = self.newest.max(fencing_token);
         self.next_raise_at = now + RAISE_INTERVAL;
         self.counters.raises += 1;
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,9 +1,9 @@
 //! The leader's decision on a heartbeat: whether it is accepted, and the reply.
 
-use super::Machine;
 use super::command_log::{CommandPath, Recipient, log_commands};
 use super::reconciliation::ReportSource;
 use super::wire::{Heartbeat, WorkerCommand};
+use super::{FencingToken, Machine};
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
@@ -13,7 +13,7 @@
     /// The heartbeat is answered with these commands, which renews the machine's lease.
     Commands {
         /// The fencing token that the worker will hold from then on.
-        fencing_token: u64,
+        fencing_token: FencingToken,
         /// What the worker is to do, in this order.
         commands: Vec<WorkerCommand>,
     },
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,10 +1,10 @@
 //! What the leader knows of one machine.
 
-use super::AgentEpoch;
 use super::attempt::{Attempt, AttemptKey, Orphan};
 use super::heartbeat_position::HeartbeatPosition;
 use super::image_cache::ImageCache;
 use super::quarantine::Quarantine;
+use super::{AgentEpoch, FencingToken};
 use crate::jobs::JobId;
 use crate::placement::{FreeCapacity, Resources};
 use crate::provisioning::ListStatus;
@@ -33,9 +33,9 @@
     /// The newest heartbeat that was accepted. One that is no newer is a copy.
     pub(super) newest_heartbeat: HeartbeatPosition,
     /// A fencing token above the term that replies and commands to it must carry, or 0.
-    pub(super) fencing_token: u64,
+    pub(super) fencing_token: FencingToken,
     /// The highest fencing token that its worker is known to have seen.
-    pub(super) seen_fencing_token: u64,
+    pub(super) seen_fencing_token: FencingToken,
     /// True once a heartbeat showed this leader's fencing token: no command of an earlier leader can be
     /// executed on it any more.
     pub reconciled: bool,
@@ -114,8 +114,8 @@
             total,
             reconciled_position: HeartbeatPosition::default(),
             newest_heartbeat: HeartbeatPosition::default(),
-            fencing_token: 0,
-            seen_fencing_token: 0,
+            fencing_token: FencingToken::NONE,
+            seen_fencing_token: FencingToken::NONE,
             reconciled: false,
             unreachable: false,
             epoch_ended: false,
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -2,7 +2,7 @@
 //! state: which attempts the machine holds, which have ended, and which never started.
 
 use super::wire::{Heartbeat, ReportedTask, TaskStatus};
-use super::{AgentEpoch, AttemptKey, DesiredState, Machine, Orphan};
+use super::{AgentEpoch, AttemptKey, DesiredState, FencingToken, Machine, Orphan};
 use crate::invariants::{self, Invariant};
 use crate::placement::Resources;
 use crate::scheduler::SchedulerState;
@@ -160,9 +160,9 @@
 
     /// Notes the highest fencing token that the worker has seen. True if that completes the machine's
     /// reconciliation with this term.
-    fn note_seen_fencing_token(&mut self, fencing_token: u64, term: u64) -> bool {
+    fn note_seen_fencing_token(&mut self, fencing_token: FencingToken, term: u64) -> bool {
         self.seen_fencing_token = self.seen_fencing_token.max(fencing_token);
-        if self.reconciled || fencing_token < term {
+        if self.reconciled || fencing_token < FencingToken::of_term(term) {
             return false;
         }
         self.reconciled = true;
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -1,18 +1,19 @@
 //! Revoking unconfirmed starts: the machine gets a higher fencing token, or else no replies. [`super::fencing`]
 //! tells how that works.
 
-use super::DeliveryStatus;
 use super::command_log::Seconds;
+use super::{DeliveryStatus, FencingToken};
 use crate::invariants::{self, Invariant};
 use crate::scheduler::{LEASE_MARGIN, SchedulerState};
 use crate::time::{Micros, Moment, at_least};
 
 impl SchedulerState {
     /// The fencing token that goes with replies and commands to this machine.
-    pub fn fencing_token_for(&self, machine: &str) -> u64 {
+    pub fn fencing_token_for(&self, machine: &str) -> FencingToken {
         let known = self.machines.get(machine);
-        known.map_or(self.term, |machine| {
-            self.term
+        let of_term = FencingToken::of_term(self.term);
+        known.map_or(of_term, |machine| {
+            of_term
                 .max(machine.fencing_token)
                 .max(machine.seen_fencing_token)
         })
@@ -39,7 +40,7 @@
     }
 
     /// A higher token is on record for this leader alone.
-    pub fn fencing_token_raised(&mut self, fencing_token: u64, now: Moment) {
+    pub fn fencing_token_raised(&mut self, fencing_token: FencingToken, now: Moment) {
         self.fencing.raised(fencing_token, now);
         self.fence_unconfirmed();
         log::debug!(
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! This is the one place that knows the wire's names; each is mapped to a name of ours by its `serde(rename)`.
 
-use super::AgentEpoch;
+use super::{AgentEpoch, FencingToken};
 use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
 
@@ -32,7 +32,7 @@
     pub sequence: u64,
     /// The highest fencing token that the worker has seen, 0 if none.
     #[serde(rename = "baton", default)]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// After a preemption notice: the seconds until the cloud takes the machine.
     #[serde(rename = "recallS", default)]
     pub preemption_notice_s: Option<Number>,
@@ -151,7 +151,7 @@
 pub struct HeartbeatReplyBody {
     /// The leader's fencing token for this machine.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// What the worker is to do, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
@@ -171,7 +171,7 @@
 pub struct DirectCommands<'a> {
     /// The leader's fencing token for this machine.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The worker's agent epoch, as the leader knows it.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -11,7 +11,7 @@
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, ReportedTask, TaskStatus, WorkerCommand,
 };
-use aspenreel::workers::{AgentEpoch, DirectResult, HeartbeatReply};
+use aspenreel::workers::{AgentEpoch, DirectResult, FencingToken, HeartbeatReply};
 use ciborium::cbor;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -199,7 +199,7 @@
             spot: true,
             agent_epoch: AgentEpoch(agent_epoch),
             sequence: *sequence,
-            fencing_token,
+            fencing_token: FencingToken(fencing_token),
             preemption_notice_s: None,
             tasks: tasks.iter().map(|t| task_report(t)).collect(),
         }
@@ -229,7 +229,7 @@
         self.record_fleet();
         let answer = self.scheduler.heartbeat(report, self.now);
         let fencing_token = match answer {
-            HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token),
+            HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token.0),
             _ => None,
         };
         if let Some(fencing_token) = fencing_token {
@@ -245,7 +245,7 @@
                     true => "nothing to do".to_string(),
                     false => commands.join(", "),
                 };
-                match fencing_token == self.scheduler.term {
+                match fencing_token == FencingToken::of_term(self.scheduler.term) {
                     true => text,
                     false => format!("{text} (fencing token {fencing_token})"),
                 }
@@ -280,7 +280,7 @@
     /// Puts a higher fencing token on record, if one is wanted.
     fn raise_fencing_token(&mut self) {
         if self.raises_tokens && self.scheduler.fencing_token_raise_due(self.now) {
-            let fencing_token = self.scheduler.fencing.newest() + 1;
+            let fencing_token = FencingToken(self.scheduler.fencing.newest().0 + 1);
             self.scheduler.fencing_token_raised(fencing_token, self.now);
             self.note(&format!("fencing token {fencing_token} is on record"));
         }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -19,7 +19,7 @@
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
-use aspenreel::workers::{AgentEpoch, DirectResult, HeartbeatReply};
+use aspenreel::workers::{AgentEpoch, DirectResult, FencingToken, HeartbeatReply};
 use ciborium::cbor;
 use std::collections::{BTreeMap, HashMap};
 
@@ -194,7 +194,7 @@
             spot: true,
             agent_epoch: AgentEpoch(1),
             sequence: w.sequence,
-            fencing_token: TERM,
+            fencing_token: FencingToken::of_term(TERM),
             preemption_notice_s: None,
             tasks: tasks.collect(),
         })
@@ -274,7 +274,7 @@
                 panic!("{name} is turned away");
             };
             let answer = encode(&HeartbeatReplyBody {
-                fencing_token: TERM,
+                fencing_token: FencingToken::of_term(TERM),
                 commands,
             });
             let answer: HeartbeatReplyBody = decode(&answer).unwrap();
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -1,7 +1,7 @@
 //! Commands that the network holds back: when a leader may count on them not to arrive any more.
 
 use crate::trace::{LeaderTrace, submission, team};
-use aspenreel::workers::DirectResult;
+use aspenreel::workers::{DirectResult, FencingToken};
 use insta::assert_snapshot;
 
 /// As long as a cancellation may take, in the trace's settings.
@@ -153,8 +153,10 @@
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0);
     let call = trace.scheduler.next_direct_call(trace.now).unwrap();
-    assert_eq!(call.fencing_token, 2);
-    trace.scheduler.fencing_token_raised(3, trace.now);
+    assert_eq!(call.fencing_token, FencingToken(2));
+    trace
+        .scheduler
+        .fencing_token_raised(FencingToken(3), trace.now);
     worker.fencing_token = 3;
     worker.heartbeat(&mut trace, 2.0, &[]);
     trace
