--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -9,6 +9,7 @@
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -66,8 +67,8 @@
 
 struct Inner {
     tasks: Vec<Task>,
-    fencing_token: u64,
-    agent_epoch: u64,
+    fencing_token: FencingToken,
+    agent_epoch: AgentEpoch,
     sequence: u64,
     /// When the last report that was answered was sent, or the agent epoch began.
     lease_from: Instant,
@@ -139,8 +140,8 @@
             at: AtomicUsize::new(0),
             inner: Mutex::new(Inner {
                 tasks: Vec::new(),
-                fencing_token: 0,
-                agent_epoch: 1,
+                fencing_token: FencingToken::NONE,
+                agent_epoch: AgentEpoch(1),
                 sequence: 0,
                 lease_from: Instant::now(),
                 gone: false,
@@ -270,13 +271,13 @@
                 self.exit(task, ExitReason::Stopped);
             }
             inner.tasks.clear();
-            inner.agent_epoch += 1;
+            inner.agent_epoch = inner.agent_epoch.next();
             inner.lease_from = Instant::now();
         }
     }
 
     /// The answer to a heartbeat of that agent epoch.
-    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: u64, sent: Instant) {
+    fn take_answer(&self, answer: &HeartbeatReplyBody, agent_epoch: AgentEpoch, sent: Instant) {
         let _acting = self.acting.lock().unwrap();
         {
             let mut inner = self.inner.lock().unwrap();
--- a/crates/simulation/src/worker_protocol.rs
+++ b/crates/simulation/src/worker_protocol.rs
@@ -2,6 +2,7 @@
 
 use aspenreel::http::cbor::decode;
 use aspenreel::workers::wire::WorkerCommand;
+use aspenreel::workers::{AgentEpoch, FencingToken};
 use serde::Deserialize;
 
 /// Commands that a controller sends to a worker's own address.
@@ -9,10 +10,10 @@
 pub(crate) struct DirectCommands {
     /// The sender's fencing token.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The agent epoch that they are meant for.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// What to do.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
@@ -20,7 +21,7 @@
 
 impl DirectCommands {
     /// Whether a worker in this agent epoch, which knows this fencing token, has to refuse them.
-    pub fn are_refused(&self, fencing_token: u64, agent_epoch: u64) -> bool {
+    pub fn are_refused(&self, fencing_token: FencingToken, agent_epoch: AgentEpoch) -> bool {
         self.fencing_token < fencing_token || self.agent_epoch != agent_epoch
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -10,6 +10,7 @@
 
 #![warn(missing_docs)]
 
+mod agent_epoch;
 mod agent_epochs;
 mod attempt;
 mod command_log;
@@ -21,6 +22,7 @@
 mod direct_results;
 mod exits;
 pub mod fencing;
+mod fencing_token;
 mod heartbeat;
 mod heartbeat_commands;
 mod heartbeat_handler;
@@ -35,10 +37,12 @@
 pub mod wire;
 mod worker_clients;
 
+pub use agent_epoch::AgentEpoch;
 pub use attempt::{Attempt, AttemptKey, DesiredState, Orphan};
 pub use command_queue::CommandQueue;
 pub use delivery_status::{DeliveryStatus, UnconfirmedStart};
 pub use direct_call::{DirectCall, DirectResult};
+pub use fencing_token::FencingToken;
 pub use heartbeat::HeartbeatReply;
 pub use heartbeat_position::HeartbeatPosition;
 pub use image_cache::{Image, ImageCache};
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -16,11 +16,10 @@
 use aspenreel::scheduler::{SchedulerConfig, SchedulerState};
 use aspenreel::settings::{Objective, TeamSettings};
 use aspenreel::time::{Micros, Moment, WallTime};
-use aspenreel::workers::DirectResult;
-use aspenreel::workers::HeartbeatReply;
 use aspenreel::workers::wire::{
     CommandKind, ExitReason, Heartbeat, HeartbeatReplyBody, ReportedTask, TaskStatus, WorkerCommand,
 };
+use aspenreel::workers::{AgentEpoch, DirectResult, FencingToken, HeartbeatReply};
 use ciborium::cbor;
 use std::collections::{BTreeMap, HashMap};
 
@@ -193,9 +192,9 @@
             type_name: "t64".into(),
             zone: "a".into(),
             spot: true,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: w.sequence,
-            fencing_token: TERM,
+            fencing_token: FencingToken::of_term(TERM),
             preemption_notice_s: None,
             tasks: tasks.collect(),
         })
@@ -275,7 +274,7 @@
                 panic!("{name} is turned away");
             };
             let answer = encode(&HeartbeatReplyBody {
-                fencing_token: TERM,
+                fencing_token: FencingToken::of_term(TERM),
                 commands,
             });
             let answer: HeartbeatReplyBody = decode(&answer).unwrap();
