--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -9,11 +9,13 @@
 mod config;
 mod overload;
 mod prior_term;
+mod prior_term_release;
 mod reachability;
 mod run_times;
 mod status;
+mod timer;
 
-use crate::jobs::{Job, JobTable};
+use crate::jobs::JobTable;
 use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
 use crate::time::{Micros, Moment, WallTime, at_most};
@@ -104,46 +106,6 @@
         WallTime(self.wall_at_start.0 + (now - self.started).0)
     }
 
-    /// Lets tasks of earlier terms be placed once no unreconciled machine can hold them any more.
-    ///
-    /// A task starts only on a registered machine, and only once a start watermark covers it. So
-    /// tasks above the watermarks never started, and the others can only be on registered
-    /// machines. Once each of these was reconciled in this term, or its agent epoch surely
-    /// ended, nothing is unreconciled, and the wait for a full lease ends early.
-    pub fn release_prior_term(&mut self, now: Moment) {
-        if self.prior_term.released {
-            return;
-        }
-        let machines = &self.machines;
-        let provisioning = &self.provisioning;
-        self.prior_term.unreconciled.retain(|name| {
-            let reconciled = machines
-                .get(name)
-                .is_some_and(|m| m.reconciled || m.epoch_ended);
-            !reconciled && !provisioning.is_gone(name)
-        });
-        let lease_expired = now - self.started >= self.lease_span();
-        if !lease_expired && !self.prior_term.unreconciled.is_empty() {
-            return;
-        }
-        log::info!(
-            "jobs of earlier terms released: term={} unreconciled_machines={}",
-            self.term,
-            self.prior_term.unreconciled.len()
-        );
-        for name in std::mem::take(&mut self.prior_term.unreconciled) {
-            if !self.machines.contains_key(&name) {
-                self.provisioning.registry.remove(&name);
-                self.prior_term.machines.remove(&name);
-            }
-        }
-        self.prior_term.released = true;
-        self.placement.due = true;
-        for job in self.jobs.table.values_mut() {
-            job.end_reconciliation();
-        }
-    }
-
     /// Which decisions may be made now. Every slice asks here before it decides what needs a record.
     pub fn permissions(&self) -> Permissions {
         self.permissions
@@ -158,18 +120,4 @@
         self.writes_due |= may_record_again;
         may_record_again
     }
-
-    /// Does what time alone makes due: expired leases, revocations, retries and placement passes.
-    pub fn on_timer(&mut self, now: Moment) {
-        self.expire_leases(now);
-        self.check_revocations(now);
-        let is_retry_due = self.jobs.table.values().any(|job| is_retry_due(job, now));
-        self.placement.due |= is_retry_due;
-        self.place_if_due(now);
-    }
-}
-
-/// True if waiting tasks of the job may be tried again by now.
-fn is_retry_due(job: &Job, now: Moment) -> bool {
-    job.retry_after > Moment(0) && job.retry_after <= now && job.ready() > 0
 }
--- /dev/null
+++ b/src/scheduler/prior_term_release.rs
@@ -0,0 +1,46 @@
+//! When what earlier terms left may be placed.
+
+use super::SchedulerState;
+use crate::time::Moment;
+
+impl SchedulerState {
+    /// Lets tasks of earlier terms be placed once no unreconciled machine can hold them any more.
+    ///
+    /// A task starts only on a registered machine, and only once a start watermark covers it. So
+    /// tasks above the watermarks never started, and the others can only be on registered
+    /// machines. Once each of these was reconciled in this term, or its agent epoch surely
+    /// ended, nothing is unreconciled, and the wait for a full lease ends early.
+    pub fn release_prior_term(&mut self, now: Moment) {
+        if self.prior_term.released {
+            return;
+        }
+        let machines = &self.machines;
+        let provisioning = &self.provisioning;
+        self.prior_term.unreconciled.retain(|name| {
+            let reconciled = machines
+                .get(name)
+                .is_some_and(|m| m.reconciled || m.epoch_ended);
+            !reconciled && !provisioning.is_gone(name)
+        });
+        let lease_expired = now - self.started >= self.lease_span();
+        if !lease_expired && !self.prior_term.unreconciled.is_empty() {
+            return;
+        }
+        log::info!(
+            "jobs of earlier terms released: term={} unreconciled_machines={}",
+            self.term,
+            self.prior_term.unreconciled.len()
+        );
+        for name in std::mem::take(&mut self.prior_term.unreconciled) {
+            if !self.machines.contains_key(&name) {
+                self.provisioning.registry.remove(&name);
+                self.prior_term.machines.remove(&name);
+            }
+        }
+        self.prior_term.released = true;
+        self.placement.due = true;
+        for job in self.jobs.table.values_mut() {
+            job.end_reconciliation();
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduler/timer.rs
@@ -0,0 +1,21 @@
+//! What falls due by time alone.
+
+use super::SchedulerState;
+use crate::jobs::Job;
+use crate::time::Moment;
+
+impl SchedulerState {
+    /// Does what time alone makes due: expired leases, revocations, retries and placement passes.
+    pub fn on_timer(&mut self, now: Moment) {
+        self.expire_leases(now);
+        self.check_revocations(now);
+        let is_retry_due = self.jobs.table.values().any(|job| is_retry_due(job, now));
+        self.placement.due |= is_retry_due;
+        self.place_if_due(now);
+    }
+}
+
+/// True if waiting tasks of the job may be tried again by now.
+fn is_retry_due(job: &Job, now: Moment) -> bool {
+    job.retry_after > Moment(0) && job.retry_after <= now && job.ready() > 0
+}
