--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -284,10 +284,11 @@
             attempt.desired = DesiredState::Stop { grace_period };
             m.free_resources.set(None);
             log::debug!(
-                "attempt preempted: machine={machine} job={} task={} attempt={}",
-                job.spec.id,
-                key.task,
-                key.attempt
+                machine = machine,
+                job = job.spec.id,
+                task = key.task,
+                attempt = key.attempt;
+                "attempt preempted"
             );
             self.commands.due.insert(machine.to_string());
         }
--- a/src/provisioning/catalog_loop.rs
+++ b/src/provisioning/catalog_loop.rs
@@ -61,7 +61,7 @@
         };
         let data = to_value(catalog);
         if json_len(&data) > self.settings.settings.state.strictest().value_bytes() {
-            log::info!("catalog not stored: reason=size");
+            log::info!(reason = "size"; "catalog not stored");
             return true;
         }
         let change = Change::write(CATALOG_KEY, data);
--- a/src/provisioning/cloud_client.rs
+++ b/src/provisioning/cloud_client.rs
@@ -82,7 +82,7 @@
         return Err(CloudError::Status { path, status });
     }
     decode(&response.body).map_err(|source| {
-        log::info!("malformed response of the cloud: path={path} reason=\"{source}\"");
+        log::info!(path = path, reason:% = source; "malformed response of the cloud");
         CloudError::Malformed { path, source }
     })
 }
@@ -107,7 +107,7 @@
             }
             Ok(response) => Ok(response),
             Err(error) => {
-                log::debug!("cloud unreachable: path={path} reason=\"{error}\"");
+                log::debug!(path = path, reason:% = error; "cloud unreachable");
                 Err(CloudError::Call(error))
             }
         }
@@ -194,8 +194,9 @@
             UNAVAILABLE if is_no_capacity(&response.body) => Ok(ProvisioningResponse::NoCapacity),
             BAD_REQUEST => {
                 log::error!(
-                    "provisioning request refused: request={} reason=malformed",
-                    request.name
+                    request = request.name,
+                    reason = "malformed";
+                    "provisioning request refused"
                 );
                 Ok(ProvisioningResponse::NoCapacity)
             }
--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -151,12 +151,12 @@
     /// Sends one request. After an error nobody knows whether it was executed.
     fn request_machines(&self, request: &ProvisioningRequest) -> ProvisioningResult {
         log::info!(
-            "machines requested: request={} type={} zone={} spot={} count={}",
-            request.name,
-            request.type_name,
-            request.offer.zone,
-            request.offer.spot,
-            request.count
+            request = request.name,
+            type = request.type_name,
+            zone = request.offer.zone,
+            spot = request.offer.spot,
+            count = request.count;
+            "machines requested"
         );
         match self.send_provisioning_request(request) {
             Ok(ProvisioningResponse::Granted(names)) => ProvisioningResult::Granted(names),
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -45,7 +45,7 @@
         m.last_listed = Some(now);
         if listed.status == ListStatus::Failed && !m.unreachable {
             // It stopped by itself, and everything on it with it.
-            log::info!("machine failed: machine={}", listed.name);
+            log::info!(machine = listed.name; "machine failed");
             m.unreachable = true;
             m.epoch_ended = true;
             m.draining = true;
@@ -95,7 +95,7 @@
             .unlisted
             .retain(|name| !listed.contains(name.as_str()));
         for name in &gone {
-            log::info!("machine gone: machine={name} reason=unlisted");
+            log::info!(machine = name, reason = "unlisted"; "machine gone");
             self.provisioning.unlisted.remove(name);
             self.prior_term.unreconciled.remove(name);
         }
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -52,7 +52,7 @@
     /// Chooses machines to return, and names those whose return is due now.
     pub fn plan_scale_in(&mut self, now: Moment) -> Vec<String> {
         for (name, reason) in self.choose_scale_in(now) {
-            log::info!("machine to be returned: machine={name} reason={reason:?}");
+            log::info!(machine = name, reason:? = reason; "machine to be returned");
             if let Some(m) = self.machines.get_mut(&name) {
                 m.draining = true;
             }
--- a/src/scheduler/prior_term_release.rs
+++ b/src/scheduler/prior_term_release.rs
@@ -27,9 +27,9 @@
             return;
         }
         log::info!(
-            "jobs of earlier terms released: term={} unreconciled_machines={}",
-            self.term,
-            self.prior_term.unreconciled.len()
+            term = self.term,
+            unreconciled_machines = self.prior_term.unreconciled.len();
+            "jobs of earlier terms released"
         );
         for name in std::mem::take(&mut self.prior_term.unreconciled) {
             if !self.machines.contains_key(&name) {
