--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud, as the protocol's page tells of it: its catalog, rentals, returns and lists.
+//! The cloud, as the protocol's page tells of it: its catalog, provisioning requests, returns and lists.
 
 use crate::cloud_state::page_of;
 use crate::machine::{LISTED_AFTER_DEATH_S, Machine};
@@ -27,7 +27,7 @@
                 {"label" => "small", "cpus" => 8, "ramGb" => 32, "cacheGb" => 50,
                  "fetchGbPerS" => 1.0, "rate" => 0.4, "lowPrice" => 0.1,
                  "startupS" => self.setup.boot_s, "yards" => ["east", "west"]}]})),
-            "/rentals" if r.method == "POST" => self.rented(&r.body),
+            "/rentals" if r.method == "POST" => self.request_machines(&r.body),
             "/rentals/return" => {
                 #[derive(Deserialize)]
                 struct Names {
@@ -93,9 +93,9 @@
         room
     }
 
-    pub(crate) fn rented(self: &Arc<Self>, body: &[u8]) -> (u16, Vec<u8>) {
+    pub(crate) fn request_machines(self: &Arc<Self>, body: &[u8]) -> (u16, Vec<u8>) {
         #[derive(Deserialize)]
-        struct Rent {
+        struct ProvisioningCall {
             #[serde(rename = "hire")]
             request: String,
             #[serde(rename = "build")]
@@ -106,17 +106,22 @@
             spot: bool,
             count: usize,
         }
-        let rent: Rent = decode(body).unwrap();
-        let known = self.state().cloud.rentals.get(&rent.request).cloned();
+        let call: ProvisioningCall = decode(body).unwrap();
+        let known = self
+            .state()
+            .cloud
+            .provisioning_requests
+            .get(&call.request)
+            .cloned();
         let names = match known {
             Some(names) => names,
             None => {
                 let there = {
                     let state = self.state();
-                    let alike = |m: &&Machine| m.alive() && m.zone == rent.zone;
+                    let alike = |m: &&Machine| m.alive() && m.zone == call.zone;
                     state.machines.values().filter(alike).count()
                 };
-                let count = rent.count.min(self.setup.capacity.saturating_sub(there));
+                let count = call.count.min(self.setup.capacity.saturating_sub(there));
                 if count == 0 {
                     return (503, encode(&cbor!({"error" => "no capacity"}).unwrap()));
                 }
@@ -125,11 +130,14 @@
                 let names: Vec<String> = (0..count)
                     .map(|_| {
                         let after = self.random(boot / 2..boot * 3 / 2);
-                        self.boot(&rent.type_name, &rent.zone, rent.spot, after)
+                        self.boot(&call.type_name, &call.zone, call.spot, after)
                     })
                     .collect();
                 let mut state = self.state();
-                state.cloud.rentals.insert(rent.request, names.clone());
+                state
+                    .cloud
+                    .provisioning_requests
+                    .insert(call.request, names.clone());
                 names
             }
         };
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -24,7 +24,8 @@
 #[derive(Default)]
 pub struct CloudState {
     pub(crate) made: u32,
-    pub(crate) rentals: BTreeMap<String, Vec<String>>,
+    /// The machines that each provisioning request got, by the request's name.
+    pub(crate) provisioning_requests: BTreeMap<String, Vec<String>>,
     /// Requests that count against the limit, and when that was worked out.
     pub(crate) requests: f64,
     pub(crate) counted_at: Time,
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -23,13 +23,13 @@
     machines: Mutex<BTreeMap<String, Arc<Worker>>>,
     /// Machines made so far.
     made: AtomicU64,
-    rentals: Mutex<HashMap<String, Vec<String>>>,
+    provisioning_requests: Mutex<HashMap<String, Vec<String>>>,
     /// The controllers that new workers report to: names and addresses.
     pub controllers: Mutex<Vec<(String, SocketAddr)>>,
-    /// Machines on the list beside those that were rented. They never send heartbeats.
-    pub unrented_listed: AtomicU64,
-    /// Machines that one rental gets at most; 0: 3.
-    pub max_machines_per_rental: AtomicU64,
+    /// Machines on the list beside those that were requested. They never send heartbeats.
+    pub extra_listed: AtomicU64,
+    /// Machines that one provisioning request gets at most; 0: 3.
+    pub max_machines_per_request: AtomicU64,
     /// Whole lists that were told, to their last page.
     pub lists_served: AtomicU64,
     /// How controllers reach new workers.
@@ -43,10 +43,10 @@
             environment: Arc::default(),
             machines: Mutex::default(),
             made: AtomicU64::new(0),
-            rentals: Mutex::default(),
+            provisioning_requests: Mutex::default(),
             controllers: Mutex::default(),
-            unrented_listed: AtomicU64::new(0),
-            max_machines_per_rental: AtomicU64::new(0),
+            extra_listed: AtomicU64::new(0),
+            max_machines_per_request: AtomicU64::new(0),
             lists_served: AtomicU64::new(0),
             worker_routes: Mutex::default(),
         });
@@ -66,8 +66,8 @@
         self.made.load(Ordering::Relaxed)
     }
 
-    fn max_machines_per_rental(&self) -> usize {
-        match self.max_machines_per_rental.load(Ordering::Relaxed) {
+    fn max_machines_per_request(&self) -> usize {
+        match self.max_machines_per_request.load(Ordering::Relaxed) {
             0 => 3,
             most => most as usize,
         }
@@ -77,7 +77,7 @@
     fn listed(&self, path: &str) -> Result<Value, ciborium::value::Error> {
         let (since, most) = page_of(path);
         let mut names: Vec<String> = self.machines.lock().unwrap().keys().cloned().collect();
-        let others = self.unrented_listed.load(Ordering::Relaxed);
+        let others = self.extra_listed.load(Ordering::Relaxed);
         names.extend((0..others).map(|n| format!("o-{n:06}")));
         let mut names: Vec<String> = names.into_iter().filter(|name| *name > since).collect();
         let more = names.len() > most;
@@ -137,19 +137,24 @@
             ),
             "/rentals" if r.method == "POST" => {
                 #[derive(Deserialize)]
-                struct Rent {
+                struct ProvisioningCall {
                     #[serde(rename = "hire")]
                     request: String,
                     count: usize,
                 }
-                let rent: Rent = decode(&r.body).unwrap();
-                let known = self.rentals.lock().unwrap().get(&rent.request).cloned();
+                let call: ProvisioningCall = decode(&r.body).unwrap();
+                let known = self
+                    .provisioning_requests
+                    .lock()
+                    .unwrap()
+                    .get(&call.request)
+                    .cloned();
                 let names = known.unwrap_or_else(|| {
-                    let names: Vec<String> = (0..rent.count.min(self.max_machines_per_rental()))
+                    let names: Vec<String> = (0..call.count.min(self.max_machines_per_request()))
                         .map(|_| self.boot())
                         .collect();
-                    let mut rentals = self.rentals.lock().unwrap();
-                    rentals.insert(rent.request.clone(), names.clone());
+                    let mut provisioning_requests = self.provisioning_requests.lock().unwrap();
+                    provisioning_requests.insert(call.request.clone(), names.clone());
                     names
                 });
                 answer(200, cbor!({"hosts" => names}))
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -134,7 +134,7 @@
 fn prepare(cluster: &LoopbackCluster, workers: u32) {
     let cloud = &cluster.cloud;
     cloud
-        .max_machines_per_rental
+        .max_machines_per_request
         .store(u64::from(workers.max(3)), Ordering::Relaxed);
     if workers > MANY_WORKERS {
         cloud.environment.report_ms.store(400, Ordering::Relaxed);
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -82,13 +82,13 @@
         scheduler.on_timer(now);
         log_summary(scheduler, &mut timer.summary_logged_at, now);
         self.wake_loops(scheduler);
-        let hears_too_few_workers = scheduler.is_cut_off_from_workers(acting_since, now);
-        if hears_too_few_workers {
+        let reaches_too_few_workers = scheduler.is_cut_off_from_workers(acting_since, now);
+        if reaches_too_few_workers {
             self.step_down_unless_paused(&mut state, now);
         }
     }
 
-    /// A leader that hears too few workers steps down, once in a candidacy pause.
+    /// A leader that receives heartbeats of too few workers steps down, once in a candidacy pause.
     fn step_down_unless_paused(&self, state: &mut ControllerState, now: Moment) {
         if self.steps_down_without_successor() && state.candidacy_paused_until <= now {
             log::info!(reason = "most_workers_silent"; "stepping down");
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -31,7 +31,7 @@
 /// If more than one machine in so many is silent, the fault is rather on this side.
 const MAX_SILENT_ONE_IN: usize = 3;
 
-/// A machine that was not heard from after so many times its type's boot time is given up.
+/// A machine without a heartbeat after so many times its type's boot time is given up.
 const MAX_BOOTS: f64 = 4.0;
 
 /// Machines that are returned in one call.
@@ -39,7 +39,7 @@
 
 impl SchedulerState {
     /// True for a machine whose heartbeats arrive but which replies don't seem to reach: it takes no
-    /// work, so another one is requested in its place. A short suspicion changes nothing.
+    /// work, so another one is requested in its place. A short quarantine changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
         let unreconciled =
@@ -104,11 +104,11 @@
 
     /// Why a machine is of no use any more; None if it is of use.
     ///
-    /// A new leader hears from machines one by one: whoever was not heard from since it took over is not
-    /// thereby one that never came up.
+    /// A new leader receives the first heartbeats of machines one by one: a machine without one since the
+    /// leader was elected is not thereby one that never came up.
     fn defect(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
         let Some(last_report) = m.last_seen else {
-            return self.defect_of_unheard(m, now);
+            return self.defect_without_heartbeat(m, now);
         };
         let lease = self.lease_span();
         if m.unreachable && now - last_report > lease.scaled(1.5) {
@@ -124,17 +124,17 @@
         if m.has_preemption_notice {
             return Some(ReturnReason::PreemptionNotice);
         }
-        // Its heartbeats arrive, but it hears nothing, and not only for a while.
+        // Its heartbeats arrive, but it receives nothing, and not only for a while.
         let watched_for = (now - self.started).min(now - m.known_since);
         let unreconciled = !m.reconciled && watched_for > lease.scaled(2.0);
-        let suspected = m
+        let quarantined = m
             .quarantine
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
-        (unreconciled || suspected).then_some(ReturnReason::Unreached)
+        (unreconciled || quarantined).then_some(ReturnReason::Unreached)
     }
 
-    /// The same for a machine that this leader never heard from.
-    fn defect_of_unheard(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
+    /// The same for a machine from which this leader never received a heartbeat.
+    fn defect_without_heartbeat(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
         let lease = self.lease_span();
         let boot = self
             .provisioning
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -76,7 +76,7 @@
             now,
         );
         machine.lease_renewed_at = self.started;
-        // The heartbeat may be late and the machine gone: only a list or a rental proves that it exists.
+        // The heartbeat may be late and the machine gone: only a list or a provisioning request proves that it exists.
         machine.existed_at = self.prior_term.machines.get(&heartbeat.machine).copied();
         self.machines.insert(heartbeat.machine.clone(), machine);
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -48,7 +48,7 @@
     pub epoch_ended: bool,
     /// True once it is on record in the machine registry: only then may tasks start on it.
     pub registered: bool,
-    /// Set while it is suspected not to receive replies and commands.
+    /// Set while it is quarantined: replies and commands seem not to reach it.
     pub quarantine: Option<Quarantine>,
     /// The last moment at which anyone may have renewed its lease.
     pub lease_renewed_at: Moment,
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -455,7 +455,7 @@
 #[test]
 fn a_list_of_thousands_of_machines() {
     let (_, cloud, nodes) = serving("long-list");
-    cloud.unrented_listed.store(4200, Ordering::Relaxed);
+    cloud.extra_listed.store(4200, Ordering::Relaxed);
     cloud.lists_served.store(0, Ordering::Relaxed);
     let deadline = Instant::now() + Duration::from_secs(120);
     while cloud.lists_served.load(Ordering::Relaxed) < 3 {
