--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -5,7 +5,7 @@
 use crate::sched::{Time, lock};
 use crate::transcript::Channel;
 use crate::world::World;
-use aspenreel::http::client::CallError;
+use aspenreel::http::client::{CallError, ClientResponse, ResponseError};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::leadership::peer::{PeerLink, PeerReply, PeerRequest};
 use aspenreel::os::{EventCount, HttpClient, Os};
@@ -169,7 +169,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let request = Request {
             method: method.into(),
             path: path.into(),
@@ -201,17 +201,29 @@
             }
             _ => return self.call_worker(&request.body, timeout),
         };
-        answer.ok_or_else(|| CallError::Unknown("timeout".into()))
+        self.received(answer)
     }
 }
 
 impl SimHttp {
-    fn call_worker(&self, body: &[u8], timeout: Duration) -> Result<(u16, Vec<u8>), CallError> {
+    /// The response that arrived, or else the end of its time.
+    fn received(&self, answer: Option<(u16, Vec<u8>)>) -> Result<ClientResponse, CallError> {
+        let response = answer.map(|(status, body)| ClientResponse { status, body });
+        response.ok_or(CallError::OutcomeUnknown {
+            peer: self.addr,
+            source: ResponseError::TimedOut,
+        })
+    }
+
+    fn call_worker(&self, body: &[u8], timeout: Duration) -> Result<ClientResponse, CallError> {
         let reached = self.world.reaches_worker(self.node, self.addr);
         if !reached && !self.connected.load(Ordering::Relaxed) {
             let until = self.world.now() + timeout.as_micros() as Time;
             self.world.sched.sleep_until(until);
-            return Err(CallError::Unreached("timeout".into()));
+            return Err(CallError::Unreachable {
+                peer: self.addr,
+                source: ErrorKind::TimedOut.into(),
+            });
         }
         self.connected.store(true, Ordering::Relaxed);
         let slot = Slot::new(&self.world);
@@ -223,10 +235,11 @@
                 to.arrive(w, w.latency(), answer);
             });
         });
-        slot.wait(&self.world, timeout).ok_or_else(|| {
+        let answer = slot.wait(&self.world, timeout);
+        if answer.is_none() {
             self.connected.store(false, Ordering::Relaxed);
-            CallError::Unknown("timeout".into())
-        })
+        }
+        self.received(answer)
     }
 }
 
--- a/crates/testbed/src/processes.rs
+++ b/crates/testbed/src/processes.rs
@@ -2,7 +2,7 @@
 
 use crate::servers::State;
 use aspenreel::http::cbor::{decode, encode};
-use aspenreel::http::client::Client;
+use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::state_store::from_value;
 use ciborium::cbor;
 use serde::Deserialize;
@@ -141,7 +141,7 @@
         let result =
             Client::new(self.public[node]).call(method, path, body, Duration::from_secs(5));
         match result {
-            Ok((status, body)) => (status, decode(&body).ok()),
+            Ok(ClientResponse { status, body }) => (status, decode(&body).ok()),
             Err(_) => (0, None),
         }
     }
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::machines::foreman_of;
 use crate::processes::LEASE_S;
 use aspenreel::http::cbor::{decode, encode};
-use aspenreel::http::client::Client;
+use aspenreel::http::client::{Client, ClientResponse};
 use aspenreel::http::server::{Handler, Request, Response};
 use aspenreel::workers::wire::{Cause, Order, Orders, Report, TaskReport, TaskStatus, Verb};
 use serde::Deserialize;
@@ -296,8 +296,10 @@
             let body = encode(&report);
             let result = client.call("POST", "/checkin", &body, ANSWER_TIME);
             match result {
-                Ok((200, body)) => self.take_answer(&decode(&body).unwrap(), report.session, sent),
-                Ok((421, body)) => {
+                Ok(ClientResponse { status: 200, body }) => {
+                    self.take_answer(&decode(&body).unwrap(), report.session, sent)
+                }
+                Ok(ClientResponse { status: 421, body }) => {
                     let named = foreman_of(&body)
                         .and_then(|f| controllers.iter().position(|(n, _)| *n == f));
                     at = named.unwrap_or((at + 1) % controllers.len());
--- a/src/fleet/edge.rs
+++ b/src/fleet/edge.rs
@@ -34,13 +34,13 @@
             }
         }
         match self.cloud.call(method, path, body, CALL_TIME) {
-            Ok((429, _)) => {
+            Ok(answer) if answer.status == 429 => {
                 let pause = Micros::from_millis(500 + fastrand::u64(0..500));
                 let mut tokens = self.cloud_tokens.lock().unwrap_or_else(|e| e.into_inner());
                 tokens.punish(pause, now);
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(answer) => Some((answer.status, answer.body)),
             Err(e) => {
                 log::debug!("cloud: {path}: {e}");
                 None
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,161 +1,306 @@
-//! The client: kept-open connections to one address, each call bounded in time.
+//! The client: a connection pool for one peer, and calls with a deadline.
 
-use super::MAX_HEAD_BYTES;
-use std::io::{ErrorKind, Read, Write};
+use super::request_parser::parse_content_length;
+use super::{MAX_HEAD_BYTES, MAX_HEADER_FIELDS};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Answers larger than this are treated as malformed.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
-const MAX_KEPT: usize = 4;
+/// The largest accepted body of a response, in bytes.
+const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Idle connections that a client keeps for further calls.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Bytes read from a connection in one system call.
+const READ_CHUNK_BYTES: usize = 8 * 1024;
+/// Capacity with which the buffer of a response begins: most fit.
+const RESPONSE_CAPACITY: usize = 1024;
 
-#[derive(Debug, thiserror::Error)]
+/// Why a call has no response. The variants tell whether the peer may have executed the request.
+#[derive(Debug, Error)]
 pub enum CallError {
-    /// Nothing was sent, for want of something here: the request was surely not executed.
-    #[error("no connection: {0}")]
-    Unsent(String),
-    /// No connection came about: nothing was sent. Whoever it was meant for is not reached.
-    #[error("not reached: {0}")]
-    Unreached(String),
-    /// The request may have been executed, or may yet be.
-    #[error("no answer: {0}")]
-    Unknown(String),
+    /// Not executed: for a local reason, such as no free file descriptor, no connection was tried.
+    #[error("request to {peer} not sent: {source}")]
+    NotSent {
+        /// The address that was called.
+        peer: SocketAddr,
+        /// What was missing.
+        source: io::Error,
+    },
+    /// Not executed: the peer refused the connection or can't be reached.
+    #[error("{peer} unreachable: {source}")]
+    Unreachable {
+        /// The address that was called.
+        peer: SocketAddr,
+        /// Why there is no connection.
+        source: io::Error,
+    },
+    /// The request may have been executed, or may still be.
+    #[error("no response from {peer}: {source}")]
+    OutcomeUnknown {
+        /// The address that was called.
+        peer: SocketAddr,
+        /// What went wrong after the connection was made.
+        source: ResponseError,
+    },
 }
 
+/// Why no response could be read from a connection.
+#[derive(Debug, Error)]
+pub enum ResponseError {
+    /// The deadline passed.
+    #[error("timeout")]
+    TimedOut,
+    /// The peer closed the connection before the response was complete.
+    #[error("connection closed")]
+    ConnectionClosed,
+    /// Sending the request or receiving the response failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The head is not that of an HTTP response.
+    #[error("malformed head: {0}")]
+    MalformedHead(#[source] httparse::Error),
+    /// The head is larger than [`MAX_HEAD_BYTES`].
+    #[error("head larger than {MAX_HEAD_BYTES} bytes")]
+    HeadTooLarge,
+    /// The status line has no status code.
+    #[error("no status code")]
+    MissingStatus,
+    /// `Content-Length` is not a number.
+    #[error("invalid Content-Length")]
+    InvalidContentLength,
+    /// The body has a transfer encoding; only bodies with `Content-Length` are read.
+    #[error("transfer encoding not supported")]
+    TransferEncoding,
+    /// The body is larger than responses may be.
+    #[error("body of {length} bytes, larger than {MAX_RESPONSE_BODY_BYTES}")]
+    BodyTooLarge {
+        /// The body's length in bytes, as announced.
+        length: usize,
+    },
+}
+
+/// A response, as a client received it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClientResponse {
+    /// The status code.
+    pub status: u16,
+    /// The body; empty if there is none.
+    pub body: Vec<u8>,
+}
+
+/// A client of one peer, which keeps a few idle connections for further calls. It may be used by several
+/// threads at the same time; each call has a connection of its own.
 #[derive(Debug)]
 pub struct Client {
-    addr: SocketAddr,
-    kept: Mutex<Vec<TcpStream>>,
+    peer: SocketAddr,
+    idle_connections: Mutex<Vec<TcpStream>>,
 }
 
 impl Client {
-    pub fn new(addr: SocketAddr) -> Self {
+    /// A client without connections; the first call makes one.
+    pub fn new(peer: SocketAddr) -> Self {
         Client {
-            addr,
-            kept: Mutex::new(Vec::new()),
+            peer,
+            idle_connections: Mutex::new(Vec::new()),
         }
     }
 
-    pub fn addr(&self) -> SocketAddr {
-        self.addr
-    }
-
-    fn kept(&self) -> std::sync::MutexGuard<'_, Vec<TcpStream>> {
-        self.kept.lock().unwrap_or_else(|e| e.into_inner())
-    }
-
+    /// Sends a request and blocks until its response has arrived, or `timeout` is over. A call is not
+    /// repeated: if the peer has closed the idle connection meanwhile, it fails.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError`] tells whether the request may have been executed. A response with an error
+    /// status is a success here.
     pub fn call(
         &self,
         method: &str,
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let deadline = Instant::now() + timeout;
-        let reused = self.kept().pop();
-        let mut stream = match reused {
-            Some(s) => s,
-            None => {
-                let s = TcpStream::connect_timeout(&self.addr, timeout).map_err(no_connection)?;
-                let _ = s.set_nodelay(true);
-                s
-            }
-        };
-        let mut out = format!(
+        let mut stream = self.connection(timeout)?;
+        let request = self.encode_request(method, path, body);
+        let (response, close) = exchange(&mut stream, &request, timeout, deadline)
+            .map_err(|source| self.outcome_unknown(source))?;
+        if !close {
+            self.keep(stream);
+        }
+        Ok(response)
+    }
+
+    /// An idle connection, or else a new one.
+    fn connection(&self, timeout: Duration) -> Result<TcpStream, CallError> {
+        let idle = self.idle_connections().pop();
+        if let Some(stream) = idle {
+            return Ok(stream);
+        }
+        let stream = TcpStream::connect_timeout(&self.peer, timeout)
+            .map_err(|source| self.connect_error(source))?;
+        let _ = stream.set_nodelay(true);
+        Ok(stream)
+    }
+
+    /// Keeps a connection for further calls, unless enough are kept.
+    fn keep(&self, stream: TcpStream) {
+        let mut idle_connections = self.idle_connections();
+        if idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(stream);
+        }
+    }
+
+    fn idle_connections(&self) -> MutexGuard<'_, Vec<TcpStream>> {
+        self.idle_connections
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    fn encode_request(&self, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+        let mut request = format!(
             "{method} {path} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/cbor\r\nContent-Length: {}\r\n\r\n",
-            self.addr,
+            self.peer,
             body.len()
         )
         .into_bytes();
-        out.extend_from_slice(body);
-        let _ = stream.set_write_timeout(Some(timeout));
-        stream
-            .write_all(&out)
-            .map_err(|e| CallError::Unknown(e.to_string()))?;
-        let (status, body, close) = read_answer(&mut stream, deadline)?;
-        if !close {
-            let mut kept = self.kept();
-            if kept.len() < MAX_KEPT {
-                kept.push(stream);
-            }
+        request.extend_from_slice(body);
+        request
+    }
+
+    /// Tells a peer that can't be reached from a local failure.
+    fn connect_error(&self, source: io::Error) -> CallError {
+        use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable};
+        let peer = self.peer;
+        match source.kind() {
+            ErrorKind::TimedOut
+            | ConnectionRefused
+            | ConnectionReset
+            | HostUnreachable
+            | NetworkUnreachable => CallError::Unreachable { peer, source },
+            _ => CallError::NotSent { peer, source },
         }
-        Ok((status, body))
     }
-}
 
-/// Whether it was for this side or for the other that no connection came about.
-fn no_connection(e: std::io::Error) -> CallError {
-    use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable};
-    match e.kind() {
-        ErrorKind::TimedOut
-        | ConnectionRefused
-        | ConnectionReset
-        | HostUnreachable
-        | NetworkUnreachable => CallError::Unreached(e.to_string()),
-        _ => CallError::Unsent(e.to_string()),
+    fn outcome_unknown(&self, source: ResponseError) -> CallError {
+        CallError::OutcomeUnknown {
+            peer: self.peer,
+            source,
+        }
     }
 }
 
-fn unknown(text: impl Into<String>) -> CallError {
-    CallError::Unknown(text.into())
+/// Sends a request and reads its response; also tells whether the peer closes the connection.
+fn exchange(
+    stream: &mut TcpStream,
+    request: &[u8],
+    timeout: Duration,
+    deadline: Instant,
+) -> Result<(ClientResponse, bool), ResponseError> {
+    let _ = stream.set_write_timeout(Some(timeout));
+    stream.write_all(request)?;
+    let mut reader = ResponseReader {
+        stream,
+        deadline,
+        buffer: Vec::with_capacity(RESPONSE_CAPACITY),
+        chunk: [0; READ_CHUNK_BYTES],
+    };
+    reader.read()
 }
 
-fn read_answer(
-    stream: &mut TcpStream,
+/// What the head of a response says.
+struct ResponseHead {
+    status: u16,
+    /// Where the body begins in the buffer.
+    body_start: usize,
+    content_length: usize,
+    /// The peer closes the connection after the response.
+    close: bool,
+}
+
+/// Reads one response from a connection until a deadline.
+struct ResponseReader<'a> {
+    stream: &'a mut TcpStream,
     deadline: Instant,
-) -> Result<(u16, Vec<u8>, bool), CallError> {
-    let mut buf: Vec<u8> = Vec::with_capacity(1024);
-    let mut chunk = [0u8; 8192];
-    let mut more = |buf: &mut Vec<u8>| -> Result<(), CallError> {
-        let left = deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return Err(unknown("timeout"));
+    /// What has arrived.
+    buffer: Vec<u8>,
+    chunk: [u8; READ_CHUNK_BYTES],
+}
+
+impl ResponseReader<'_> {
+    fn read(&mut self) -> Result<(ClientResponse, bool), ResponseError> {
+        let head = self.read_head()?;
+        let end = head.body_start + head.content_length;
+        while self.buffer.len() < end {
+            self.receive()?;
         }
-        let _ = stream.set_read_timeout(Some(left));
-        match stream.read(&mut chunk) {
-            Ok(0) => Err(unknown("closed")),
-            Ok(n) => {
-                buf.extend_from_slice(&chunk[..n]);
+        self.buffer.truncate(end);
+        let response = ClientResponse {
+            status: head.status,
+            body: self.buffer.split_off(head.body_start),
+        };
+        Ok((response, head.close))
+    }
+
+    fn read_head(&mut self) -> Result<ResponseHead, ResponseError> {
+        loop {
+            self.receive()?;
+            if let Some(head) = parse_head(&self.buffer)? {
+                return Ok(head);
+            }
+        }
+    }
+
+    /// Waits for bytes and appends them to the buffer.
+    fn receive(&mut self) -> Result<(), ResponseError> {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        if time_left.is_zero() {
+            return Err(ResponseError::TimedOut);
+        }
+        let _ = self.stream.set_read_timeout(Some(time_left));
+        match self.stream.read(&mut self.chunk) {
+            Ok(0) => Err(ResponseError::ConnectionClosed),
+            Ok(received) => {
+                self.buffer.extend_from_slice(&self.chunk[..received]);
                 Ok(())
             }
-            Err(e) if e.kind() == ErrorKind::Interrupted => Ok(()),
-            Err(e) => Err(unknown(e.to_string())),
+            Err(error) if error.kind() == ErrorKind::Interrupted => Ok(()),
+            Err(error) => Err(error.into()),
         }
+    }
+}
+
+/// Parses the head of a response; `None` if it is incomplete.
+fn parse_head(buffer: &[u8]) -> Result<Option<ResponseHead>, ResponseError> {
+    let mut header_fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let mut head = httparse::Response::new(&mut header_fields);
+    let body_start = match head.parse(buffer) {
+        Ok(httparse::Status::Complete(body_start)) => body_start,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(httparse::Status::Partial) => return Err(ResponseError::HeadTooLarge),
+        Err(error) => return Err(ResponseError::MalformedHead(error)),
     };
-    loop {
-        more(&mut buf)?;
-        let mut headers = [httparse::EMPTY_HEADER; 48];
-        let mut head = httparse::Response::new(&mut headers);
-        match head.parse(&buf) {
-            Ok(httparse::Status::Complete(start)) => {
-                let status = head.code.ok_or_else(|| unknown("no status"))?;
-                let mut close = head.version == Some(0);
-                let mut length = 0usize;
-                for h in head.headers.iter() {
-                    if h.name.eq_ignore_ascii_case("content-length") {
-                        length = std::str::from_utf8(h.value)
-                            .ok()
-                            .and_then(|v| v.trim().parse().ok())
-                            .ok_or_else(|| unknown("bad length"))?;
-                    } else if h.name.eq_ignore_ascii_case("connection") {
-                        close |= h.value.eq_ignore_ascii_case(b"close");
-                    } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-                        return Err(unknown("transfer encoding not supported"));
-                    }
-                }
-                if length > MAX_ANSWER {
-                    return Err(unknown("answer too large"));
-                }
-                while buf.len() < start + length {
-                    more(&mut buf)?;
-                }
-                buf.truncate(start + length);
-                let body = buf.split_off(start);
-                return Ok((status, body, close));
-            }
-            Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD_BYTES => {}
-            _ => return Err(unknown("malformed answer")),
+    let mut parsed = ResponseHead {
+        status: head.code.ok_or(ResponseError::MissingStatus)?,
+        body_start,
+        content_length: 0,
+        // HTTP/1.0 closes the connection after each response.
+        close: head.version == Some(0),
+    };
+    for field in head.headers.iter() {
+        if field.name.eq_ignore_ascii_case("content-length") {
+            parsed.content_length =
+                parse_content_length(field.value).ok_or(ResponseError::InvalidContentLength)?;
+        } else if field.name.eq_ignore_ascii_case("connection") {
+            parsed.close |= field.value.eq_ignore_ascii_case(b"close");
+        } else if field.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Err(ResponseError::TransferEncoding);
         }
     }
+    if parsed.content_length > MAX_RESPONSE_BODY_BYTES {
+        let length = parsed.content_length;
+        return Err(ResponseError::BodyTooLarge { length });
+    }
+    Ok(Some(parsed))
 }
--- a/src/os.rs
+++ b/src/os.rs
@@ -4,7 +4,7 @@
 //! and whatever they talk to, into one process on simulated time: it gives them clocks, waits and
 //! calls of its own, and everything else is the code that runs in production.
 
-use crate::http::client::{CallError, Client};
+use crate::http::client::{CallError, Client, ClientResponse};
 use crate::leadership::peer::{PeerLink, TcpPeer};
 use crate::time::{Clock, Micros, Moment, WallTime};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError>;
+    ) -> Result<ClientResponse, CallError>;
 }
 
 /// Wakes threads that wait for a change. The count is read under the lock that guards what changes, so
@@ -81,7 +81,7 @@
         path: &str,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         Client::call(self, method, path, body, timeout)
     }
 }
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -4,7 +4,7 @@
 pub mod pages;
 
 use crate::http::cbor::{decode, encode};
-use crate::http::client::CallError;
+use crate::http::client::{CallError, ClientResponse};
 use crate::links::EvidenceSink;
 use crate::os::{HttpClient, Os};
 use crate::time::{Micros, Moment};
@@ -179,16 +179,16 @@
     }
 
     /// Notes what a call showed of its link. A call that never left shows nothing.
-    fn note_evidence(&self, path: &str, result: &Result<(u16, Vec<u8>), CallError>, at: Moment) {
+    fn note_evidence(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
         let Some(evidence) = &self.evidence else {
             return;
         };
         let outcome = match result {
-            Ok((503, _)) => Outcome::Failed(Failure::Refused),
+            Ok(ClientResponse { status: 503, .. }) => Outcome::Failed(Failure::Refused),
             Ok(_) => Outcome::Answered,
-            Err(CallError::Unsent(_)) => return,
-            Err(CallError::Unreached(_)) => Outcome::Failed(Failure::Unreachable),
-            Err(CallError::Unknown(_)) => Outcome::Failed(Failure::NoAnswer),
+            Err(CallError::NotSent { .. }) => return,
+            Err(CallError::Unreachable { .. }) => Outcome::Failed(Failure::Unreachable),
+            Err(CallError::OutcomeUnknown { .. }) => Outcome::Failed(Failure::NoAnswer),
         };
         let link = match path {
             TRANSACTIONS_PATH => Link::StateWrites,
@@ -240,21 +240,25 @@
         self.note_evidence(path, &result, answered_at);
         let at = answered_at.0;
         match &result {
-            Ok((503, _)) | Err(_) => self.last_silence.store(at, Ordering::Relaxed),
+            Ok(ClientResponse { status: 503, .. }) | Err(_) => {
+                self.last_silence.store(at, Ordering::Relaxed)
+            }
             Ok(_) => self.last_answer.store(at, Ordering::Relaxed),
         }
-        let (status, answer) = result.map_err(|e| match e {
-            CallError::Unsent(e) | CallError::Unreached(e) => StoreError::Refused(e),
-            CallError::Unknown(e) => StoreError::Unknown(e),
+        let answer = result.map_err(|e| match e {
+            CallError::OutcomeUnknown { .. } => StoreError::Unknown(e.to_string()),
+            CallError::NotSent { .. } | CallError::Unreachable { .. } => {
+                StoreError::Refused(e.to_string())
+            }
         })?;
-        match status {
+        match answer.status {
             429 => {
                 let pause = Micros::from_millis(100 + fastrand::u64(0..100));
                 self.bucket().punish(pause, now);
                 Err(StoreError::Refused("429".into()))
             }
             503 => Err(StoreError::Refused("503".into())),
-            _ => Ok((status, answer)),
+            status => Ok((status, answer.body)),
         }
     }
 
--- a/src/workers/edge.rs
+++ b/src/workers/edge.rs
@@ -4,7 +4,7 @@
 use super::direct::{DirectCall, DirectResult};
 use super::wire::{Commands, Misdirected, Orders, Report, Sender};
 use crate::http::cbor::{decode, encode};
-use crate::http::client::CallError;
+use crate::http::client::{CallError, ClientResponse};
 use crate::http::server::Response;
 use crate::node::Node;
 use crate::os::{HttpClient, Os};
@@ -200,23 +200,26 @@
         });
         let time = if call.probe { PROBE_TIME } else { DIRECT_TIME };
         match client.call("POST", "/commands", &body, time) {
-            Ok((200 | 409, body)) => match decode(&body) {
+            Ok(ClientResponse {
+                status: 200 | 409,
+                body,
+            }) => match decode(&body) {
                 Ok(report) => DirectResult::Report(report),
                 Err(e) => {
                     log::info!("malformed answer of {}: {e}", call.machine);
                     DirectResult::Unknown
                 }
             },
-            Ok((status, _)) => {
+            Ok(ClientResponse { status, .. }) => {
                 log::info!("{} answers {status} to orders", call.machine);
                 DirectResult::Unknown
             }
             Err(e) => {
                 log::debug!("{}: {e}", call.machine);
                 match e {
-                    CallError::Unsent(_) => DirectResult::Unsent,
-                    CallError::Unreached(_) => DirectResult::Unreached,
-                    CallError::Unknown(_) => DirectResult::Unknown,
+                    CallError::NotSent { .. } => DirectResult::Unsent,
+                    CallError::Unreachable { .. } => DirectResult::Unreached,
+                    CallError::OutcomeUnknown { .. } => DirectResult::Unknown,
                 }
             }
         }
