--- a/crates/report/src/bin/half-cut-links.rs
+++ b/crates/report/src/bin/half-cut-links.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays cut and flapping links with and without --half-cut-links, and writes an HTML report
+/// Runs cut and flapping links with and without --half-cut-links, and writes an HTML report
 #[derive(Debug, Parser)]
 struct Options {
-    /// Runs of each trouble, with and without the flag
+    /// Runs of each fault, with and without the flag
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     seeds: u64,
     /// Where the report is written
--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -11,7 +11,7 @@
 use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
 use std::sync::Arc;
 
-/// The trouble begins then, and lasts for so long.
+/// The fault begins then, and lasts for so long.
 const BEGINS_S: f64 = 30.0;
 const LASTS_S: f64 = 60.0;
 const JOBS: u32 = 90;
@@ -23,23 +23,23 @@
 pub enum Fault {
     /// Reports of workers don't arrive.
     NoReports,
-    /// Answers and orders don't reach workers.
+    /// Answers and commands don't reach workers.
     NoAnswers,
     /// Nothing passes between the leader and workers.
     NoWorkers,
-    /// Neither workers nor peers; the state service is there.
+    /// Neither workers nor peers; the key-value store is there.
     OnlyState,
-    /// The state service refuses transactions, and nothing else.
+    /// The key-value store refuses transactions, and nothing else.
     WritesRefused,
-    /// The state service is silent.
+    /// The key-value store is silent.
     NoState,
     /// Nothing passes between the leader and workers for half of each period.
     WorkersFlap(f64),
-    /// The same between the leader and the state service.
+    /// The same between the leader and the key-value store.
     StateFlaps(f64),
 }
 
-/// A trouble with the name that it has in tables and plots.
+/// A fault with the name that it has in tables and plots.
 pub const TROUBLES: [(&str, Fault); 12] = [
     ("no reports", Fault::NoReports),
     ("no answers", Fault::NoAnswers),
@@ -58,14 +58,14 @@
 const WITHOUT: fn(usize) -> &'static [&'static str] = |_| &[];
 const WITH: fn(usize) -> &'static [&'static str] = |_| &["--half-cut-links"];
 
-/// What was measured of one trouble, with or without the flag, over all seeds.
+/// What was measured of one fault, with or without the flag, over all seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// From the cut to the last start that the first leader decided, in seconds.
     pub last_decision: Distribution,
     /// From the cut to the first start that the next leader decided, where there was one.
     pub next_decision: Distribution,
-    /// Leaders a minute while the trouble lasted.
+    /// Leaders a minute while the fault lasted.
     pub leaders_per_minute: Distribution,
     /// Users' questions that got no useful answer, in each run.
     pub unanswered: Distribution,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Plays a trouble with each seed.
+/// Runs a fault with each seed.
 pub fn measure(fault: Fault, seeds: &[u64], watching: bool) -> Measured {
     let setup = Setup {
         flags: if watching { WITH } else { WITHOUT },
@@ -162,10 +162,10 @@
     }
 }
 
-/// One trouble, measured without and with the flag.
+/// One fault, measured without and with the flag.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// The trouble's name.
+    /// The fault's name.
     pub name: &'static str,
     /// Without `--half-cut-links`.
     pub without: Measured,
@@ -173,7 +173,7 @@
     pub with: Measured,
 }
 
-/// Plays all troubles.
+/// Runs all faults.
 pub fn compare(seeds: u64) -> Vec<Comparison> {
     let seeds: Vec<u64> = (1..=seeds).collect();
     TROUBLES
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,7 +1,7 @@
 //! Measurements of aspenreel's subsystems, as HTML reports with plots.
 //!
 //! Each report is made by one command, and holds everything in a single file: tables for reading, plots
-//! for seeing. The figures come from the model of [`aspenreel_simulation`]: *simulated* machines, simulated
+//! for seeing. The figures come from the simulation of [`aspenreel_simulation`]: *simulated* machines, simulated
 //! time, the production code of the controllers.
 
 pub mod fleet_size;
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -20,6 +20,7 @@
     (since, most.min(MAX_LISTED))
 }
 
+/// What the simulated cloud remembers.
 #[derive(Default)]
 pub struct CloudState {
     pub(crate) made: u32,
@@ -27,6 +28,7 @@
     /// Requests that count against the limit, and when that was worked out.
     pub(crate) requests: f64,
     pub(crate) counted_at: Time,
+    /// It answers nothing but errors until then.
     pub out_until: Time,
     /// Machines come up within two seconds until then.
     pub quick_until: Time,
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -13,6 +13,7 @@
 use std::sync::Arc;
 
 impl Simulation {
+    /// The zone of a controller.
     pub fn zone_of_node(&self, n: usize) -> &'static str {
         ["east", "west"][n % 2]
     }
@@ -55,6 +56,7 @@
         .unwrap()
     }
 
+    /// Starts a controller's process, with all its threads.
     pub fn start_node(self: &Arc<Self>, n: usize) {
         let (process, seed, drift, skew) = {
             let mut state = self.state();
@@ -101,6 +103,7 @@
         }
     }
 
+    /// A controller's process stands still for so many seconds.
     pub fn freeze(self: &Arc<Self>, n: usize, span: f64) {
         if let Some(process) = self.state().nodes[n].process {
             self.scheduler.freeze(process, self.now() + secs(span));
@@ -108,7 +111,7 @@
         self.note_fault(span);
     }
 
-    /// The node that the state service names as leader.
+    /// The node that the key-value store names as leader.
     pub fn leader(&self) -> Option<usize> {
         let data = self.state().store.data("leader")?;
         let record: LeaderRecord = from_value(&data)?;
--- a/crates/simulation/src/directions.rs
+++ b/crates/simulation/src/directions.rs
@@ -8,7 +8,7 @@
 pub enum Endpoint {
     /// A controller, by number.
     Node(usize),
-    /// The state service.
+    /// The key-value store.
     Store,
     /// All workers.
     Workers,
@@ -17,11 +17,14 @@
 /// One direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
+    /// The end that sends.
     pub from: Endpoint,
+    /// The end that receives.
     pub to: Endpoint,
 }
 
 impl Direction {
+    /// The direction from one end to the other.
     pub fn new(from: Endpoint, to: Endpoint) -> Direction {
         Direction { from, to }
     }
@@ -47,11 +50,13 @@
 }
 
 impl Cuts {
+    /// This direction is cut now.
     pub fn blocks(&self, from: Endpoint, to: Endpoint, now: Time) -> bool {
         let until = self.until.get(&Direction::new(from, to));
         until.is_some_and(|until| *until > now)
     }
 
+    /// This controller's transactions are refused now.
     pub fn refuses_writes(&self, node: usize, now: Time) -> bool {
         let until = self.writes_refused.get(&node);
         until.is_some_and(|until| *until > now)
--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -1,10 +1,10 @@
-//! Days of troubles drawn by a seed.
+//! Days of faults drawn by a seed.
 
 use crate::checker::JobPlan;
 use crate::simulation::Simulation;
 use std::sync::Arc;
 
-/// How long jobs come and troubles begin, in seconds.
+/// How long jobs come and faults begin, in seconds.
 const DAY_S: f64 = 130.0;
 
 fn some_machines(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) -> Vec<String> {
@@ -13,7 +13,7 @@
     up.into_iter().filter(|_| rng.f64() < share).collect()
 }
 
-/// Jobs of all kinds, users of all kinds, and troubles.
+/// Jobs of all kinds, users of all kinds, and faults.
 pub fn draw(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) {
     let mut at = 3.0;
     for i in 0.. {
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -1,5 +1,5 @@
-//! The state service's keys, holds and log, as the published protocol tells of them. Time is handed
-//! in, so that stand-ins on real time and the model on simulated time share it.
+//! The key-value store's keys, holds and log, as the published protocol tells of them. Time is handed
+//! in, so that stand-ins on real time and the simulation on simulated time share it.
 
 use aspenreel::http::cbor::{decode, encode, json_len};
 use aspenreel::state_store::bucket::TokenBucket;
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
+/// The store: keys, leases and the log of changes.
 #[derive(Default)]
 pub struct FakeStore {
     /// Data, revision, hold.
@@ -26,15 +27,20 @@
     pub refused: u32,
     /// Requests that were more than that, and all since then.
     pub throttled: u32,
+    /// Requests since the limits hold.
     pub counted: u32,
 }
 
-/// What the state service takes.
+/// What the key-value store takes.
 #[derive(Clone, Copy)]
 pub struct Limits {
+    /// Bytes of a value, at most.
     pub value_bytes: usize,
+    /// Changes of a transaction, at most.
     pub txn_ops: usize,
+    /// Requests per second.
     pub rps: f64,
+    /// Changes per second.
     pub write_rps: f64,
 }
 
@@ -62,8 +68,10 @@
     permit: Option<u64>,
 }
 
+/// An HTTP status and a body.
 pub type StoreResponse = (u16, Vec<u8>);
 
+/// A response with this body.
 pub fn answer(status: u16, value: Result<Value, ciborium::value::Error>) -> StoreResponse {
     (status, encode(&value.unwrap()))
 }
@@ -75,12 +83,16 @@
 
 /// What a watch asks for.
 pub struct Watch {
+    /// What the keys begin with.
     pub starts: String,
+    /// The revision after which changes are wanted.
     pub since: u64,
+    /// How long the watch may stay open.
     pub hold: Duration,
 }
 
 impl Watch {
+    /// A watch, as a request's path tells it.
     pub fn of(path: &str) -> Watch {
         let q = query(path);
         Watch {
@@ -92,6 +104,7 @@
 }
 
 impl FakeStore {
+    /// The value of a key.
     pub fn data(&self, key: &str) -> Option<Value> {
         self.rows.get(key).map(|r| r.0.clone())
     }
@@ -138,6 +151,7 @@
         }
     }
 
+    /// Carries out a transaction on preconditions.
     pub fn multi(&mut self, body: &[u8]) -> StoreResponse {
         let multi: Multi = decode(body).unwrap();
         if self.is_too_large(&multi, body) {
@@ -229,6 +243,7 @@
         answer(200, cbor!({"epoch" => self.revision, "log" => log}))
     }
 
+    /// One page of the keys with a prefix.
     pub fn range(&self, path: &str) -> StoreResponse {
         let q = query(path);
         let most: usize = q["most"].parse().unwrap();
@@ -248,6 +263,7 @@
         )
     }
 
+    /// One key.
     pub fn get(&self, key: &str) -> StoreResponse {
         match self.rows.get(key) {
             Some((data, stamp, permit)) => answer(
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -11,12 +11,13 @@
 use std::sync::Arc;
 
 impl Simulation {
-    /// Notes that some trouble lasts for so long.
+    /// Notes that some fault lasts for so long.
     pub fn note_fault(&self, span: f64) {
         let mut state = self.state();
         state.faults_until = state.faults_until.max(self.now() + secs(span));
     }
 
+    /// The store refuses everybody for so many seconds.
     pub fn store_outage(self: &Arc<Self>, span: f64) {
         self.state().store_is_down = true;
         self.note_fault(span);
@@ -31,7 +32,7 @@
         });
     }
 
-    /// The state service refuses this node alone.
+    /// The key-value store refuses this node alone.
     pub fn refuse_node(self: &Arc<Self>, n: usize, span: f64) {
         let until = self.now() + secs(span);
         self.state().nodes[n].refused_until = until;
@@ -39,7 +40,7 @@
         self.at_time(until, |sim| sim.store_changed());
     }
 
-    /// A node loses the state service (nothing answers) and, if told so, the other nodes.
+    /// A node loses the key-value store (nothing answers) and, if told so, the other nodes.
     pub fn cut_store(self: &Arc<Self>, n: usize, span: f64, peers: bool) {
         let until = self.now() + secs(span);
         self.state().nodes[n].store_cut_until = until;
@@ -50,17 +51,20 @@
         self.at_time(until, |sim| sim.store_changed());
     }
 
+    /// A controller and the workers lose each other.
     pub fn cut_workers(self: &Arc<Self>, n: usize, span: f64) {
         self.state().nodes[n].workers_cut_until = self.now() + secs(span);
         self.note_fault(span);
     }
 
+    /// A zone and the others lose each other.
     pub fn cut_zone(self: &Arc<Self>, zone: &str, span: f64) {
         let until = self.now() + secs(span);
         self.state().zone_cuts.insert(zone.into(), until);
         self.note_fault(span);
     }
 
+    /// That share of the transactions gets no answer; they are carried out at once or later.
     pub fn late_writes(&self, share: f64, at_once: bool, span: f64) {
         let until = self.now() + secs(span);
         self.state().late_writes = Some(LateWrites {
@@ -71,6 +75,7 @@
         self.note_fault(span + 12.0);
     }
 
+    /// That share of the heartbeats is copied; copies arrive later, or as the next leader begins.
     pub fn late_heartbeats(&self, share: f64, for_next: bool, span: f64) {
         let until = self.now() + secs(span);
         self.state().late_heartbeats = Some(LateHeartbeats {
@@ -81,6 +86,7 @@
         self.note_fault(span + 1.5 * LEASE_S);
     }
 
+    /// The store answers by `time` seconds later.
     pub fn slow_store(self: &Arc<Self>, time: f64, span: f64) {
         self.state().store_delay = secs(time);
         self.note_fault(span);
@@ -114,7 +120,7 @@
         });
     }
 
-    /// The state service refuses this node's transactions, and nothing else.
+    /// The key-value store refuses this node's transactions, and nothing else.
     pub fn refuse_writes(self: &Arc<Self>, node: usize, span: f64) {
         let until = self.now() + secs(span);
         self.state().cuts.writes_refused.insert(node, until);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,6 +8,11 @@
 //! - An independent checker of the protocol's rules ([`checker`]), which knows only what users were told and what
 //!   runs on machines.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test fails at the place where something unexpected happens"
+)]
+
 pub mod checker;
 pub mod cloud;
 pub mod cloud_state;
@@ -21,6 +26,7 @@
 pub mod machine;
 pub mod machine_faults;
 pub mod network;
+pub mod observations;
 pub mod older_version;
 mod pending_call;
 pub mod run;
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,4 +1,4 @@
-//! What the controllers of the model log, with simulated time, when `MODEL_LOG` asks for it.
+//! What the controllers of the simulation log, with simulated time, when `MODEL_LOG` asks for it.
 
 use crate::scheduler::DeterministicScheduler;
 use log::{LevelFilter, Log, Metadata, Record};
@@ -24,6 +24,7 @@
     fn flush(&self) {}
 }
 
+/// Prints what controllers log from now on, with the time of this simulation, if `MODEL_LOG` is set.
 pub fn follow(scheduler: &Arc<DeterministicScheduler>) {
     let Ok(level) = std::env::var("MODEL_LOG") else {
         return;
--- a/crates/simulation/src/machine_faults.rs
+++ b/crates/simulation/src/machine_faults.rs
@@ -1,9 +1,10 @@
 //! What happens to machines: they freeze, lose their network, are taken back or die.
 
-use crate::machine::{LISTED_AFTER_DEATH_S, Machine, on_machine, split_task_id};
+use crate::machine::{LISTED_AFTER_DEATH_S, Machine, on_machine};
 use crate::scheduler::{Time, secs};
 use crate::simulation::Simulation;
 use crate::state::SimulationState;
+use crate::worker_protocol::split_task_id;
 use aspenreel::workers::wire::TaskStatus;
 use std::sync::Arc;
 
@@ -27,6 +28,7 @@
         found.map(|m| m.name.clone()).collect()
     }
 
+    /// Changes these machines, for `span` seconds.
     pub fn change_machines(
         &self,
         names: &[String],
@@ -45,6 +47,7 @@
         self.note_fault(span);
     }
 
+    /// The machines stand still, and go on after it.
     pub fn freeze_machines(&self, names: &[String], span: f64) {
         let now = self.now();
         self.change_machines(names, span, |m, until| {
@@ -53,6 +56,7 @@
         });
     }
 
+    /// The machines' network is cut; `holds`: what it stops is delivered in the end.
     pub fn cut(&self, names: &[String], span: f64, holds: bool) {
         self.change_machines(names, span, |m, until| {
             m.cut_until = until;
@@ -60,10 +64,12 @@
         });
     }
 
+    /// What the machines send is lost.
     pub fn drop_outbound(&self, names: &[String], span: f64) {
         self.change_machines(names, span, |m, until| m.outbound_dropped_until = until);
     }
 
+    /// What is sent to the machines is lost.
     pub fn drop_inbound(&self, names: &[String], span: f64) {
         self.change_machines(names, span, |m, until| m.inbound_dropped_until = until);
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -14,6 +14,7 @@
 
 const YEAR: u64 = 365 * 24 * 3600 * 1_000_000;
 
+/// What one controller of a simulation takes for its operating system.
 pub struct SimOs {
     simulation: Arc<Simulation>,
     node: usize,
@@ -23,6 +24,7 @@
 }
 
 impl SimOs {
+    /// For a process that starts now; `drift` is the error of its clock per second, `skew` that of its wall clock in microseconds.
     pub fn new(
         simulation: &Arc<Simulation>,
         node: usize,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan on many seeds at once.
+//! Runs a plan on many seeds at once.
 
 use crate::scheduler;
 use crate::setup::Setup;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Plays a model with each seed, or with the one that `MODEL_SEED` names, several at once, and
+/// Runs a simulation with each seed, or with the one that `MODEL_SEED` names, several at once, and
 /// returns how each ended. No rule may break in any.
 #[track_caller]
 pub fn run(
@@ -56,7 +56,7 @@
     ends
 }
 
-/// Plays a model with each of these seeds, several at once; how each ended, in their order.
+/// Runs a simulation with each of these seeds, several at once; how each ended, in their order.
 pub fn run_seeds(
     seeds: &[u64],
     setup: &Setup,
--- a/crates/simulation/src/scheduler.rs
+++ b/crates/simulation/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Simulated time: threads that run one at a time, and events, in an order that only the seed decides.
+//! Simulated time: threads that run one at a time, and events, in a command that only the seed decides.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -6,13 +6,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 
-/// Microseconds since the model began.
+/// Microseconds since the simulation began.
 pub type Time = u64;
 
+/// Seconds as simulated time.
 pub fn secs(s: f64) -> Time {
     (s * 1e6) as Time
 }
 
+/// Locks, also after a panic of another holder.
 pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -65,6 +67,7 @@
     panics: Vec<String>,
 }
 
+/// Runs threads one at a time and events in the order of simulated time, and of their making where that is equal.
 #[derive(Default)]
 pub struct DeterministicScheduler {
     now: AtomicU64,
@@ -72,6 +75,7 @@
 }
 
 impl DeterministicScheduler {
+    /// The simulated time.
     pub fn now(&self) -> Time {
         self.now.load(Ordering::Relaxed)
     }
@@ -83,6 +87,7 @@
         inner.queue.insert(key, event);
     }
 
+    /// Does this work then.
     pub fn at(&self, at: Time, work: impl FnOnce() + Send + 'static) {
         self.push(at, Event::Run(Box::new(work)));
     }
@@ -152,6 +157,7 @@
         (task.id, sleep)
     }
 
+    /// Wakes a task from that sleep then, if it still sleeps it.
     pub fn wake(&self, sleeper: (u64, u64), at: Time) {
         self.push(at, Event::Wake(sleeper.0, sleeper.1));
     }
@@ -186,16 +192,18 @@
         }
     }
 
+    /// Threads of a process do not run until then.
     pub fn freeze(&self, process: u64, until: Time) {
         lock(&self.inner).frozen.insert(process, until);
     }
 
+    /// Until when a process stands still, if it does.
     pub fn frozen(&self, process: u64) -> Option<Time> {
         let until = lock(&self.inner).frozen.get(&process).copied()?;
         (until > self.now()).then_some(until)
     }
 
-    /// Plays everything up to then.
+    /// Runs everything up to then.
     pub fn run_until(&self, end: Time) {
         loop {
             let event = {
--- a/crates/simulation/src/setup.rs
+++ b/crates/simulation/src/setup.rs
@@ -1,16 +1,21 @@
 //! What a simulation is made of.
 
+/// A worker's lease, in seconds.
 pub const LEASE_S: f64 = 16.0;
 
+/// The time for a cancellation, in seconds.
 pub const CANCEL_S: f64 = 41.0;
 
+/// Time between two heartbeats of a worker, in seconds.
 pub const HEARTBEAT_S: f64 = 3.0;
 
+/// Requests per second that the cloud takes.
 pub const CLOUD_RPS: f64 = 5.0;
 
-/// What a model is made of.
+/// What a simulation is made of.
 #[derive(Clone)]
 pub struct Setup {
+    /// How many controllers there are.
     pub nodes: usize,
     /// (type, zone, spot, how many) that are up at the start.
     pub machines: Vec<(&'static str, &'static str, bool, usize)>,
@@ -18,11 +23,15 @@
     pub teams: Vec<(&'static str, f64)>,
     /// Machines that the cloud has at most, of each kind and zone.
     pub capacity: usize,
+    /// How long a machine boots, about, in seconds.
     pub boot_s: f64,
+    /// How long an image takes to arrive, about, in seconds.
     pub fetch_s: f64,
+    /// Changes per second, by the controllers' settings.
     pub write_rps: f64,
+    /// The leader's lease, in milliseconds.
     pub leader_lease_ms: u64,
-    /// Limits of the state service to come, as the settings tell them.
+    /// Limits of the key-value store to come, as the settings tell them.
     pub next: &'static str,
     /// Further flags of the controllers with these numbers.
     pub flags: fn(usize) -> &'static [&'static str],
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -13,13 +13,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
+/// One cluster on simulated time.
 pub struct Simulation {
+    /// What runs its threads and events.
     pub scheduler: Arc<DeterministicScheduler>,
+    /// What it is made of.
     pub setup: Setup,
     pub(crate) state: Mutex<SimulationState>,
 }
 
 impl Simulation {
+    /// A cluster whose controllers start now; the seed decides everything that is drawn.
     pub fn new(seed: u64, setup: Setup) -> Arc<Simulation> {
         let limits = setup.teams.clone();
         let simulation = Arc::new(Simulation {
@@ -69,10 +73,12 @@
         lock(&self.state)
     }
 
+    /// The simulated time.
     pub fn now(&self) -> Time {
         self.scheduler.now()
     }
 
+    /// The simulated time, as a duration.
     pub fn since_start(&self) -> Duration {
         Duration::from_micros(self.now())
     }
@@ -90,6 +96,7 @@
         self.at_time(secs(seconds), work);
     }
 
+    /// Does this work then.
     pub fn at_time(
         self: &Arc<Self>,
         at: Time,
@@ -99,6 +106,7 @@
         self.scheduler.at(at, move || work(&simulation));
     }
 
+    /// Does this work after so long.
     pub fn after(
         self: &Arc<Self>,
         span: Time,
@@ -107,6 +115,7 @@
         self.at_time(self.now() + span, work);
     }
 
+    /// A time in this range, drawn.
     pub fn random(&self, range: std::ops::Range<Time>) -> Time {
         self.state().rng.u64(range)
     }
@@ -134,11 +143,12 @@
         self.after(secs(0.5), |sim| sim.check_rules());
     }
 
+    /// A user submits this job at that second.
     pub fn submit(self: &Arc<Self>, at: f64, plan: JobPlan) {
         self.at(at, move |sim| sim.user_submits(plan));
     }
 
-    /// Plays up to this second.
+    /// Runs up to this second.
     pub fn run(&self, seconds: f64) -> &Self {
         self.scheduler.run_until(secs(seconds));
         self
--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -1,12 +1,16 @@
 //! Real controllers behind relays that cut one direction at a time.
 //!
-//! The checker of the model watches the rules from what users are told and what workers do.
+//! The checker of the simulation watches the rules from what users are told and what workers do.
 
 use crate::checker::{Answer, Checker, Question};
 use crate::directions::{Direction, Endpoint};
-use crate::stand_ins::cloud_server::{CloudServer, StoreServer};
-use crate::stand_ins::processes::{Addresses, CANCEL_S, Deployment, Nodes, leader};
+use crate::stand_ins::cloud_server::CloudServer;
+use crate::stand_ins::deployment::{CANCEL_S, Deployment};
+use crate::stand_ins::ports::Addresses;
+use crate::stand_ins::processes::Nodes;
+use crate::stand_ins::processes::leader;
 use crate::stand_ins::relay::{Relay, Traffic};
+use crate::stand_ins::store_server::StoreServer;
 use crate::stand_ins::worker::History;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,8 +35,11 @@
 
 /// Three processes, the stand-ins that they talk to, and a relay on each way between them.
 pub struct LoopbackCluster {
+    /// The store.
     pub state: Arc<StoreServer>,
+    /// The cloud, with its workers.
     pub cloud: Arc<CloudServer>,
+    /// The controllers' processes.
     pub nodes: Nodes,
     to_state: Vec<Relay>,
     to_peers: BTreeMap<(usize, usize), Relay>,
@@ -117,7 +124,7 @@
         }
     }
 
-    /// Orders that go straight from this controller to workers are held back for so long, in order on each
+    /// Commands that go straight from this controller to workers are held back for so long, in order on each
     /// connection, and delivered once. Heartbeats and their answers are not touched.
     pub fn delay_commands(&self, node: usize, traffic: Traffic) {
         let mut workers = self.to_workers.lock().unwrap();
@@ -127,7 +134,7 @@
             .for_each(|r| r.set_there(traffic));
     }
 
-    /// The controller that the state service names as leader, if there is one now.
+    /// The controller that the key-value store names as leader, if there is one now.
     pub fn leader_if_any(&self) -> Option<usize> {
         leader(&self.state)
     }
@@ -144,6 +151,7 @@
         }
     }
 
+    /// Does something with the checker, at the time that it counts.
     pub fn check(&self, work: impl FnOnce(&mut Checker, u64)) {
         let mut history = self.cloud.environment.history.lock().unwrap();
         let history = history.as_mut().unwrap();
@@ -151,6 +159,7 @@
         work(&mut history.checker, now);
     }
 
+    /// Now, as the checker counts time.
     pub fn now(&self) -> u64 {
         self.cloud
             .environment
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -8,6 +8,7 @@
 /// What users want done at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
+    /// Jobs that have not ended yet, at most.
     pub open_jobs: usize,
     /// Jobs have from one task up to this many.
     pub max_tasks: u32,
@@ -54,7 +55,7 @@
         self.demand = demand;
     }
 
-    /// One in so many jobs is called off, sooner or later.
+    /// One in so many jobs is cancelled, sooner or later.
     pub fn cancels_one_in(&mut self, one_in: u32) {
         self.cancels_one_in = one_in;
     }
--- a/crates/simulation/src/user_job.rs
+++ b/crates/simulation/src/user_job.rs
@@ -5,8 +5,10 @@
 use aspenreel::http::cbor::encode;
 use ciborium::cbor;
 
+/// A job, and what its user does.
 #[derive(Debug)]
 pub struct UserJob {
+    /// The job.
     pub plan: JobPlan,
     pub(crate) first_try: Time,
     pub(crate) polls: bool,
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -5,8 +5,10 @@
 use crate::simulation::Simulation;
 use std::sync::Arc;
 
+/// How many seeds most tests run with.
 pub const SEEDS: u64 = 8;
 
+/// The usual cluster.
 pub fn setup() -> Setup {
     Setup::default()
 }
@@ -47,6 +49,7 @@
     }
 }
 
+/// Cancels each of these jobs at a time that is drawn from this range, in seconds.
 pub fn cancel_each(
     sim: &Arc<Simulation>,
     ids: &[String],
@@ -61,10 +64,12 @@
     }
 }
 
+/// One in so many of these.
 pub fn every_other(ids: &[String], of: usize) -> Vec<String> {
     ids.iter().step_by(of).cloned().collect()
 }
 
+/// One in so many of these.
 pub fn share(names: Vec<String>, of: usize) -> Vec<String> {
     names.into_iter().step_by(of).collect()
 }
@@ -85,6 +90,7 @@
     }
 }
 
+/// Notes a broken rule unless the answer has this status, and this state if one is given.
 pub fn expect(sim: &Arc<Simulation>, answer: Option<Answer>, status: u16, state: Option<&str>) {
     let (answer, text) = match answer {
         Some(t) => (Some((t.status, t.state.clone())), format!("{t:?}")),
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Soak runs: three real controllers, stand-in workers, state service and cloud over loopback, and users that
-//! submit, ask and cancel at all nodes, while troubles drawn by a seed overlap.
+//! Soak runs: three real controllers, stand-in workers, key-value store and cloud over loopback, and users that
+//! submit, ask and cancel at all nodes, while faults drawn by a seed overlap.
 //!
 //! The rules are checked from outside by the checker of the simulation crate, from what users are told and what workers do.
 //! Leases and delays are scaled: a worker's lease takes 4 s instead of some 20 s, a cancellation 8 s instead of
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `aspenreel-soak`: plays soak runs and tells how each ended.
+//! `aspenreel-soak`: runs soak runs and tells how each ended.
 
 use aspenreel_soak::run::{RunPlan, RunReport, is_good, run};
 use aspenreel_soak::schedule::Schedule;
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Plays real controllers under random troubles, checked from outside. Leases and delays are scaled: a worker's
+/// Runs real controllers under random faults, checked from outside. Leases and delays are scaled: a worker's
 /// lease takes 4 s, a cancellation 8 s. The workers and their machines are simulated.
 #[derive(Debug, Parser)]
 struct Options {
@@ -25,10 +25,10 @@
     /// Workers that the jobs need at most, about
     #[arg(long, default_value_t = 12)]
     workers: u32,
-    /// For so many seconds troubles begin
+    /// For so many seconds faults begin
     #[arg(long, default_value_t = 40)]
     seconds: u64,
-    /// Print the troubles of each seed instead of playing them
+    /// Print the faults of each seed instead of playing them
     #[arg(long)]
     schedules: bool,
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,11 +1,11 @@
-//! One run: a cluster, its users, and the troubles of a schedule.
+//! One run: a cluster, its users, and the faults of a schedule.
 
 use crate::controllers::{self, Controllers, Launch};
 use crate::schedule::{Fault, Planned, Schedule, Target};
 use aspenreel_simulation::directions::Direction;
+use aspenreel_simulation::stand_ins::deployment::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
 use aspenreel_simulation::stand_ins::loopback_users::{Demand, Users};
-use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,11 +30,11 @@
 pub struct RunPlan {
     /// The controllers' program.
     pub program: PathBuf,
-    /// Draws the troubles, and what users do.
+    /// Draws the faults, and what users do.
     pub seed: u64,
     /// Workers that the users' jobs need at most, about.
     pub workers: u32,
-    /// How long troubles begin.
+    /// How long faults begin.
     pub length: Duration,
 }
 
@@ -57,7 +57,7 @@
     pub is_partial: bool,
 }
 
-/// Plays one run. Nothing of it is left when it returns.
+/// Runs one run. Nothing of it is left when it returns.
 pub fn run(plan: &RunPlan, stop: &AtomicBool) -> RunReport {
     let began = Instant::now();
     let deployment = Deployment {
@@ -65,14 +65,7 @@
         sockets: 500 + 4 * plan.workers,
     };
     let tag = format!("soak-{}", plan.seed);
-    let launch = Launch {
-        program: plan.program.clone(),
-        flags: if plan.workers > MANY_WORKERS {
-            &KEEP_MACHINES
-        } else {
-            &[]
-        },
-    };
+    let launch = launch(plan);
     let spawn = |config: &Path| controllers::spawn(&launch, config);
     let mut cluster = LoopbackCluster::start(&tag, &deployment, spawn);
     prepare(&cluster, plan.workers);
@@ -99,6 +92,24 @@
         machines: cluster.cloud.made(),
         ..RunReport::default()
     };
+    collect_results(&cluster, &controllers, &mut report);
+    report
+}
+
+/// How the controllers' processes are started.
+fn launch(plan: &RunPlan) -> Launch {
+    let flags: &[&str] = match plan.workers > MANY_WORKERS {
+        true => &KEEP_MACHINES,
+        false => &[],
+    };
+    Launch {
+        program: plan.program.clone(),
+        flags,
+    }
+}
+
+/// What the controllers' logs, their processes and the checker tell in the end.
+fn collect_results(cluster: &LoopbackCluster, controllers: &Controllers, report: &mut RunReport) {
     report.broken.extend(controllers.violations());
     let ended = controllers.ended();
     report.broken.extend(
@@ -113,10 +124,9 @@
         report.done = checker.answered_done;
         report.cancelled = checker.answered_cancelled;
     });
-    report
 }
 
-/// After the last trouble, what it held back still arrives, and a cancellation's time passes.
+/// After the last fault, what it held back still arrives, and a cancellation's time passes.
 fn longest_after_effect() -> Duration {
     Duration::from_secs_f64(CANCEL_S) + Duration::from_secs(14)
 }
@@ -152,7 +162,7 @@
         !self.is_stopped()
     }
 
-    /// One thread of users: half of their jobs are called off.
+    /// One thread of users: half of their jobs are cancelled.
     fn use_it(&self, plan: &RunPlan, number: u32, calm: Duration) {
         let mut users = Users::new(
             self.cluster,
@@ -178,7 +188,7 @@
         }
     }
 
-    /// Begins each trouble in its time, beside the others.
+    /// Begins each fault in its time, beside the others.
     fn inject_faults<'s>(&'s self, scope: &'s std::thread::Scope<'s, '_>, schedule: &Schedule) {
         for planned in schedule.0.clone() {
             scope.spawn(move || self.inject_fault(planned));
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,10 +1,10 @@
-//! Which troubles come when, drawn by a seed.
+//! Which faults come when, drawn by a seed.
 
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::fmt;
 use std::time::Duration;
 
-/// Which controller a trouble hits.
+/// Which controller a fault hits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// Whoever leads when it begins.
@@ -30,27 +30,27 @@
         /// Until it goes on.
         lasts: Duration,
     },
-    /// The directed ways of a controller, by their numbers in `Direction::all_of`.
+    /// The directions of a controller's links, by their numbers in `Direction::all_of`.
     Cut {
-        /// Whose way.
+        /// Whose direction.
         target: Target,
         /// Its number.
         direction: usize,
-        /// What happens to what goes this way.
+        /// What happens to what goes in this direction.
         traffic: Traffic,
-        /// Until the way is open again.
+        /// Until the direction is open again.
         lasts: Duration,
     },
-    /// Orders straight to workers arrive late, once and unanswered; heartbeats are not touched.
+    /// Commands straight to workers arrive late, once and unanswered; heartbeats are not touched.
     DelayCommands {
-        /// Whose orders.
+        /// Whose commands.
         target: Target,
         /// From their sending to their arrival.
         late_by: Duration,
-        /// For how long orders that are sent come late.
+        /// For how long commands that are sent come late.
         lasts: Duration,
     },
-    /// The state service refuses everybody.
+    /// The key-value store refuses everybody.
     Outage {
         /// Until it answers again.
         lasts: Duration,
@@ -64,22 +64,20 @@
     },
 }
 
-/// A trouble and when it begins, counted from the start of the run.
+/// A fault and when it begins, counted from the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Planned {
-    /// When it begins.
     /// When it begins.
     pub at: Duration,
     /// What happens then.
-    /// What happens then.
     pub fault: Fault,
 }
 
-/// The troubles of one run, in their order.
+/// The faults of one run, in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule(pub Vec<Planned>);
 
-/// What kinds of trouble there are. Orders that are held back meet each of the others.
+/// What kinds of fault there are. Commands that are held back meet each of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Kill,
@@ -101,13 +99,13 @@
     Kind::DelayCommands,
 ];
 
-/// Directed ways of one controller in a cluster of three.
+/// Directions of one controller's links in a cluster of three.
 const DIRECTIONS: usize = 8;
-/// Before the first trouble jobs run.
+/// Before the first fault jobs run.
 const FIRST: Duration = Duration::from_millis(2500);
 
 impl Schedule {
-    /// Troubles over so long a time, two or three at once.
+    /// Faults over so long a time, two or three at once.
     pub fn draw(seed: u64, length: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let kinds = draw_kinds(&mut rng);
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -21,7 +21,7 @@
     Some((now - listed).as_secs_f64())
 }
 
-/// Notes what isn't as it should be with the broken rules: a panic would stop the model's time.
+/// Notes what isn't as it should be with the broken rules: a panic would stop the simulation's time.
 fn require(sim: &Arc<Simulation>, holds: bool, problem: impl Fn() -> String) {
     if !holds {
         let text = format!("at {:.0} s: {}", sim.since_start().as_secs_f64(), problem());
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -38,7 +38,7 @@
     end.terms.get(1).map(|(at, _, _)| *at as f64 / 1e6)
 }
 
-/// Each directed link of the leader is cut alone: to and from the state service, the workers and each
+/// Each directed link of the leader is cut alone: to and from the key-value store, the workers and each
 /// peer. The moment is drawn, so it falls between a claim's write and its answer, between the claim and
 /// the start, between an outcome's report and the done set, between the done set and `clear`.
 #[test]
@@ -110,7 +110,7 @@
         let own = Endpoint::Node(leader(sim));
         return sim.cut_direction(direction(own), 1.2 * LEASE_S);
     }
-    // Ways through the model's network take 200 us at least.
+    // Ways through the simulation's network take 200 us at least.
     sim.after(100, move |sim| {
         cut_at_next_write(sim, prefix, seen, direction)
     });
@@ -141,7 +141,7 @@
     }
 }
 
-/// A task ends, its report arrives, and the leader loses the state service before the outcome is on record.
+/// A task ends, its report arrives, and the leader loses the key-value store before the outcome is on record.
 #[test]
 fn cuts_between_an_outcome_and_its_record() {
     for to_state in [true, false] {
@@ -244,7 +244,7 @@
     }
 }
 
-/// A leader that has the state service but not its workers hands over to a controller that hears them.
+/// A leader that has the key-value store but not its workers hands over to a controller that hears them.
 #[test]
 fn a_leader_without_workers_hands_over() {
     let directions = [true, false];
@@ -296,7 +296,7 @@
     }
 }
 
-/// The state service refuses the leader's transactions, and nothing else: it decides nothing that it
+/// The key-value store refuses the leader's transactions, and nothing else: it decides nothing that it
 /// can't record, and a controller that can write goes on.
 #[test]
 fn only_writes_are_refused() {
@@ -325,8 +325,8 @@
     }
 }
 
-/// Each half of the cluster has what the other lacks: one side keeps the state service, the other the
-/// workers. Whoever has workers but no state service can't lead, and whoever leads hears nobody.
+/// Each half of the cluster has what the other lacks: one side keeps the key-value store, the other the
+/// workers. Whoever has workers but no key-value store can't lead, and whoever leads hears nobody.
 #[test]
 fn a_minority_with_state_and_a_majority_with_workers() {
     let ends = run(8, &watching(3), |sim, rng| {
@@ -353,7 +353,7 @@
     }
 }
 
-/// The leader reaches neither peers nor workers, and has the state service: views go through it.
+/// The leader reaches neither peers nor workers, and has the key-value store: views go through it.
 #[test]
 fn views_go_through_the_state_service() {
     let ends = run(8, &watching(3), |sim, rng| {
@@ -495,7 +495,7 @@
     }
 }
 
-/// Any troubles, with directed cuts among them.
+/// Any faults, with directed cuts among them.
 #[test]
 fn any_troubles_and_directed_cuts() {
     for nodes in [3, 5] {
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles, brought about in a model of several controllers (`docs/meetings.md`).
+//! Meetings of faults, brought about in a simulation of several controllers (`docs/meetings.md`).
 
 mod behavior;
 mod large;
@@ -12,7 +12,7 @@
 use aspenreel_simulation::setup::Setup;
 use aspenreel_simulation::{checker, drawn_faults};
 
-/// Without any trouble every job runs to its end, each task once.
+/// Without any fault every job runs to its end, each task once.
 #[test]
 fn a_quiet_day() {
     let ends = run(3, &Setup::default(), |sim, _| {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whatever the seed draws: troubles that meet by chance.
+/// Whatever the seed draws: faults that meet by chance.
 #[test]
 fn any_troubles() {
     for end in run(24, &Setup::default(), drawn_faults::draw) {
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -105,7 +105,7 @@
 }
 
 /// A cancellation, a question or a repeated submission meets the end of a job's last task, with no
-/// other trouble.
+/// other fault.
 #[test]
 fn cancellations_meet_the_end_of_the_last_task() {
     let ends = run(SEEDS, &setup(), |sim, _| {
@@ -229,7 +229,7 @@
     }
 }
 
-/// The gap: jobs are cancelled around the moment at which the state service refuses the leader alone;
+/// The gap: jobs are cancelled around the moment at which the key-value store refuses the leader alone;
 /// then it is out for all, for longer than a cancellation may take, while workers go on reporting to
 /// the old leader. The time between runs through the whole life of the leader's lease, so that in
 /// some cases another node has just taken over and confirmed.
@@ -350,7 +350,7 @@
     }
 }
 
-/// A leader is cut from the state service and from the other controllers while workers and users
+/// A leader is cut from the key-value store and from the other controllers while workers and users
 /// still reach it, and jobs are cancelled through the new one.
 #[test]
 fn a_leader_has_only_its_workers_and_users() {
@@ -542,7 +542,7 @@
     }
 }
 
-/// An old report arrives after newer ones, also from an earlier session or attempt.
+/// An old report arrives after newer ones, also from an earlier agent epoch or attempt.
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     let ends = run(2 * SEEDS, &setup(), |sim, rng| {
@@ -598,7 +598,7 @@
     }
 }
 
-/// The state service answers slowly, or refuses the leader alone and then everybody for longer than
+/// The key-value store answers slowly, or refuses the leader alone and then everybody for longer than
 /// a cancellation may take, while users cancel and ask.
 #[test]
 fn a_slow_or_refusing_state_service_while_users_cancel() {
@@ -661,7 +661,7 @@
         plans.push((ended.clone(), 200, Some("done")));
         plans.push((runs.clone(), 200, Some("queued")));
         for k in 0..20 {
-            // Slowly enough for a node's share of the state service's requests.
+            // Slowly enough for a node's share of the key-value store's requests.
             let at = crash + 0.02 + 0.4 * f64::from(k) + 0.2 * rng.f64();
             for (plan, status, state) in plans.clone() {
                 let n = rng.usize(0..3);
@@ -717,7 +717,7 @@
     ]
 }
 
-/// The model itself: where nobody serves any more, jobs that never end and that wait beside free
+/// The simulation itself: where nobody serves any more, jobs that never end and that wait beside free
 /// machines are found.
 #[test]
 fn a_model_that_serves_nobody_breaks_rules() {
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -1,5 +1,5 @@
 //! Direct commands that are held on their way for longer than a cancellation may take, while heartbeats
-//! renew the workers' sessions.
+//! renew the workers' agent epochs.
 
 use aspenreel_simulation::run::run;
 use aspenreel_simulation::setup::{CANCEL_S, Setup};
@@ -66,7 +66,7 @@
 }
 
 /// Every direct order to hundreds of machines is held, and all jobs are cancelled at once: few tokens fence
-/// all of them off, and no session ends for it.
+/// all of them off, and no agent epoch ends for it.
 #[test]
 fn a_wave_of_cancellations_ends_no_session() {
     let site = Setup {
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The troubles of the operators' pages, with leaders that change and machines that are lost.
+/// The faults of the operators' pages, with leaders that change and machines that are lost.
 #[test]
 fn standing_jobs_lose_machines_and_leaders() {
     let ends = run(2 * SEEDS, &setup(), |sim, rng| {
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -11,7 +11,7 @@
 use aspenreel_simulation::workloads::*;
 use std::sync::Arc;
 
-/// What the state service takes once its limits are lowered.
+/// What the key-value store takes once its limits are lowered.
 const LOWERED: Limits = Limits {
     value_bytes: 2048,
     txn_ops: 4,
@@ -19,7 +19,7 @@
     write_rps: 30.0,
 };
 
-/// The state service takes less from some moment on, without notice, just before or after the leader
+/// The key-value store takes less from some moment on, without notice, just before or after the leader
 /// changes: values, changes in a transaction, requests and changes a second. There are hundreds of claims
 /// and a job of 100,000 tasks, and in half of the days a controller is away; nothing is beyond the limits,
 /// and all goes on.
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -295,7 +295,7 @@
         }
     }
 
-    /// What the state service takes: as many changes as the leader may write in a step.
+    /// What the key-value store takes: as many changes as the leader may write in a step.
     fn write(&mut self, in_round: bool, mut left: usize) {
         let mut writes = affordable(self.scheduler.pending_registry_writes(false), &mut left);
         writes.extend(affordable(
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -1,14 +1,14 @@
 //! Real controllers that watch their links, behind relays that cut one direction at a time.
 //!
-//! While links are cut users submit, ask and cancel, and workers run tasks; the checker of the model watches
-//! the rules from what users are told and what workers do. Each test plays one round of each cut; more, with
+//! While links are cut users submit, ask and cancel, and workers run tasks; the checker of the simulation watches
+//! the rules from what users are told and what workers do. Each test runs one round of each cut; more, with
 //! other moments: `LINKS_ROUNDS=20 cargo test --test service half_cut_links` (`docs/half-cut-links.md`).
 
 use crate::nodes::spawn_watching;
 use aspenreel_simulation::directions::Direction;
+use aspenreel_simulation::stand_ins::deployment::Deployment;
 use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
 use aspenreel_simulation::stand_ins::loopback_users::Users;
-use aspenreel_simulation::stand_ins::processes::Deployment;
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
     Flapping(Duration),
 }
 
-/// Plays a trouble on each choice of ways, with users and workers at work, and checks the history.
+/// Runs a fault on each choice of ways, with users and workers at work, and checks the history.
 fn run(tag: &str, choices: &[&[usize]], trouble: &Fault) {
     let rounds: u32 = match std::env::var("LINKS_ROUNDS") {
         Ok(rounds) => rounds.parse().unwrap(),
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -1,14 +1,14 @@
-//! Orders to workers are held on their way for longer than a cancellation takes, while heartbeats flow.
+//! Commands to workers are held on their way for longer than a cancellation takes, while heartbeats flow.
 
 use crate::nodes::spawn;
 use aspenreel_simulation::checker::Checker;
+use aspenreel_simulation::stand_ins::deployment::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::loopback_cluster::LoopbackCluster;
 use aspenreel_simulation::stand_ins::loopback_users::Users;
-use aspenreel_simulation::stand_ins::processes::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::time::Duration;
 
-/// Orders that are held arrive this much later than a cancellation may take.
+/// Commands that are held arrive this much later than a cancellation may take.
 const BEYOND: Duration = Duration::from_secs(2);
 
 #[test]
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// Plays one run; the rules must be kept, and enough must happen to tell.
+/// Runs one run; the rules must be kept, and enough must happen to tell.
 fn soak(seed: u64) {
     let plan = RunPlan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_aspenreel")),
@@ -18,13 +18,13 @@
     assert!(report.done > 0 && report.cancelled > 0, "{report:?}");
 }
 
-/// Orders are held back while single ways are cut.
+/// Commands are held back while single ways are cut.
 #[test]
 fn held_orders_and_cut_ways() {
     soak(21);
 }
 
-/// Leaders end in series or stand still while orders are held back and ways are cut.
+/// Leaders end in series or stand still while commands are held back and ways are cut.
 #[test]
 fn leaders_in_series() {
     soak(1);
