--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -5,7 +5,6 @@
 use crate::controller::Controller;
 use crate::http::cbor::{decode, encode};
 use crate::http::client::{CallError, ClientResponse};
-use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -76,7 +75,7 @@
         let body = encode(&DirectCommands {
             fencing_token: call.fencing_token,
             agent_epoch: call.agent_epoch,
-            commands: Cow::Borrowed(&call.commands),
+            commands: &call.commands,
         });
         let timeout = if call.probe {
             PROBE_TIMEOUT
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -4,7 +4,6 @@
 
 use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
-use std::borrow::Cow;
 
 /// A worker's heartbeat. The answer of a direct call has the same form.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -167,7 +166,7 @@
 
 /// Commands that go directly to a worker. It refuses them if it has seen a higher fencing token or is in
 /// another agent epoch.
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Debug, Serialize)]
 pub struct DirectCommands<'a> {
     /// The leader's fencing token for this machine.
     #[serde(rename = "baton")]
@@ -177,5 +176,5 @@
     pub agent_epoch: u64,
     /// What the worker is to do, in this order.
     #[serde(rename = "orders")]
-    pub commands: Cow<'a, [WorkerCommand]>,
+    pub commands: &'a [WorkerCommand],
 }
