--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -114,7 +114,7 @@
     now: Moment,
 ) -> Reachability {
     match state.acting_leader(now) {
-        Some((_, scheduler)) => scheduler.reachability_both_ways(now),
+        Some((_, scheduler)) => scheduler.bidirectional_reachability(now),
         None => Reachability {
             reachable: refused_workers,
             expected: 0,
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -48,7 +48,7 @@
 
     /// The same, but counting only machines whose heartbeats come as regularly as those of a worker that is
     /// answered.
-    pub fn reachability_both_ways(&self, now: Moment) -> Reachability {
+    pub fn bidirectional_reachability(&self, now: Moment) -> Reachability {
         let silent_after = self.silent_after();
         self.reachability_where(now, |machine| machine.heartbeat_gap <= silent_after)
     }
