--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -37,7 +37,7 @@
     fn earlier_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
         let dropped_by_older_version =
             spec.is_standing() && revision <= self.prior_term.older_version_led_at;
-        if self.prior_term.watermarks_lost || dropped_by_older_version {
+        if self.prior_term.watermarks_unreadable || dropped_by_older_version {
             // Any of its tasks may have started, whatever the pages say.
             return spec.tasks;
         }
--- a/src/leadership/record_loader.rs
+++ b/src/leadership/record_loader.rs
@@ -46,7 +46,7 @@
             prior_term.note_machine(&stored.key, self.time.now);
         }
         if prefix == REGISTRY_PREFIX || prefix == WATERMARKS_PREFIX {
-            prior_term.watermarks_lost = true;
+            prior_term.watermarks_unreadable = true;
         }
     }
 
--- a/src/placement/team_quota.rs
+++ b/src/placement/team_quota.rs
@@ -36,7 +36,7 @@
     /// What all unreconciled machines can hold together; None if nobody knows which machines these are. A machine
     /// whose size is unknown counts with the largest amount of each resource in the catalog.
     fn unreconciled_capacity(&self) -> Option<Resources> {
-        if self.prior_term.watermarks_lost {
+        if self.prior_term.watermarks_unreadable {
             return None;
         }
         let types = self.provisioning.catalog.iter().map(|t| t.capacity);
--- a/src/scheduler/prior_term.rs
+++ b/src/scheduler/prior_term.rs
@@ -15,7 +15,7 @@
     pub machines: BTreeMap<String, Moment>,
     /// True if some start watermarks on record can't be read: any task of an earlier term's job may have
     /// started.
-    pub watermarks_lost: bool,
+    pub watermarks_unreadable: bool,
     /// The store's revision at which a controller of an earlier version last became leader, or 0 if none did.
     /// Such a controller drops the start watermarks of standing jobs, which it doesn't know.
     pub older_version_led_at: u64,
