--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -131,7 +131,7 @@
             .values()
             .filter(|m| m.unreachable || m.last_seen.is_none())
             .filter(|m| now - m.last_listed.unwrap_or(m.known_since) > lag)
-            .filter(|m| now - m.lease_renewed_at >= self.lease_span())
+            .filter(|m| now - m.lease_renewed_at >= self.max_lease_duration())
             .map(|m| m.name.clone())
             .collect();
         for name in gone {
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -41,7 +41,7 @@
     /// True for a machine whose heartbeats arrive but which replies don't seem to reach: it takes no
     /// work, so another one is requested in its place. A short quarantine changes nothing.
     pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let unreconciled =
             m.last_seen.is_some() && !m.reconciled && now - m.known_since.max(self.started) > lease;
         unreconciled
@@ -110,7 +110,7 @@
         let Some(last_report) = m.last_seen else {
             return self.defect_without_heartbeat(m, now);
         };
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         if m.unreachable && now - last_report > lease.scaled(1.5) {
             return Some(ReturnReason::Silent);
         }
@@ -135,7 +135,7 @@
 
     /// The same for a machine from which this leader never received a heartbeat.
     fn defect_without_heartbeat(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let boot = self
             .provisioning
             .boot_of(&m.type_name)
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -97,7 +97,7 @@
     }
 
     /// After this long without a reply a worker's agent epoch is surely over.
-    pub fn lease_span(&self) -> Micros {
+    pub fn max_lease_duration(&self) -> Micros {
         at_most(self.config.worker_lease) + LEASE_MARGIN
     }
 
--- a/src/scheduler/prior_term_release.rs
+++ b/src/scheduler/prior_term_release.rs
@@ -22,7 +22,7 @@
                 .is_some_and(|m| m.reconciled || m.epoch_ended);
             !reconciled && !provisioning.is_gone(name)
         });
-        let lease_expired = now - self.started >= self.lease_span();
+        let lease_expired = now - self.started >= self.max_lease_duration();
         if !lease_expired && !self.prior_term.unreconciled.is_empty() {
             return;
         }
--- a/src/workers/agent_epochs.rs
+++ b/src/workers/agent_epochs.rs
@@ -10,7 +10,7 @@
     /// Ends a quarantine once the agent epoch has outlasted a lease, or else has the machine probed when the
     /// next probe is due.
     pub(super) fn review_quarantine(&mut self, name: &str, now: Moment) {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -53,7 +53,7 @@
 
     /// Ends the agent epochs of machines whose lease can't have been renewed for its full duration.
     pub fn expire_leases(&mut self, now: Moment) {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let has_expired = |machine: &&Machine| {
             !machine.unreachable
                 && machine.last_seen.is_some()
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -114,7 +114,8 @@
     /// How long an unconfirmed start may wait for a higher token once its job's cancellation was requested:
     /// a full lease must still fit into the time for the cancellation.
     fn revocation_time(&self) -> Micros {
-        at_least(self.config.cancellation_bound).saturating_sub(self.lease_span() + LEASE_MARGIN)
+        at_least(self.config.cancellation_bound)
+            .saturating_sub(self.max_lease_duration() + LEASE_MARGIN)
     }
 
     /// True if the machine has an unconfirmed start, of an attempt that no report showed, whose job's
