--- a/src/leadership/fencing_counter.rs
+++ b/src/leadership/fencing_counter.rs
@@ -52,7 +52,7 @@
 
     fn fencing_token_not_raised(&self, term: u64) {
         let now = self.now();
-        self.with_scheduler(term, |scheduler| scheduler.fencing_token_not_raised(now));
+        self.with_scheduler(term, |scheduler| scheduler.fencing_token_raise_failed(now));
     }
 
     /// Another transaction has changed the counter: one of this leader's without an answer, or the change of its
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -52,7 +52,7 @@
     }
 
     /// A raise of the token was refused or got no answer: it is tried again later.
-    pub fn fencing_token_not_raised(&mut self, now: Moment) {
+    pub fn fencing_token_raise_failed(&mut self, now: Moment) {
         self.fencing.raise_failed(now);
     }
 
