--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -78,7 +78,7 @@
     /// Stops all attempts of a job, without time for a checkpoint: nobody has a use for what they do.
     fn stop_attempts_of(&mut self, id: JobId) {
         for machine in self.machines.values_mut() {
-            let own = AttemptKey::all_of(id);
+            let own = AttemptKey::range_of_job(id);
             let mut any = false;
             for (_, attempt) in machine.attempts.range_mut(own) {
                 any = true;
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -57,7 +57,7 @@
     fn has_attempt(&self, id: JobId, matches: impl Fn(DeliveryStatus) -> bool) -> bool {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
+            .flat_map(|m| m.attempts.range(AttemptKey::range_of_job(id)))
             .any(|(_, attempt)| matches(attempt.delivery))
     }
 
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -66,7 +66,7 @@
         for m in self.machines.values() {
             let tasks = m
                 .attempts
-                .range(AttemptKey::all_of(id))
+                .range(AttemptKey::range_of_job(id))
                 .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if tasks > 0 {
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -43,7 +43,7 @@
     fn running_of(&self, id: JobId) -> u32 {
         self.machines
             .values()
-            .flat_map(|m| m.attempts.range(AttemptKey::all_of(id)))
+            .flat_map(|m| m.attempts.range(AttemptKey::range_of_job(id)))
             .filter(|(_, a)| a.status == Some(TaskStatus::Running))
             .count() as u32
     }
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -23,7 +23,7 @@
 
 impl AttemptKey {
     /// The range of all keys that the attempts of a job may have.
-    pub fn all_of(job: JobId) -> RangeInclusive<AttemptKey> {
+    pub fn range_of_job(job: JobId) -> RangeInclusive<AttemptKey> {
         let first = AttemptKey {
             job,
             task: 0,
