--- a/src/workers/worker_clients.rs
+++ b/src/workers/worker_clients.rs
@@ -47,7 +47,7 @@
     }
 
     /// True if a connection to this address is kept.
-    pub fn keeps(&self, addr: SocketAddr) -> bool {
+    pub fn contains(&self, addr: SocketAddr) -> bool {
         self.clients().contains_key(&addr)
     }
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -92,7 +92,7 @@
         clients.get(&os, addr(n), most);
     };
     let kept = || {
-        let there = |n: &u8| clients.keeps(addr(*n));
+        let there = |n: &u8| clients.contains(addr(*n));
         (0..9).filter(there).collect::<Vec<u8>>()
     };
     for n in 1..5 {
