--- a/src/workers/agent_epoch.rs
+++ b/src/workers/agent_epoch.rs
@@ -1,13 +1,13 @@
-//! The number of a worker's agent epoch.
+//! Numbering of a worker's agent epochs.
 
 use log::kv::{ToValue, Value};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of an agent epoch: a span of a worker's life in which its lease never expired.
+/// Number of an agent epoch, which is a period during which the worker's lease didn't expire.
 ///
-/// Only the worker raises it, by one, when its lease has expired; it has ended all of its attempts by then. Its
-/// first epoch is 1. It never falls, so commands that name an older epoch are refused for good.
+/// Only the worker increments the number, by one, after its lease has expired and it has ended all of its attempts.
+/// The first epoch is 1. The number never decreases, so commands that name an older epoch are refused permanently.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,10 +15,10 @@
 pub struct AgentEpoch(pub u64);
 
 impl AgentEpoch {
-    /// The epoch of a worker from which nothing arrived yet. No worker reports it.
+    /// Epoch of a worker from which nothing has arrived yet. No worker reports this number.
     pub const UNKNOWN: AgentEpoch = AgentEpoch(0);
 
-    /// The epoch that the worker begins after this one.
+    /// Number of the epoch that follows this one.
     pub fn next(self) -> AgentEpoch {
         AgentEpoch(self.0 + 1)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// A log line shows the bare number.
+/// Logged as the plain number.
 impl ToValue for AgentEpoch {
     fn to_value(&self) -> Value<'_> {
         self.0.to_value()
--- a/src/workers/agent_epochs.rs
+++ b/src/workers/agent_epochs.rs
@@ -1,4 +1,4 @@
-//! The end of agent epochs: when a machine's lease expires, its worker ends the epoch and everything in it.
+//! End of agent epochs: when a machine's lease expires, its worker ends the epoch and all attempts in it.
 
 use super::command_log::Seconds;
 use super::{Attempt, AttemptKey, Machine};
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 impl SchedulerState {
-    /// Ends a quarantine once the agent epoch has outlasted a lease, or else has the machine probed when the
-    /// next probe is due.
+    /// Ends the quarantine of a machine once its agent epoch has lasted longer than a lease. Before that, queues the
+    /// machine for a direct call when the next probe is due.
     pub(super) fn review_quarantine(&mut self, name: &str, now: Moment) {
         let lease = self.max_lease_duration();
         let Some(machine) = self.machines.get_mut(name) else {
@@ -17,28 +17,28 @@
         let Some(quarantine) = machine.quarantine else {
             return;
         };
-        if quarantine.is_refuted(lease, now) {
+        if quarantine.may_end(lease, now) {
             machine.quarantine = None;
             self.placement.due = true;
-        } else if quarantine.may_probe(now) {
+        } else if quarantine.is_probe_due(now) {
             self.commands.due.insert(name.to_string());
         }
     }
 
-    /// Forgets everything that the machine held in its agent epoch, which is over.
+    /// Drops all attempts and orphans of the machine after its agent epoch has ended.
     pub fn end_epoch(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         machine.free_resources.set(None);
         machine.orphans.clear();
-        self.fencing.forget(name);
+        self.fencing.remove_machine(name);
         let ended = std::mem::take(&mut machine.attempts);
-        self.release_ended(ended);
+        self.release_attempts(ended);
         self.placement.due = true;
     }
 
-    fn release_ended(&mut self, attempts: BTreeMap<AttemptKey, Attempt>) {
+    fn release_attempts(&mut self, attempts: BTreeMap<AttemptKey, Attempt>) {
         for (key, attempt) in attempts {
             if attempt.delivery.unconfirmed().is_some() {
                 self.fencing.counters.ended_by_epoch += 1;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Ends the agent epochs of machines whose lease can't have been renewed for its full duration.
+    /// Ends the agent epochs of machines whose lease can't have been renewed within its maximum duration.
     pub fn expire_leases(&mut self, now: Moment) {
         let lease = self.max_lease_duration();
         let has_expired = |machine: &&Machine| {
@@ -82,7 +82,7 @@
             agent_epoch = self.agent_epoch(),
             reason = "lease_expired",
             renewed_s_ago:% = Seconds(now - self.lease_renewed_at);
-            "agent epoch over"
+            "agent epoch ended"
         );
         self.unreachable = true;
         self.epoch_ended = true;
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a task on one machine: what is wanted of it and what heartbeats show of it.
+//! One attempt to run a task on a machine: its desired state and its reported state.
 
 use super::delivery_status::DeliveryStatus;
 use super::heartbeat_position::HeartbeatPosition;
@@ -7,22 +7,22 @@
 use crate::time::{Micros, Moment};
 use std::ops::RangeInclusive;
 
-/// An attempt that ran for less than this doesn't count as the start of its job.
+/// Minimum run time of an attempt that counts as the start of its job.
 pub(super) const MIN_COUNTED_RUN: Micros = Micros::from_secs(30);
 
-/// Which attempt of which task. Ordered by job, then task, then attempt.
+/// Identifies an attempt. Ordered by job, then task, then attempt number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The job that the task belongs to.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// The task's number within its job, from 0.
+    /// Number of the task within its job, from 0.
     pub task: u32,
-    /// The attempt's number: it rises from attempt to attempt, also from leader to leader.
+    /// Attempt number, which increases from attempt to attempt and from leader to leader.
     pub attempt: u64,
 }
 
 impl AttemptKey {
-    /// The range of all keys that the attempts of a job may have.
+    /// Range of all possible keys of a job's attempts.
     pub fn range_of_job(job: JobId) -> RangeInclusive<AttemptKey> {
         let first = AttemptKey {
             job,
@@ -38,58 +38,58 @@
     }
 }
 
-/// What the leader wants of an attempt.
+/// State of an attempt that the leader wants to reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DesiredState {
-    /// It should run until its task is done.
+    /// The attempt should run until its task is done.
     Run,
-    /// It should end.
+    /// The attempt should end.
     Stop {
-        /// The time that the task has for saving a checkpoint. Zero: it is killed at once.
+        /// Time for saving a checkpoint. With zero the task is killed at once.
         grace_period: Micros,
     },
 }
 
 impl DesiredState {
-    /// Stop without a grace period, for attempts whose results nobody needs.
+    /// Stop without a grace period, for attempts whose results are not needed.
     pub const KILL: DesiredState = DesiredState::Stop {
         grace_period: Micros::ZERO,
     };
 }
 
-/// One attempt of a task on one machine, in the machine's current agent epoch.
+/// State of one attempt on a machine, in the machine's current agent epoch.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// What the leader wants of it.
+    /// State that the leader wants to reach.
     pub desired: DesiredState,
-    /// Its status in the newest heartbeat; `None` until a heartbeat shows it.
+    /// Status in the newest report; `None` until a report lists the attempt.
     pub status: Option<TaskStatus>,
-    /// The heartbeat whose reply carried the start command last; `None` if no reply did.
+    /// Position of the last heartbeat whose reply carried the start command; `None` if no reply did.
     pub(super) start_sent_in_reply_to: Option<HeartbeatPosition>,
-    /// What became of a start command that went directly to the worker.
+    /// Delivery of a start command that was sent in a direct call.
     pub delivery: DeliveryStatus,
-    /// When a stop command was first sent.
+    /// Time at which a stop command was first sent.
     pub(super) stop_sent_at: Option<Moment>,
-    /// When the attempt was decided on, or first seen in a heartbeat.
+    /// Time at which the attempt was placed, or first reported by the worker.
     pub placed_at: Moment,
-    /// When a heartbeat first showed it running.
+    /// Time at which a report first showed the attempt as running.
     pub running_since: Option<Moment>,
-    /// True while it may use resources of the machine; its job then counts it as bound.
+    /// True while the attempt may use resources of the machine; its job then counts it as bound.
     pub bound: bool,
-    /// True for the first start of a job that waited too long: it isn't preempted.
+    /// True for the first start of a job that waited too long: the attempt isn't preempted.
     pub protected: bool,
     /// True if the task completed in this attempt. Never true for standing jobs.
     pub done: bool,
 }
 
 impl Attempt {
-    /// An attempt that the leader has just decided on.
+    /// Creates an attempt that the leader has just placed.
     pub fn placed(now: Moment) -> Attempt {
         Attempt::new(true, now)
     }
 
-    /// An attempt that was first seen in a heartbeat, of an earlier leader or of a start that was taken for
-    /// lost. `bound`: it hasn't exited.
+    /// Creates an attempt that was first seen in a report: an earlier leader started it, or its start command was
+    /// considered lost. `bound` is false if the attempt has exited.
     pub(super) fn discovered(bound: bool, now: Moment) -> Attempt {
         Attempt::new(bound, now)
     }
@@ -109,17 +109,17 @@
         }
     }
 
-    /// True while it may use resources of the machine.
+    /// True while the attempt may use resources of the machine.
     pub fn holds_resources(&self) -> bool {
         self.bound
     }
 
-    /// True if no start command for it was ever sent, or the only one sent surely wasn't delivered.
+    /// True if no start command for the attempt was ever sent, or the only one sent was certainly not delivered.
     pub(super) fn was_never_sent(&self) -> bool {
         self.start_sent_in_reply_to.is_none() && !self.delivery.may_arrive()
     }
 
-    /// The command of this kind for it. `job_id` is the id of its job.
+    /// Builds a command of this kind for the attempt. `job_id` is the id of its job.
     pub(super) fn command(
         &self,
         job_id: &str,
@@ -139,13 +139,13 @@
     }
 }
 
-/// An attempt that a worker reports although its job has no record any more: the job is over.
+/// An attempt that a worker reports although its job no longer has a record, because the job has ended.
 #[derive(Clone, Debug)]
 pub struct Orphan {
-    /// The task, as the worker names it.
+    /// Task in the worker's notation, normally `<job id>/<task number>`.
     pub task_id: String,
-    /// The attempt's number.
+    /// Attempt number.
     pub attempt: u64,
-    /// True if the worker reports it as exited: it uses no resources any more.
+    /// True if the worker reports the attempt as exited: it no longer uses resources.
     pub exited: bool,
 }
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -70,7 +70,7 @@
             return None;
         }
         if let Some(quarantine) = &mut machine.quarantine {
-            if !quarantine.may_probe(now) {
+            if !quarantine.is_probe_due(now) {
                 return None;
             }
             quarantine.note_probe(now);
--- a/src/workers/fencing.rs
+++ b/src/workers/fencing.rs
@@ -1,62 +1,62 @@
-//! The fencing tokens that this leader gives out.
+//! Fencing tokens issued by this leader.
 //!
-//! A fencing token is a number on record that only one leader ever uses: the counter of terms. A leader begins
+//! A fencing token is a value of the stored term counter; each value is used by one leader only. A leader begins
 //! with its term's number and may raise the counter further while it leads (`leadership::fencing_counter`). From then
-//! on it answers machines with unconfirmed starts with the new token only. Such a machine either takes a
-//! reply, has seen the token then and refuses the unconfirmed start, or takes none, and its agent epoch ends
-//! with its lease. Its tasks run on meanwhile, and no other machine is affected.
+//! on it answers machines with unconfirmed starts only with the new token. There are two cases: either the worker
+//! receives a reply, and thus the token, and refuses the unconfirmed start; or it receives no reply, and its
+//! agent epoch ends with its lease. Until then its tasks keep running, and no other machine is affected.
 //!
 //! # Cancellations
 //!
-//! A confirmed cancellation must be complete within `cancel_s`. While the higher token is not on record, for
-//! example because the key-value store refuses writes, the machine would go on with the old one. So from
-//! `cancel_s` less one lease (with clock drift and margins) after the cancellation was requested, its
-//! heartbeats are not answered: the agent epoch that the start command names ends in time. A leader that has
-//! stopped answers nobody, and the next one begins with a higher token: both cover a change of leader at any
-//! moment.
+//! A confirmed cancellation must be complete within `cancel_s`. As long as the higher token isn't stored, for
+//! example because the key-value store refuses writes, the machine would continue with the old one. Therefore
+//! its heartbeats are not answered once `cancel_s` minus one lease (with clock drift and margins) has passed since
+//! the cancellation was requested: the agent epoch that the start command names ends in time. A change of leader
+//! is safe at any time: a leader that has stopped answers no heartbeats, and the next one begins with a higher
+//! token.
 
 use super::FencingToken;
 use crate::time::{Micros, Moment};
 use std::collections::BTreeMap;
 
-/// The time between two raises of the token. Each costs a write; machines with new unconfirmed starts share
-/// the next token.
+/// Minimum time between two raises of the token. Each raise costs a write; all machines that get unconfirmed
+/// starts within the interval share the next token.
 const RAISE_INTERVAL: Micros = Micros::from_secs(1);
-/// The time until the next try after a raise that failed.
+/// Time until a failed raise is retried.
 const RETRY_INTERVAL: Micros = Micros::from_millis(500);
 
-/// How unconfirmed starts came about and ended, counted since this leader began.
+/// Counters for direct calls and unconfirmed starts, from the beginning of this leader's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommandCounters {
-    /// Direct calls with starts that were made.
+    /// Finished direct calls that carried start commands.
     pub calls: u64,
-    /// Starts whose call got no answer.
+    /// Start commands whose call got no answer.
     pub unconfirmed_starts: u64,
-    /// Unconfirmed starts that ended when the worker showed a higher token.
+    /// Unconfirmed starts that were settled because the worker reported a higher token.
     pub ended_by_token: u64,
-    /// Unconfirmed starts that ended with the worker's agent epoch, or its machine.
+    /// Unconfirmed starts that ended with the worker's agent epoch or with its machine.
     pub ended_by_epoch: u64,
-    /// Raises of the fencing token.
+    /// Successful raises of the fencing token.
     pub raises: u64,
-    /// Heartbeats that were not answered so that an agent epoch would end.
+    /// Heartbeats that were left unanswered so that an agent epoch would end.
     pub withheld: u64,
 }
 
-/// The fencing tokens that this leader gives out, and the machines that need a higher one.
+/// The fencing tokens that this leader issues, and the machines that need a higher one.
 #[derive(Debug)]
 pub struct Fencing {
-    /// The highest token on record for this leader.
+    /// Highest token stored for this leader.
     newest: FencingToken,
-    /// Machines with unconfirmed starts, and the highest token that one of these starts carries.
+    /// Machines with unconfirmed starts, each with the highest token among these start commands.
     unconfirmed_machines: BTreeMap<String, FencingToken>,
-    /// No higher token is requested before this.
+    /// Earliest time of the next raise.
     next_raise_at: Moment,
-    /// Counts of what happened under this leader.
+    /// Counters since the beginning of this leader's term.
     pub counters: CommandCounters,
 }
 
 impl Fencing {
-    /// The state of a leader that has just won this term.
+    /// Creates the state of a leader that has just won this term.
     pub fn new(term: u64) -> Fencing {
         Fencing {
             newest: FencingToken::of_term(term),
@@ -66,29 +66,29 @@
         }
     }
 
-    /// The highest token that this leader may have given out.
+    /// Highest token that this leader may have issued.
     pub fn newest(&self) -> FencingToken {
         self.newest
     }
 
-    /// The number of machines with unconfirmed starts.
+    /// Number of machines with unconfirmed starts.
     pub fn unconfirmed_machine_count(&self) -> usize {
         self.unconfirmed_machines.len()
     }
 
-    /// Machines with unconfirmed starts, and the highest token that one of these starts carries.
+    /// Machines with unconfirmed starts, each with the highest token among these start commands.
     pub(super) fn unconfirmed_machines(&self) -> impl Iterator<Item = (&String, FencingToken)> {
         self.unconfirmed_machines
             .iter()
             .map(|(name, fencing_token)| (name, *fencing_token))
     }
 
-    /// The highest token that an unconfirmed start on this machine carries, if it has any.
+    /// Highest token among the unconfirmed starts on this machine; `None` if it has none.
     pub(super) fn unconfirmed_token(&self, machine: &str) -> Option<FencingToken> {
         self.unconfirmed_machines.get(machine).copied()
     }
 
-    /// Notes a start with this token on this machine that is unconfirmed.
+    /// Adds an unconfirmed start on this machine whose command carries this token.
     pub(super) fn note_unconfirmed(&mut self, machine: &str, fencing_token: FencingToken) {
         let highest = self
             .unconfirmed_machines
@@ -97,24 +97,24 @@
         *highest = fencing_token.max(*highest);
     }
 
-    /// Notes that no start on this machine is unconfirmed any more.
-    pub(super) fn forget(&mut self, machine: &str) {
+    /// Removes a machine that has no more unconfirmed starts.
+    pub(super) fn remove_machine(&mut self, machine: &str) {
         self.unconfirmed_machines.remove(machine);
     }
 
-    /// True if a higher token may be requested now.
+    /// True if the interval between two raises allows a raise now.
     pub(super) fn may_raise(&self, now: Moment) -> bool {
         now >= self.next_raise_at
     }
 
-    /// A higher token is on record for this leader alone.
+    /// Applies a successful raise: this token is stored for this leader only.
     pub(super) fn raised(&mut self, fencing_token: FencingToken, now: Moment) {
         self.newest = self.newest.max(fencing_token);
         self.next_raise_at = now + RAISE_INTERVAL;
         self.counters.raises += 1;
     }
 
-    /// A raise was refused or got no answer: it is tried again later.
+    /// Schedules a retry after a raise was refused or got no answer.
     pub(super) fn raise_failed(&mut self, now: Moment) {
         self.next_raise_at = now + RETRY_INTERVAL;
     }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The leader's decision on a heartbeat: whether it is accepted, and the reply.
+//! Processing of a heartbeat by the leader: whether it is accepted, and which reply it gets.
 
 use super::command_log::{CommandPath, Recipient, log_commands};
 use super::reconciliation::ReportSource;
@@ -7,29 +7,29 @@
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
-/// The leader's decision on a heartbeat.
+/// Outcome of processing a heartbeat.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HeartbeatReply {
-    /// The heartbeat is answered with these commands, which renews the machine's lease.
+    /// The heartbeat is answered with these commands. The reply renews the machine's lease.
     Commands {
-        /// The fencing token that the worker will hold from then on.
+        /// Fencing token that the worker holds after it has received the reply.
         fencing_token: FencingToken,
-        /// What the worker is to do, in this order.
+        /// Commands to the worker, in the order of execution.
         commands: Vec<WorkerCommand>,
     },
-    /// The heartbeat was taken in but must not be answered, so that the machine's agent epoch ends.
+    /// The heartbeat was processed but must not be answered, so that the machine's agent epoch ends.
     Withheld,
-    /// The heartbeat is late, a copy, or of a machine that isn't accepted. It renews nothing.
+    /// The heartbeat is late, a duplicate, or from a machine that isn't accepted. It doesn't renew the lease.
     Stale,
-    /// The worker has seen a higher fencing token than this leader's: another one leads.
-    Deposed,
+    /// The worker has seen a higher fencing token than this leader's newest: another controller is the leader.
+    HigherTokenSeen,
 }
 
 impl SchedulerState {
-    /// Takes in a heartbeat and decides on the reply.
+    /// Processes a heartbeat and decides on the reply.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Moment) -> HeartbeatReply {
         if heartbeat.fencing_token > self.fencing.newest() {
-            return HeartbeatReply::Deposed;
+            return HeartbeatReply::HigherTokenSeen;
         }
         if !self.ensure_machine_known(heartbeat, now) || !self.accept_heartbeat(heartbeat, now) {
             return HeartbeatReply::Stale;
@@ -46,8 +46,8 @@
         self.reply_with_commands(heartbeat, now)
     }
 
-    /// Makes sure that the machine is known and queued for the registry. False if it is gone, or if there
-    /// are too many machines.
+    /// Adds the machine if it is unknown, and queues it for the registry. Returns false if the machine no longer
+    /// exists, or if the limit on the number of machines is reached.
     fn ensure_machine_known(&mut self, heartbeat: &Heartbeat, now: Moment) -> bool {
         if self.provisioning.is_gone(&heartbeat.machine) {
             return false;
@@ -76,13 +76,14 @@
             now,
         );
         machine.lease_renewed_at = self.started;
-        // The heartbeat may be late and the machine gone: only a list or a provisioning request proves that it exists.
+        // The heartbeat may be late and the machine may no longer exist: only the cloud's machine list or a
+        // provisioning request proves its existence.
         machine.existed_at = self.prior_term.machines.get(&heartbeat.machine).copied();
         self.machines.insert(heartbeat.machine.clone(), machine);
     }
 
-    /// Takes in a heartbeat that is newer than all others of its machine. False if it isn't, or if its agent
-    /// epoch has ended.
+    /// Accepts and applies a heartbeat that is newer than all others of its machine. Returns false if it isn't
+    /// newer, or if its agent epoch has ended.
     fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, now: Moment) -> bool {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
@@ -94,14 +95,14 @@
         }
         let position = heartbeat.position();
         if position <= machine.newest_heartbeat {
-            // A copy doesn't prove that its sender is alive.
+            // A duplicate doesn't prove that its sender is alive.
             return false;
         }
-        // The machine may take work again from here on.
+        // From here on the machine counts as alive, so tasks may be placed on it again.
         self.placement.due |= !machine.is_alive(self.config.heartbeat_interval, now);
         machine.note_heartbeat(position, now);
-        // Otherwise a direct call's answer, with a newer list of tasks, overtook the heartbeat. The reply to
-        // it is as good as any.
+        // Otherwise the answer to a direct call, with a newer list of tasks, overtook the heartbeat. Its list of
+        // tasks is outdated then, but a reply to it is as valid as to any other heartbeat.
         if position > machine.reconciled_position {
             self.reconcile(heartbeat, ReportSource::Heartbeat, now);
         }
--- a/src/workers/heartbeat_commands.rs
+++ b/src/workers/heartbeat_commands.rs
@@ -1,5 +1,5 @@
-//! The commands in the reply to a heartbeat: the difference between what is desired of a machine and what
-//! its worker reports.
+//! Commands in the reply to a heartbeat, derived from the difference between the desired state of a machine and
+//! the state that its worker reports.
 
 use super::wire::{CommandKind, TaskStatus, WorkerCommand};
 use super::{Attempt, AttemptKey, DesiredState, HeartbeatPosition, Machine, Orphan};
@@ -7,39 +7,39 @@
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
-/// The number of commands that one message may carry: it must stay below 64 KiB.
+/// Maximum number of commands in one message, which must stay below 64 KiB.
 pub(super) const MAX_COMMANDS: usize = 300;
 
-/// A task that saves its checkpoint for this much longer than its grace period is killed.
+/// Additional time beyond the grace period after which a task that is still saving its checkpoint is killed.
 const GRACE_PERIOD_MARGIN: Micros = Micros::from_secs(5);
 
-/// What holds for all attempts of a machine while the reply is made.
+/// Conditions that are the same for all attempts of a machine while one reply is built.
 struct ReplyContext {
-    /// The heartbeat that is replied to, or a newer answer of a direct call.
+    /// Position of the heartbeat that is being answered, or of a newer answer to a direct call.
     position: HeartbeatPosition,
-    /// Exited attempts may be cleared.
+    /// Whether exited attempts may be cleared.
     may_release: bool,
-    /// Replies may not reach the machine: they carry no starts.
+    /// Whether the machine is quarantined: replies may not reach it, so they carry no start commands.
     is_quarantined: bool,
-    /// The machine is on record: tasks may start on it.
+    /// Whether the machine is stored in the registry: only then may tasks start on it.
     is_registered: bool,
     now: Moment,
 }
 
-/// What a reply does about one attempt.
+/// Action on one attempt while a reply is built.
 enum NextStep {
-    /// Nothing is to be said.
+    /// The reply carries no command for the attempt.
     Nothing,
-    /// The command to be sent.
+    /// Send this command.
     Send(WorkerCommand),
-    /// The start command to be sent, after all other commands.
+    /// Send this start command, after all other commands.
     Start(WorkerCommand),
-    /// The attempt is forgotten: it was never sent and isn't wanted on this machine any more.
+    /// Remove the attempt: its start command was never sent, and it should no longer run on this machine.
     Drop,
 }
 
 impl SchedulerState {
-    /// The commands in the reply to a heartbeat of this machine. Starts come last.
+    /// Builds the commands in the reply to a heartbeat of this machine. Start commands come last.
     pub(super) fn heartbeat_commands(&mut self, name: &str, now: Moment) -> Vec<WorkerCommand> {
         let may_release = self.permissions().release;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -69,7 +69,7 @@
         commands
     }
 
-    /// Forgets attempts whose start commands were never sent: their tasks may start elsewhere.
+    /// Removes attempts whose start commands were never sent, so that their tasks may start on other machines.
     pub(super) fn drop_never_sent(&mut self, name: &str, keys: Vec<AttemptKey>) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -84,7 +84,8 @@
     }
 }
 
-/// Attempts without a record are stopped at once and cleared once they have exited.
+/// Commands for attempts whose job has no record: they are stopped without a grace period, and cleared once
+/// they have exited.
 fn orphan_commands(orphans: &[Orphan], may_release: bool) -> Vec<WorkerCommand> {
     let mut commands = Vec::new();
     for orphan in orphans {
@@ -132,8 +133,9 @@
         }
     }
 
-    /// An exited attempt is cleared once its outcome is on record: until then the worker's memory is the
-    /// second copy. While a start command for it may still arrive, it would start again.
+    /// Clears an exited attempt once its outcome is stored: until then the worker holds the second copy of the
+    /// outcome. An attempt isn't cleared while a start command for it may still arrive, since that command would
+    /// start it again.
     fn clear(&self, job: &Job, key: AttemptKey, attempt: &Attempt) -> NextStep {
         if attempt.delivery.may_arrive() || !self.may_release {
             return NextStep::Nothing;
@@ -145,7 +147,7 @@
         NextStep::Nothing
     }
 
-    /// An attempt that saves its checkpoint is left alone until its grace period is over.
+    /// Kills an attempt that is still saving its checkpoint after its grace period and a margin.
     fn kill_overdue(
         &self,
         job: &Job,
@@ -166,7 +168,7 @@
         })
     }
 
-    /// An attempt that no heartbeat shows is started, again if its command went out before.
+    /// Starts an attempt that no heartbeat has reported yet. The start command is repeated if it was sent before.
     fn start(&self, job: &Job, key: AttemptKey, attempt: &mut Attempt) -> NextStep {
         if job.is_closed() {
             if attempt.was_never_sent() {
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -1,4 +1,4 @@
-//! The handler of heartbeats.
+//! HTTP handler for heartbeats of workers.
 
 use super::HeartbeatReply;
 use super::wire::{Heartbeat, HeartbeatReplyBody, HeartbeatSender, NotLeaderReply};
@@ -8,12 +8,12 @@
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
-/// The number of refused heartbeats whose times are remembered.
+/// Maximum number of refused heartbeats whose arrival times are kept.
 const MAX_REFUSED_HEARTBEATS: usize = 64;
-/// Workers are sent to the leader that the key-value store showed within this time. It is longer than a watch
-/// on the leader's record takes.
+/// Workers are redirected to the known leader only for this long after the key-value store last confirmed it.
+/// Longer than one watch on the leader record takes.
 const LEADER_HINT_VALID_FOR: Micros = Micros::from_secs(6);
-/// What `Retry-After` tells workers whose heartbeat isn't answered, in seconds.
+/// Value of `Retry-After`, in seconds, in replies of the leader that carry no commands and renew no lease.
 const RETRY_AFTER_S: u32 = 1;
 
 const OK: u16 = 200;
@@ -21,7 +21,7 @@
 const MISDIRECTED_REQUEST: u16 = 421;
 
 impl Controller {
-    /// Answers a heartbeat with commands, or refuses it if this controller doesn't lead.
+    /// Answers a heartbeat with commands, or refuses it if this controller isn't the leader.
     pub fn heartbeat(&self, body: &[u8]) -> Response {
         if let Some(refusal) = self.refuse_unless_leading(body) {
             return refusal;
@@ -34,8 +34,8 @@
             }
         };
         let mut state = self.state();
-        // The clock is read under the lock: the process may be suspended at any point, and another controller
-        // may lead by the time it goes on.
+        // The clock is read while the lock is held: the process may be suspended at any point, and another
+        // controller may be the leader by the time it resumes.
         let now = self.now();
         let Some((lease, scheduler)) = state.acting_leader(now) else {
             return self.misdirected(&state);
@@ -58,7 +58,7 @@
                 }
             }
             HeartbeatReply::Stale | HeartbeatReply::Withheld => Response::busy(RETRY_AFTER_S),
-            HeartbeatReply::Deposed => {
+            HeartbeatReply::HigherTokenSeen => {
                 log::info!(
                     term = term,
                     machine = heartbeat.machine,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The refusal of a heartbeat, if this controller doesn't lead. It is decided before the body is decoded:
-    /// at a failover all workers' heartbeats arrive at controllers that don't lead.
+    /// Returns the refusal of a heartbeat if this controller isn't the leader. This check comes before the body
+    /// is decoded: during a failover the heartbeats of all workers arrive at controllers that aren't the leader.
     fn refuse_unless_leading(&self, body: &[u8]) -> Option<Response> {
         let (refusal, now) = {
             let mut state = self.state();
@@ -87,7 +87,7 @@
         Some(refusal)
     }
 
-    /// Remembers whose heartbeat was refused, if links are watched.
+    /// Records which worker's heartbeat was refused, if link health is monitored.
     fn note_refused_worker(&self, body: &[u8], now: Moment) {
         if let Some(link_health) = &self.link_health
             && let Ok(sender) = decode::<HeartbeatSender>(body)
@@ -96,8 +96,9 @@
         }
     }
 
-    /// The response of a controller that doesn't lead. It names the leader only if the key-value store showed
-    /// it lately: a controller that lost the store would send workers in circles.
+    /// Response to a heartbeat by a controller that isn't the leader. It names the leader only if the leader
+    /// record was read recently: a controller without access to the key-value store would redirect workers in
+    /// a loop.
     fn misdirected(&self, state: &ControllerState) -> Response {
         let is_recent = self.now() - state.leader_confirmed_at < LEADER_HINT_VALID_FOR;
         let leader = state
@@ -109,7 +110,7 @@
         Response::new(MISDIRECTED_REQUEST, encode(&NotLeaderReply { leader }))
     }
 
-    /// Wakes the loops that have something to do after a decision: the record writer and the command senders.
+    /// Wakes the record writer and the command senders if the scheduler has left work for them.
     pub fn wake_loops(&self, scheduler: &mut SchedulerState) {
         if std::mem::take(&mut scheduler.writes_due) {
             self.state_changed.notify_all();
@@ -120,7 +121,7 @@
     }
 }
 
-/// Remembers when a heartbeat was refused.
+/// Stores the arrival time of a refused heartbeat and drops the oldest beyond the limit.
 fn note_refused_heartbeat(state: &mut ControllerState, now: Moment) {
     state.refused_heartbeats.push_back(now);
     while state.refused_heartbeats.len() > MAX_REFUSED_HEARTBEATS {
--- a/src/workers/heartbeat_position.rs
+++ b/src/workers/heartbeat_position.rs
@@ -1,21 +1,21 @@
-//! The sequence of a worker's heartbeats.
+//! Ordering of a worker's heartbeats.
 
 use super::AgentEpoch;
 use super::wire::Heartbeat;
 
-/// The place of a heartbeat among all heartbeats of one worker: a later one is greater.
+/// Position of a heartbeat in the sequence of all heartbeats of one worker: a later heartbeat has a greater one.
 ///
-/// A worker counts its agent epochs over its whole life and its heartbeats within each epoch.
+/// A worker numbers its agent epochs over its whole lifetime and its heartbeats within each epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatPosition {
-    /// The worker's agent epoch. 0 if nothing arrived from the worker yet.
+    /// Agent epoch of the worker; 0 if nothing has arrived from the worker yet.
     pub agent_epoch: AgentEpoch,
-    /// The heartbeat's sequence number within the epoch.
+    /// Sequence number of the heartbeat within the epoch.
     pub sequence: u64,
 }
 
 impl Heartbeat {
-    /// Its place among the worker's heartbeats.
+    /// Position in the sequence of the worker's heartbeats.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             agent_epoch: self.agent_epoch,
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one machine.
+//! The leader's state of one machine.
 
 use super::attempt::{Attempt, AttemptKey, Orphan};
 use super::heartbeat_position::HeartbeatPosition;
@@ -12,91 +12,91 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One machine: what its worker and the cloud report of it, its lease, and the attempts on it.
+/// State of one machine: the reports of its worker and of the cloud, its lease, and the attempts on it.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name, unique for ever.
+    /// Name of the machine; it is never reused for another machine.
     pub name: String,
-    /// Where its worker takes direct commands; empty until a heartbeat tells it.
+    /// Address at which the worker accepts direct calls; empty until a heartbeat reports it.
     pub addr: String,
-    /// The name of its machine type.
+    /// Name of the machine type.
     pub type_name: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// True if it is a spot machine.
+    /// True for a spot machine.
     pub spot: bool,
-    /// Its capacity.
+    /// Total capacity of the machine.
     pub total: Resources,
-    /// The newest heartbeat, or answer of a direct call, that was reconciled. Its agent epoch is the
-    /// machine's current one.
+    /// Position of the newest heartbeat, or answer to a direct call, that was reconciled. Its agent epoch is
+    /// the machine's current one.
     pub(super) reconciled_position: HeartbeatPosition,
-    /// The newest heartbeat that was accepted. One that is no newer is a copy.
+    /// Position of the newest accepted heartbeat. One that isn't newer than this is a duplicate or late.
     pub(super) newest_heartbeat: HeartbeatPosition,
-    /// A fencing token above the term that replies and commands to it must carry, or 0.
+    /// Fencing token above the term that replies and commands to the machine must carry; 0 if none.
     pub(super) fencing_token: FencingToken,
-    /// The highest fencing token that its worker is known to have seen.
+    /// Highest fencing token that the worker is known to have seen.
     pub(super) seen_fencing_token: FencingToken,
-    /// True once a heartbeat showed this leader's fencing token: no command of an earlier leader can be
-    /// executed on it any more.
+    /// True once a report of the worker contained a fencing token of this leader: from then on the worker
+    /// executes no command of an earlier leader.
     pub reconciled: bool,
-    /// True if its lease expired, or the cloud lists it as failed, with no heartbeat of a newer agent epoch
-    /// since: no attempt runs on it.
+    /// True if the lease expired, or the cloud lists the machine as failed, and no heartbeat of a newer agent
+    /// epoch has arrived since: no attempt runs on the machine.
     pub unreachable: bool,
-    /// True once its lease expired under this term, or the cloud listed it as failed: nothing of an earlier
-    /// term can run on it, though it may not be reconciled. A heartbeat of a newer agent epoch isn't proof
-    /// enough: the older epoch may be known from a late copy only, and the last leader may have sent
-    /// commands for the newer one.
+    /// True once the lease expired during this term, or the cloud listed the machine as failed: no attempt of an
+    /// earlier term can run on the machine, even if it isn't reconciled. A heartbeat of a newer agent epoch isn't
+    /// sufficient proof: the older epoch may be known only from a late duplicate, and the previous leader may
+    /// have sent commands for the newer one.
     pub epoch_ended: bool,
-    /// True once it is on record in the machine registry: only then may tasks start on it.
+    /// True once the machine is stored in the machine registry: only then may tasks start on it.
     pub registered: bool,
-    /// Set while it is quarantined: replies and commands seem not to reach it.
+    /// Present while the machine is quarantined because replies and commands don't seem to reach it.
     pub quarantine: Option<Quarantine>,
-    /// The last moment at which anyone may have renewed its lease.
+    /// Latest time at which this or an earlier leader may have renewed the machine's lease.
     pub lease_renewed_at: Moment,
-    /// When its newest heartbeat or answer of a direct call arrived.
+    /// Arrival time of the newest heartbeat or answer to a direct call.
     pub last_seen: Option<Moment>,
-    /// When its newest heartbeat arrived. Unlike heartbeats, answers of direct calls neither renew the lease
-    /// nor prove that it can reach a controller.
+    /// Arrival time of the newest heartbeat. Answers to direct calls don't count: unlike heartbeats they neither
+    /// renew the lease nor prove that the machine can reach a controller.
     pub last_heartbeat: Option<Moment>,
-    /// The time between its last two heartbeats. A worker that gets no reply tries another controller first
-    /// and comes back later than it would have.
+    /// Time between the last two heartbeats. It exceeds the heartbeat interval if the worker got no reply to the
+    /// first of them and tried another controller before it returned to this one.
     pub heartbeat_gap: Micros,
-    /// True if its newest heartbeat has a preemption notice.
+    /// True if the newest report contains a preemption notice.
     pub has_preemption_notice: bool,
-    /// When the cloud will take it, as told by the newest preemption notice.
+    /// Time at which the cloud will preempt the machine, according to the newest preemption notice.
     pub preempted_at: Option<Moment>,
-    /// The attempts of its current agent epoch.
+    /// Attempts of the current agent epoch.
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Reported attempts of jobs that have no record any more.
+    /// Reported attempts whose jobs no longer have a record.
     pub orphans: Vec<Orphan>,
-    /// The images that its worker has fetched.
+    /// Images that the worker has fetched or is fetching.
     pub images: ImageCache,
-    /// True if it is to be returned to the cloud: nothing starts on it any more.
+    /// True if the machine will be returned to the cloud: no more tasks start on it.
     pub draining: bool,
-    /// True if tasks of several jobs failed on it one after the other.
+    /// True if tasks of several jobs failed on the machine without a completed task in between.
     pub faulty: bool,
-    /// Jobs whose tasks failed on it since one last completed there.
+    /// Jobs of which a task failed on the machine since a task last completed on it.
     pub(super) error_streak: BTreeSet<JobId>,
-    /// When this leader, or an earlier one, first knew of it.
+    /// Time at which this leader, or an earlier one, first learned of the machine.
     pub known_since: Moment,
-    /// Since when no attempt uses its resources.
+    /// Start of the current period without any attempt that uses resources; `None` while the machine is busy.
     pub idle_since: Option<Moment>,
-    /// Its status in the cloud's newest list.
+    /// Status of the machine in the cloud's newest list.
     pub list_status: Option<ListStatus>,
-    /// When the cloud last listed it.
+    /// Time at which the cloud last listed the machine.
     pub last_listed: Option<Moment>,
-    /// A moment at which it is known to have existed; the earliest known one.
+    /// Earliest time at which the machine is known to have existed.
     pub existed_at: Option<Moment>,
-    /// True while a direct call to it is in flight.
+    /// True while a direct call to the machine is in flight.
     pub(super) call_in_flight: bool,
     /// Cached free resources: those free now, and those free once the attempts that are being stopped have
-    /// ended. A placement pass looks at every machine, of which few changed since the last pass. Whatever
-    /// changes the attempts or orphans resets it to `None`.
+    /// ended. A placement pass examines every machine, and few of them have changed since the previous pass. Any
+    /// change to the attempts or orphans must reset the cache to `None`.
     pub free_resources: Cell<Option<FreeCapacity>>,
 }
 
 impl Machine {
-    /// A machine without any heartbeat yet. Its lease counts as renewed `now`.
+    /// Creates the state of a machine without any heartbeat. Its lease counts as renewed at `now`.
     pub fn new(
         name: &str,
         type_name: &str,
@@ -143,33 +143,33 @@
         }
     }
 
-    /// Its current agent epoch; 0 before its first heartbeat.
+    /// Current agent epoch of the machine's worker; 0 before the first heartbeat.
     pub fn agent_epoch(&self) -> AgentEpoch {
         self.reconciled_position.agent_epoch
     }
 
-    /// True if its newest heartbeat arrived within the last two heartbeat intervals, in its current agent
-    /// epoch.
+    /// True if the newest heartbeat arrived within the last two heartbeat intervals and belongs to the current
+    /// agent epoch.
     pub fn is_alive(&self, heartbeat_interval: Micros, now: Moment) -> bool {
         let is_recent = |t: Moment| now - t < heartbeat_interval.scaled(2.0);
         self.last_heartbeat.is_some_and(is_recent)
             && self.newest_heartbeat.agent_epoch == self.agent_epoch()
     }
 
-    /// True if attempts use its resources, of known jobs or not.
+    /// True if any attempt uses resources of the machine, whether its job is known or not.
     pub fn is_busy(&self) -> bool {
         self.attempts.values().any(Attempt::holds_resources)
             || self.orphans.iter().any(|orphan| !orphan.exited)
     }
 
-    /// Takes in an accepted heartbeat's position and the time of its arrival.
+    /// Stores the position and the arrival time of an accepted heartbeat.
     pub(super) fn note_heartbeat(&mut self, position: HeartbeatPosition, now: Moment) {
         self.newest_heartbeat = position;
         self.heartbeat_gap = self.last_heartbeat.map_or(Micros::ZERO, |t| now - t);
         self.last_heartbeat = Some(now);
     }
 
-    /// Something that was sent to it was surely lost: it is quarantined.
+    /// Quarantines the machine, or extends its quarantine, because a reply or command didn't reach it.
     pub(super) fn note_undelivered(&mut self, now: Moment) {
         self.quarantine
             .get_or_insert(Quarantine::new(now))
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,12 +1,12 @@
-//! Workers: their heartbeats, agent epochs and leases, and the commands that follow from the difference
-//! between what is desired of a machine and what its worker reports.
+//! Workers: their heartbeats, agent epochs and leases, and the commands sent to them. Commands are derived
+//! from the difference between the desired state of a machine and the state that its worker reports.
 //!
 //! - State: [`Machine`] with its [`Attempt`]s, [`CommandQueue`], [`fencing::Fencing`].
-//! - Decisions: `heartbeat` accepts a heartbeat, `reconciliation` applies what it shows, `heartbeat_commands`
-//!   makes the reply. `direct_calls` picks commands that go to a worker without waiting for its heartbeat,
-//!   `direct_results` applies the answers. `agent_epochs` ends epochs whose lease expired, `revocation` revokes
-//!   start commands that may still be executed.
-//! - Handler and loop: `heartbeat_handler`, `command_sender`.
+//! - Decisions: `heartbeat` accepts or rejects a heartbeat, `reconciliation` applies its report,
+//!   `heartbeat_commands` selects the commands in the reply. `direct_calls` selects the commands that are sent
+//!   to a worker without waiting for its next heartbeat, `direct_results` applies the answers. `agent_epochs`
+//!   ends epochs whose lease expired, `revocation` revokes start commands that may still be executed.
+//! - HTTP handler: `heartbeat_handler`. Sender loop: `command_sender`.
 
 #![warn(missing_docs)]
 
--- a/src/workers/quarantine.rs
+++ b/src/workers/quarantine.rs
@@ -39,12 +39,12 @@
     }
 
     /// True if the agent epoch has lasted for longer than a lease since the last loss: replies renewed it.
-    pub(super) fn is_refuted(&self, lease: Micros, now: Moment) -> bool {
+    pub(super) fn may_end(&self, lease: Micros, now: Moment) -> bool {
         now - self.last_undelivered_at > lease
     }
 
     /// True if it is time for the next probe.
-    pub(super) fn may_probe(&self, now: Moment) -> bool {
+    pub(super) fn is_probe_due(&self, now: Moment) -> bool {
         self.next_probe_at <= now
     }
 
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of a worker's report, from a heartbeat or the answer of a direct call, with the leader's
-//! state: which attempts the machine holds, which have ended, and which never started.
+//! Reconciliation of the leader's state with a worker's report, which arrives as a heartbeat or as the answer to a
+//! direct call: which attempts the machine holds, which have ended, and which never started.
 
 use super::wire::{Heartbeat, ReportedTask, TaskStatus};
 use super::{AgentEpoch, AttemptKey, DesiredState, FencingToken, Machine, Orphan};
@@ -9,24 +9,24 @@
 use crate::time::{Micros, Moment};
 use std::collections::BTreeSet;
 
-/// How a worker's report reached the leader.
+/// Message in which a worker's report reached the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportSource {
-    /// As a heartbeat.
+    /// A heartbeat.
     Heartbeat,
-    /// As the answer of a direct call.
+    /// The answer to a direct call.
     DirectCall,
 }
 
 impl SchedulerState {
-    /// Reconciles a known machine's report that is newer than the last one that was reconciled.
+    /// Reconciles the state of a known machine with a report that is newer than the last reconciled one.
     pub(super) fn reconcile(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
-        self.begin_newer_epoch(report, now);
+        self.end_older_epoch(report, now);
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return;
         };
         let total = self.provisioning.capacity_of(&report.type_name);
-        machine.take_over(report, total, now);
+        machine.update_from_report(report, total, now);
         let is_reconciled_now = machine.note_seen_fencing_token(report.fencing_token, self.term);
         self.placement.due |= is_reconciled_now;
         self.settle_unconfirmed(&report.machine, now);
@@ -34,8 +34,8 @@
         self.drain_preempted(&report.machine, now);
     }
 
-    /// Ends the machine's agent epoch if the report is of a newer one.
-    fn begin_newer_epoch(&mut self, report: &Heartbeat, now: Moment) {
+    /// Ends the machine's current agent epoch if the report belongs to a newer one.
+    fn end_older_epoch(&mut self, report: &Heartbeat, now: Moment) {
         let Some(machine) = self.machines.get(&report.machine) else {
             return;
         };
@@ -45,13 +45,14 @@
         }
         self.end_epoch(&report.machine);
         if let Some(machine) = self.machines.get_mut(&report.machine) {
-            // The worker may have been away. It may also not receive the replies to its heartbeats.
+            // The worker may have been disconnected or stopped. It may also send heartbeats without receiving the
+            // replies.
             machine.note_undelivered(now);
         }
     }
 
-    /// Stops the attempts that can't finish before the cloud takes the machine. Their tasks can then start
-    /// elsewhere at once instead of when the machine's lease has expired.
+    /// Preempts the attempts that can't finish before the cloud preempts the machine. Their tasks can then start
+    /// on other machines at once, rather than after the machine's lease has expired.
     fn drain_preempted(&mut self, name: &str, now: Moment) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reconciles the report's list of tasks, which is complete.
+    /// Reconciles the attempts on the machine with the report's list of tasks, which is always complete.
     fn reconcile_tasks(&mut self, report: &Heartbeat, source: ReportSource, now: Moment) {
         let mut reported = BTreeSet::new();
         let mut orphans = Vec::new();
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The reported attempt's key, if its job is known.
+    /// Key of the reported attempt; `None` if its job is unknown.
     fn attempt_key(&self, task: &ReportedTask) -> Option<AttemptKey> {
         let (job_id, number) = task.parts()?;
         Some(AttemptKey {
@@ -119,11 +120,11 @@
         })
     }
 
-    /// Checks that no attempt of this leader runs whose job this leader has retired: a job is retired only
-    /// once none of its attempts can be left.
+    /// Checks that an attempt of an unknown job isn't one that this leader started. Such an attempt would belong to
+    /// a job that this leader has retired, and a job is retired only once none of its attempts can be left.
     fn check_orphan(&self, machine: &str, task: &ReportedTask, now: Moment) {
         let known = self.machines.get(machine);
-        // The first report of a machine may be a copy of a very old one.
+        // The first report of a machine may be a duplicate of a very old one.
         let is_known = known.is_some_and(|m| m.known_since < now);
         let is_running = task.status != TaskStatus::Exited;
         if is_known && is_running && task.attempt >> 32 == self.term {
@@ -139,8 +140,8 @@
 }
 
 impl Machine {
-    /// Takes over what the report says of the machine itself.
-    fn take_over(&mut self, report: &Heartbeat, total: Resources, now: Moment) {
+    /// Copies the report's data about the machine itself.
+    fn update_from_report(&mut self, report: &Heartbeat, total: Resources, now: Moment) {
         self.reconciled_position = report.position();
         self.unreachable = false;
         if self.last_seen.is_none() {
@@ -158,8 +159,8 @@
             .map(|notice_s| now + Micros::from_secs_f64(notice_s.0));
     }
 
-    /// Notes the highest fencing token that the worker has seen. True if that completes the machine's
-    /// reconciliation with this term.
+    /// Stores the highest fencing token that the worker has seen. Returns true if this completes the
+    /// reconciliation of the machine in this term.
     fn note_seen_fencing_token(&mut self, fencing_token: FencingToken, term: u64) -> bool {
         self.seen_fencing_token = self.seen_fencing_token.max(fencing_token);
         if self.reconciled || fencing_token < FencingToken::of_term(term) {
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -1,5 +1,5 @@
-//! Revoking unconfirmed starts: the machine gets a higher fencing token, or else no replies. [`super::fencing`]
-//! tells how that works.
+//! Revocation of unconfirmed starts: the machine gets a higher fencing token, or its heartbeats are no longer
+//! answered. [`super::fencing`] describes the mechanism.
 
 use super::command_log::Seconds;
 use super::{DeliveryStatus, FencingToken};
@@ -8,7 +8,7 @@
 use crate::time::{Micros, Moment, at_least};
 
 impl SchedulerState {
-    /// The fencing token that goes with replies and commands to this machine.
+    /// Fencing token in replies and commands to this machine.
     pub fn fencing_token_for(&self, machine: &str) -> FencingToken {
         let known = self.machines.get(machine);
         let of_term = FencingToken::of_term(self.term);
@@ -19,8 +19,8 @@
         })
     }
 
-    /// Gives the newest token to machines whose unconfirmed starts it revokes. True if some need a higher
-    /// one than there is.
+    /// Assigns the newest token to the machines whose unconfirmed starts it revokes. Returns true if some machines
+    /// need a higher token than the newest.
     pub fn fence_unconfirmed(&mut self) -> bool {
         let newest = self.fencing.newest();
         let mut needs_higher = false;
@@ -34,12 +34,12 @@
         needs_higher
     }
 
-    /// True if a higher token is to be put on record now.
+    /// True if the fencing token must be raised, and the interval between two raises allows it now.
     pub fn fencing_token_raise_due(&mut self, now: Moment) -> bool {
         self.fence_unconfirmed() && self.fencing.may_raise(now)
     }
 
-    /// A higher token is on record for this leader alone.
+    /// Applies a raise of the fencing token: the higher token is stored for this leader only.
     pub fn fencing_token_raised(&mut self, fencing_token: FencingToken, now: Moment) {
         self.fencing.raised(fencing_token, now);
         self.fence_unconfirmed();
@@ -51,13 +51,13 @@
         );
     }
 
-    /// A raise of the token was refused or got no answer: it is tried again later.
+    /// Schedules a retry after a raise of the fencing token was refused or got no answer.
     pub fn fencing_token_raise_failed(&mut self, now: Moment) {
         self.fencing.raise_failed(now);
     }
 
-    /// Settles the machine's unconfirmed starts that its worker will refuse, after a report showed the highest
-    /// fencing token that the worker has seen.
+    /// Settles the unconfirmed starts on the machine that its worker will refuse. Called after a report has shown
+    /// the highest fencing token that the worker has seen.
     pub(super) fn settle_unconfirmed(&mut self, name: &str, now: Moment) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -84,18 +84,18 @@
             );
         }
         if !some_left {
-            self.fencing.forget(name);
+            self.fencing.remove_machine(name);
         }
     }
 
-    /// True if this machine must not be answered, so that its agent epoch ends before an unconfirmed start of
-    /// a cancelled job could be executed too late.
+    /// True if heartbeats of this machine must not be answered, so that its agent epoch ends before an unconfirmed
+    /// start of a cancelled job could be executed after the limit for the cancellation.
     pub(super) fn must_withhold(&mut self, name: &str, now: Moment) -> bool {
         let Some(unconfirmed) = self.fencing.unconfirmed_token(name) else {
             return false;
         };
         if self.fencing_token_for(name) > unconfirmed {
-            // Any reply that the worker takes revokes the start.
+            // Any reply that the worker receives revokes the start.
             return false;
         }
         let is_overdue = self.has_overdue_unconfirmed_start(name, self.revocation_time(), now);
@@ -105,21 +105,21 @@
             log::info!(
                 machine = name,
                 reason = "unconfirmed_start_of_cancelled_job";
-                "heartbeat withheld"
+                "heartbeat reply withheld"
             );
         }
         is_overdue
     }
 
-    /// How long an unconfirmed start may wait for a higher token once its job's cancellation was requested:
-    /// a full lease must still fit into the time for the cancellation.
+    /// Maximum time from the request of a job's cancellation until its unconfirmed starts are covered by a higher
+    /// token: after it, a full lease must still fit into the time limit of the cancellation.
     fn revocation_time(&self) -> Micros {
         at_least(self.config.cancellation_bound)
             .saturating_sub(self.max_lease_duration() + LEASE_MARGIN)
     }
 
-    /// True if the machine has an unconfirmed start, of an attempt that no report showed, whose job's
-    /// cancellation was requested at least this long ago.
+    /// True if the machine has an unconfirmed start whose attempt appeared in no report and whose job's cancellation
+    /// was requested at least `limit` ago.
     fn has_overdue_unconfirmed_start(&self, name: &str, limit: Micros, now: Moment) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return false;
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Checks that no start of a cancelled job can be executed once the time for its cancellation is over.
+    /// Checks that no start command of a cancelled job can be executed after the time limit of the cancellation.
     pub(crate) fn check_revocations(&mut self, now: Moment) {
         for (name, unconfirmed) in self.fencing.unconfirmed_machines() {
             let is_reachable = self.machines.get(name).is_some_and(|m| !m.unreachable);
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,181 +1,182 @@
-//! The messages between workers and controllers, as they stand on the wire.
+//! Messages between workers and controllers in their wire format.
 //!
-//! This is the one place that knows the wire's names; each is mapped to a name of ours by its `serde(rename)`.
+//! Only this module contains the wire names: `serde(rename)` maps each of them to the name that the rest of the
+//! code uses.
 
 use super::{AgentEpoch, FencingToken};
 use crate::http::cbor::Number;
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat. The answer of a direct call has the same form.
+/// Heartbeat of a worker. The answer to a direct call has the same format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Name of the machine that the worker runs on.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Where the worker takes direct commands, as `address:port`. Empty: nowhere.
+    /// Address at which the worker accepts direct calls, as `address:port`; empty if it accepts none.
     #[serde(default)]
     pub addr: String,
-    /// The name of the machine type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub type_name: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// True if it is a spot machine.
+    /// True for a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The worker's agent epoch, from 1. It rises whenever the worker's lease has expired.
+    /// Current agent epoch of the worker. The first is 1; the worker increments it when its lease has expired.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// The heartbeat's sequence number within the agent epoch.
+    /// Sequence number of the heartbeat within the agent epoch.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen, 0 if none.
+    /// Highest fencing token that the worker has seen; 0 if none.
     #[serde(rename = "baton", default)]
     pub fencing_token: FencingToken,
-    /// After a preemption notice: the seconds until the cloud takes the machine.
+    /// Seconds until the cloud preempts the machine; present once the worker has received a preemption notice.
     #[serde(rename = "recallS", default)]
     pub preemption_notice_s: Option<Number>,
-    /// All attempts on the machine, also exited ones that were not cleared yet.
+    /// All attempts on the machine, including exited ones that were not cleared yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// Of a heartbeat, only whose it is.
+/// The sender of a heartbeat; the other fields are ignored when decoding.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HeartbeatSender {
-    /// The machine's name.
+    /// Name of the machine that the worker runs on.
     #[serde(rename = "host")]
     pub machine: String,
 }
 
-/// One attempt on a machine, as its worker reports it.
+/// State of one attempt, as reported by the worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReportedTask {
-    /// The job's id, a slash and the task's number.
+    /// Task in the form `<job id>/<task number>`.
     #[serde(rename = "piece")]
     pub task_id: String,
-    /// The attempt's number.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// What the attempt is doing.
+    /// Phase of the attempt's execution.
     pub status: TaskStatus,
-    /// Why it exited, if it has.
+    /// Reason of the exit, if the attempt has exited.
     #[serde(rename = "cause", default)]
     pub exit_reason: Option<ExitReason>,
-    /// Whether it has saved a checkpoint.
+    /// Whether the attempt has saved a checkpoint.
     #[serde(rename = "stored", default)]
     pub checkpointed: Option<bool>,
 }
 
 impl ReportedTask {
-    /// The job's id and the task's number, if `task_id` has that form.
+    /// Splits `task_id` into the job's id and the task number; `None` if it is malformed.
     pub fn parts(&self) -> Option<(&str, u32)> {
         let (job_id, number) = self.task_id.rsplit_once('/')?;
         Some((job_id, number.parse().ok()?))
     }
 }
 
-/// What an attempt is doing.
+/// Phase of an attempt's execution on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskStatus {
-    /// Its image is being fetched.
+    /// The task's image is being fetched.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was told to stop and saves its checkpoint.
+    /// The task received a stop command and is saving its checkpoint.
     Flushing,
-    /// It has ended and uses no resources any more.
+    /// The attempt has ended and no longer uses resources.
     Exited,
-    /// A state that this version doesn't know. The attempt uses its resources.
+    /// A status unknown to this version. The attempt counts as using its resources.
     #[serde(other)]
     Other,
 }
 
-/// Why an attempt exited.
+/// Reason of an attempt's exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
     /// The task completed.
     Done,
-    /// A command stopped it.
+    /// A stop command ended the attempt.
     Stopped,
     /// The task failed.
     Error,
-    /// The machine had too few free resources for it.
+    /// The machine had too few free resources for the task.
     Full,
-    /// Another attempt of the task was on the machine.
+    /// Another attempt of the same task was on the machine.
     Busy,
-    /// The worker found nothing to run under the task's name.
+    /// The worker found no program for the task.
     NoSuch,
-    /// A reason that this version doesn't know.
+    /// A reason unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// What a worker is to do with an attempt.
+/// Action that a command requests for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
-    /// Start it, unless it is there already.
+    /// Start the attempt, unless the worker already holds it.
     Run,
-    /// End it, after a grace period for a checkpoint.
+    /// End the attempt after a grace period, in which the task can save a checkpoint.
     Stop,
-    /// Forget that it exited.
+    /// Drop the exited attempt from the worker's list.
     Clear,
 }
 
-/// A command to a worker.
+/// Command to a worker, concerning one attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommand {
-    /// What is to be done.
+    /// Requested action.
     #[serde(rename = "verb")]
     pub kind: CommandKind,
-    /// The job's id, a slash and the task's number.
+    /// Task in the form `<job id>/<task number>`.
     #[serde(rename = "piece")]
     pub task_id: String,
-    /// The attempt's number.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// For [`CommandKind::Stop`], the grace period in seconds.
+    /// Grace period of a [`CommandKind::Stop`], in seconds.
     #[serde(rename = "leewayS", default, skip_serializing_if = "Option::is_none")]
     pub grace_period_s: Option<f64>,
 }
 
-/// Grace periods are never NaN.
+/// `PartialEq` is reflexive here although it compares floats: grace periods are never NaN.
 impl Eq for WorkerCommand {}
 
-/// The leader's reply to a heartbeat.
+/// Reply of the leader to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatReplyBody {
     /// The leader's fencing token for this machine.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// What the worker is to do, in this order.
+    /// Commands to the worker, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The reply to a heartbeat of a controller that doesn't lead.
+/// Reply to a heartbeat by a controller that isn't the leader.
 #[derive(Debug, Serialize)]
 pub struct NotLeaderReply {
-    /// The leader's node name, if it is known.
+    /// Node name of the leader, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
 
-/// Commands that go directly to a worker. It refuses them if it has seen a higher fencing token or is in
-/// another agent epoch.
+/// Request body of a direct call. The worker refuses the commands if it has seen a higher fencing token or is
+/// in another agent epoch.
 #[derive(Debug, Serialize)]
 pub struct DirectCommands<'a> {
     /// The leader's fencing token for this machine.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The worker's agent epoch, as the leader knows it.
+    /// Agent epoch of the worker that the leader addresses.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// What the worker is to do, in this order.
+    /// Commands to the worker, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: &'a [WorkerCommand],
 }
