--- a/src/workers/command_log.rs
+++ b/src/workers/command_log.rs
@@ -1,19 +1,21 @@
-//! Log lines on commands: each that is sent and its path, what became of it, and why an attempt was released.
+//! Log lines about commands: each command sent and its path, the result of each direct call, and the reason for
+//! each release of an attempt.
 //!
-//! One event a line, at level `debug`. After an incident they tell which command was sent when, with which
-//! fencing token and agent epoch, and on what evidence it was believed to be over.
+//! Each line is one event at level `debug`. After an incident the lines show when a command was sent, with which
+//! fencing token and agent epoch, and on what evidence the leader considered it finished.
 
 use super::wire::{CommandKind, WorkerCommand};
 use super::{AgentEpoch, AttemptKey, DirectCall, DirectResult, FencingToken};
 use crate::time::Micros;
 use std::fmt;
 
-/// How a command reaches a worker.
+/// Path on which a command reaches a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommandPath {
-    /// In the reply to a heartbeat. The worker drops it if it is late.
+    /// The reply to a heartbeat. The worker drops the reply if it is late.
     HeartbeatReply,
-    /// In a direct call. The worker executes it however late it is, if fencing token and agent epoch match.
+    /// A direct call. The worker executes the command regardless of its delay if fencing token and agent epoch
+    /// are valid.
     Direct,
 }
 
@@ -26,12 +28,12 @@
     }
 }
 
-/// Why an attempt was released, so that its task may start elsewhere.
+/// Reason for releasing an attempt, after which its task may start on another machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReleaseReason {
-    /// The reply that carried its start command was lost.
+    /// The reply that carried the start command was lost.
     StartLost,
-    /// A report doesn't list it.
+    /// A report doesn't list the attempt.
     NotInReport,
 }
 
@@ -44,14 +46,14 @@
     }
 }
 
-/// Whom commands are for, and what they carry besides themselves.
+/// Addressee of a message with commands, and the fencing token that the message carries.
 pub(super) struct Recipient<'a> {
     pub machine: &'a str,
     pub agent_epoch: AgentEpoch,
     pub fencing_token: FencingToken,
 }
 
-/// Logs commands that are about to be sent.
+/// Logs each of the commands that are about to be sent.
 pub(super) fn log_commands(
     path: CommandPath,
     recipient: &Recipient<'_>,
@@ -74,7 +76,7 @@
     }
 }
 
-/// Logs how a direct call ended.
+/// Logs the result and the duration of a direct call.
 pub(super) fn log_call_result(call: &DirectCall, result: &DirectResult, took: Micros) {
     log::debug!(
         machine = call.machine,
@@ -87,7 +89,7 @@
     );
 }
 
-/// Logs that no answer came to the call that carried a start command.
+/// Logs that the direct call with the start command of this attempt got no answer.
 pub(super) fn log_unconfirmed_start(call: &DirectCall, key: AttemptKey, waited: Micros) {
     log::debug!(
         machine = call.machine,
@@ -96,11 +98,11 @@
         task = key.task,
         attempt = key.attempt,
         waited_s:% = Seconds(waited);
-        "start unconfirmed"
+        "start command unconfirmed"
     );
 }
 
-/// Logs that an attempt was released. `age` is the time since it was placed.
+/// Logs the release of an attempt. `age` is the time since its placement.
 pub(super) fn log_release(machine: &str, key: AttemptKey, reason: ReleaseReason, age: Micros) {
     log::debug!(
         machine = machine,
@@ -112,7 +114,7 @@
     );
 }
 
-/// Displays a time in seconds, to the millisecond.
+/// Displays a duration in seconds with millisecond precision.
 pub(super) struct Seconds(pub Micros);
 
 impl fmt::Display for Seconds {
--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -1,4 +1,4 @@
-//! The loop that sends commands directly to workers.
+//! Loop that sends commands to workers in direct calls.
 
 use super::wire::DirectCommands;
 use super::{DirectCall, DirectResult};
@@ -9,20 +9,20 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a call waits for its answer. A worker that is slower gets the commands by its next heartbeat.
+/// Timeout of a direct call. A worker that answers later gets the commands in the reply to its next heartbeat.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a probe waits for its answer. Many machines may be quarantined at once, and probes of them must
-/// not delay commands for other machines.
+/// Timeout of a probe. Many machines may be quarantined at once, and probing them must not delay commands for
+/// other machines.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a sender waits for commands before it looks again.
+/// Maximum time that an idle sender waits for a notification before it checks for due calls again.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 const OK: u16 = 200;
-/// The worker refuses the commands, by their fencing token or agent epoch.
+/// The worker refuses the commands because of their fencing token or agent epoch.
 const CONFLICT: u16 = 409;
 
 impl Controller {
-    /// Sends commands directly to workers. Several threads run this loop.
+    /// Sends commands to workers in direct calls. Several threads run this loop.
     pub fn command_sender_loop(&self) {
         loop {
             let Some(call) = self.next_call_or_wait() else {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The next call to be made, or `None` after a wait for one.
+    /// Returns the next due call. If none is due, waits for a notification and returns `None`.
     fn next_call_or_wait(&self) -> Option<DirectCall> {
         let mut state = self.state();
         let now = self.now();
@@ -47,14 +47,14 @@
         }
         let acting = state.acting_leader(now);
         if acting.is_some_and(|(_, scheduler)| !scheduler.commands.due.is_empty()) {
-            // Another sender takes the next call.
+            // Wake another sender for the next call.
             self.commands_due.notify_one();
         }
         call
     }
 
-    /// Applies a call's result under the term that decided on the call, even if this controller's lease may
-    /// have expired by now: what is known of the starts must be kept.
+    /// Applies a call's result to the state of the term that created the call, even if this controller's leader
+    /// lease may have expired since: the delivery status of the start commands must not be lost.
     fn apply_call_result(&self, call: &DirectCall, result: DirectResult) {
         let mut state = self.state();
         let now = self.now();
@@ -88,7 +88,7 @@
                 body,
             }) => read_answer(call, &body),
             Ok(ClientResponse { status, .. }) => {
-                log::info!(machine = call.machine, status = status; "direct call refused");
+                log::info!(machine = call.machine, status = status; "direct call answered with an unexpected status");
                 DirectResult::OutcomeUnknown
             }
             Err(error) => {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Reads the worker's report in its answer.
+/// Decodes the worker's report in the answer to a direct call.
 fn read_answer(call: &DirectCall, body: &[u8]) -> DirectResult {
     match decode(body) {
         Ok(report) => DirectResult::Answered(report),
--- a/src/workers/delivery_status.rs
+++ b/src/workers/delivery_status.rs
@@ -1,54 +1,54 @@
-//! Whether a start command that went directly to a worker may still be executed.
+//! Delivery status of a start command in a direct call: whether the worker may still execute it.
 //!
-//! This is the one place that decides it. Every path that forgets an attempt, clears it, starts its task
-//! elsewhere or retires its job asks here.
+//! Only this module decides that question. All code that drops an attempt, clears it, starts its task on another
+//! machine or retires its job relies on this status.
 //!
 //! # Proof
 //!
-//! A worker executes a start command of a direct call, however late it arrives, if the command's agent epoch
-//! is its own, the command's fencing token is no lower than the highest it has seen, and it doesn't hold the
-//! attempt already. So a start command without an answer stays executable without a limit in time: neither
-//! time, nor a later answer, nor a heartbeat without the attempt ends that, since heartbeats renew the agent
-//! epoch meanwhile. Two events do:
+//! A worker executes the start command of a direct call, regardless of its delay, if the command names the worker's
+//! current agent epoch, the command's fencing token is no lower than the highest that the worker has seen, and the
+//! worker doesn't already hold the attempt. A start command without an answer therefore remains executable for
+//! an unlimited time. Neither the passing of time, nor a later answer, nor a heartbeat without the attempt changes
+//! that, since heartbeats keep the agent epoch alive meanwhile. Two events do:
 //!
-//! - The agent epoch is over, or the machine is gone. All attempts of the epoch are dropped then
-//!   (`SchedulerState::end_epoch`), with their unconfirmed starts.
-//! - A report of the same agent epoch shows a fencing token above the command's
-//!   ([`DeliveryStatus::settled_by`]). The worker refuses the command from before that report on. If it had
-//!   executed the command earlier, the report, which lists all attempts, shows the attempt: an attempt isn't
+//! - The agent epoch has ended, or the machine no longer exists. All attempts of the epoch are dropped then
+//!   (`SchedulerState::end_epoch`), together with their unconfirmed starts.
+//! - A report of the same agent epoch contains a fencing token above the command's
+//!   ([`DeliveryStatus::settled_by`]). The worker already refused the command when it made that report. If it had
+//!   executed the command earlier, the report, which lists all attempts, contains the attempt: an attempt isn't
 //!   cleared while its start is unconfirmed.
 //!
-//! A start command that is sent again on purpose needs no status of its own: it names the same attempt, which
-//! the worker runs once until it is cleared.
+//! Repeating a start command on purpose needs no separate status: it names the same attempt, which the worker
+//! runs only once until it is cleared.
 //!
-//! `SchedulerState::fence_unconfirmed` brings about the second event, and `SchedulerState::must_withhold` the first, in time
-//! for cancelled jobs.
+//! `SchedulerState::fence_unconfirmed` causes the second event. `SchedulerState::must_withhold` causes the first
+//! event early enough for cancelled jobs.
 
 use super::FencingToken;
 use crate::time::Moment;
 
-/// A start command that may still be executed: no answer came to the call that carried it.
+/// A start command that may still be executed because the call that carried it got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedStart {
-    /// The fencing token that the command carries.
+    /// Fencing token of the command.
     pub fencing_token: FencingToken,
-    /// When the call began.
+    /// Start time of the call.
     pub since: Moment,
 }
 
-/// What became of a start command that went directly to the worker's address.
+/// Delivery status of an attempt's start command in a direct call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// None is in flight: it was answered, was never sent, or can't be executed any more.
+    /// No command is in flight: it was answered, was never sent, or can no longer be executed.
     Settled,
-    /// The call that carries it is in flight.
+    /// The call that carries the command is in flight.
     InFlight,
-    /// The call was given up, and nothing proves that the command won't be executed.
+    /// The call ended without an answer, and nothing proves that the command won't be executed.
     Unconfirmed(UnconfirmedStart),
 }
 
 impl DeliveryStatus {
-    /// The status after a call without an answer, for a worker that has seen this fencing token.
+    /// Status after a call without an answer to a worker that has seen `seen_fencing_token`.
     pub(super) fn unanswered(
         start: UnconfirmedStart,
         seen_fencing_token: FencingToken,
@@ -66,7 +66,7 @@
         self != DeliveryStatus::Settled
     }
 
-    /// The start command, if it is unconfirmed.
+    /// The start command if it is unconfirmed, otherwise `None`.
     pub fn unconfirmed(self) -> Option<UnconfirmedStart> {
         match self {
             DeliveryStatus::Unconfirmed(start) => Some(start),
@@ -74,8 +74,7 @@
         }
     }
 
-    /// True if a report that shows this fencing token proves that the unconfirmed command won't be executed
-    /// any more.
+    /// True if a report with this fencing token proves that the unconfirmed command can no longer be executed.
     pub(super) fn settled_by(self, seen_fencing_token: FencingToken) -> bool {
         self.unconfirmed()
             .is_some_and(|start| seen_fencing_token > start.fencing_token)
--- a/src/workers/direct_call.rs
+++ b/src/workers/direct_call.rs
@@ -1,50 +1,50 @@
-//! A call that brings commands directly to a worker, without waiting for its next heartbeat.
+//! Call that sends commands directly to a worker without waiting for its next heartbeat.
 
 use super::wire::{Heartbeat, WorkerCommand};
 use super::{AgentEpoch, AttemptKey, FencingToken};
 use crate::time::Moment;
 
-/// Commands for one machine that go directly to its worker's address.
+/// Call with commands for one machine, sent to the worker's address.
 #[derive(Debug)]
 pub struct DirectCall {
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's address, as the worker reported it.
+    /// Address of the worker, as the worker reported it.
     pub addr: String,
-    /// The term of the leader that decided on the call.
+    /// Term of the leader that created the call.
     pub term: u64,
-    /// The worker refuses the commands if it has seen a higher token than this.
+    /// Fencing token of the commands. The worker refuses them if it has seen a higher one.
     pub fencing_token: FencingToken,
-    /// The worker refuses the commands in any other agent epoch.
+    /// Agent epoch that the commands are for. The worker refuses them in any other epoch.
     pub agent_epoch: AgentEpoch,
-    /// What the worker is to do, in this order. Empty for a probe.
+    /// Commands to the worker, in the order of execution. Empty for a probe.
     pub commands: Vec<WorkerCommand>,
-    /// The attempts that the commands start.
+    /// Attempts that the commands start.
     pub(super) starts: Vec<AttemptKey>,
-    /// When the call began.
+    /// Start time of the call.
     pub(super) began_at: Moment,
-    /// True if the call only finds out whether commands reach the machine.
+    /// True if the call carries no commands and only tests whether calls reach the machine.
     pub probe: bool,
 }
 
 impl DirectCall {
-    /// True if the report proves that the call reached the machine: it is of the machine itself, in the
-    /// agent epoch that was called.
+    /// True if the report proves that the call reached the machine: it comes from the addressed machine in the
+    /// addressed agent epoch.
     pub(super) fn is_answered_by(&self, report: &Heartbeat) -> bool {
         report.machine == self.machine && report.agent_epoch == self.agent_epoch
     }
 }
 
-/// How a direct call ended.
+/// Result of a direct call.
 #[derive(Debug)]
 pub enum DirectResult {
-    /// The worker executed or refused the commands: its report after that.
+    /// The worker executed or refused the commands and answered with its report after that.
     Answered(Heartbeat),
-    /// Nothing was sent: this controller had no socket for it.
+    /// Nothing was sent, because this controller had no socket available or the worker's address is invalid.
     NotSent,
-    /// Nothing was sent: no connection to the machine came about.
+    /// Nothing was sent, because no connection to the machine could be established.
     Unreachable,
-    /// The commands were sent and no answer came: the worker may yet execute them.
+    /// The commands were sent but no valid answer arrived: the worker may still execute them.
     OutcomeUnknown,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// True if the machine can't be reached, or may not have been.
+    /// True if the machine wasn't reached, or possibly wasn't.
     pub(super) fn is_undelivered(&self) -> bool {
         matches!(
             self,
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Which commands go directly to a worker's address, and when.
+//! Selection of the commands that are sent in direct calls, and of the time of each call.
 
 use super::command_log::{CommandPath, Recipient, log_commands};
 use super::delivery_status::DeliveryStatus;
@@ -9,24 +9,24 @@
 use crate::scheduler::SchedulerState;
 use crate::time::Moment;
 
-/// The commands of one direct call.
+/// Commands of one direct call.
 #[derive(Default)]
 struct DirectCommandBatch {
     commands: Vec<WorkerCommand>,
-    /// The attempts that the commands start.
+    /// Attempts that the commands start.
     starts: Vec<AttemptKey>,
 }
 
-/// The command that can't wait for the machine's next heartbeat, if there is one for this attempt.
+/// Returns the command for this attempt that should be sent before the machine's next heartbeat, if any.
 fn urgent_command(
     job: &Job,
     key: AttemptKey,
     attempt: &Attempt,
-    takes_starts: bool,
+    may_send_starts: bool,
 ) -> Option<CommandKind> {
     match (attempt.status, attempt.desired) {
         (None, DesiredState::Run) => {
-            let may_start = takes_starts && key.task < job.start_watermark && !job.is_closed();
+            let may_start = may_send_starts && key.task < job.start_watermark && !job.is_closed();
             (may_start && attempt.was_never_sent()).then_some(CommandKind::Run)
         }
         (Some(status), DesiredState::Stop { .. }) => {
@@ -38,8 +38,8 @@
 }
 
 impl SchedulerState {
-    /// The next direct call to be made, if one is due and another one may be in flight now. Starts in it are
-    /// in flight from here on: `direct_call_finished` must follow.
+    /// Returns the next direct call, if one is due and the limit on calls in flight allows it. Its start commands
+    /// count as in flight from now on, so the caller must pass the result to `direct_call_finished`.
     pub fn next_direct_call(&mut self, now: Moment) -> Option<DirectCall> {
         if self.overload.is_overloaded() || !self.commands.may_call(now) {
             return None;
@@ -59,7 +59,7 @@
         None
     }
 
-    /// The call to this machine, if it may be called and has urgent commands or is to be probed.
+    /// Creates the call to this machine, if the machine may be called and has urgent commands or a due probe.
     fn direct_call(&mut self, name: &str, now: Moment) -> Option<DirectCall> {
         let heartbeat_interval = self.config.heartbeat_interval;
         let machine = self.machines.get_mut(name)?;
@@ -86,7 +86,7 @@
         self.begin_call(name, batch, now)
     }
 
-    /// A call with these commands, or a probe if there are none.
+    /// Creates a call with these commands, or a probe if there are none.
     fn begin_call(
         &mut self,
         name: &str,
@@ -109,18 +109,20 @@
         })
     }
 
-    /// The urgent commands for a machine, stops first: they free the resources that the starts need.
+    /// Collects the urgent commands for a machine. Stop commands come first, because they free the resources that
+    /// the start commands need.
     fn direct_command_batch(&mut self, name: &str, now: Moment) -> Option<DirectCommandBatch> {
         let machine = self.machines.get_mut(name)?;
-        // Stops may go to any worker that answers; starts only where the lease is known to last.
-        let takes_starts =
+        // Stop commands may be sent to any worker that answers; start commands only if recent heartbeats show that
+        // the machine's lease is being renewed.
+        let may_send_starts =
             machine.registered && machine.is_alive(self.config.heartbeat_interval, now);
         let mut batch = DirectCommandBatch::default();
         for (key, attempt) in &mut machine.attempts {
             let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
-            let Some(kind) = urgent_command(job, *key, attempt, takes_starts) else {
+            let Some(kind) = urgent_command(job, *key, attempt, may_send_starts) else {
                 continue;
             };
             batch
--- a/src/workers/direct_results.rs
+++ b/src/workers/direct_results.rs
@@ -1,4 +1,4 @@
-//! What follows from the result of a direct call.
+//! Processing of the results of direct calls.
 
 use super::command_log::{log_call_result, log_unconfirmed_start};
 use super::delivery_status::{DeliveryStatus, UnconfirmedStart};
@@ -9,7 +9,7 @@
 use crate::time::Moment;
 
 impl SchedulerState {
-    /// Applies the result of a direct call. It doesn't renew the machine's lease.
+    /// Applies the result of a direct call. An answer doesn't renew the machine's lease.
     pub fn direct_call_finished(&mut self, call: &DirectCall, result: DirectResult, now: Moment) {
         self.commands.call_ended(call.began_at);
         log_call_result(call, &result, now - call.began_at);
@@ -17,7 +17,7 @@
             return;
         };
         let is_undelivered = result.is_undelivered();
-        let delivery = settle_starts(machine, call, &result);
+        let delivery = update_start_delivery(machine, call, &result);
         if is_undelivered && !machine.unreachable && !call.probe {
             machine.note_undelivered(now);
         }
@@ -29,19 +29,19 @@
         if is_undelivered {
             self.drop_unsent(&call.machine);
         } else if is_answered && !call.probe {
-            // What was decided meanwhile waits for the next call. Without an answer it waits for a
-            // heartbeat: a machine that refuses connections would be called without end.
+            // Commands that became due during the call are sent in the next one. Without an answer they wait for a
+            // heartbeat: otherwise a machine that refuses connections would be called in an endless loop.
             self.commands.due.insert(call.machine.clone());
         }
     }
 
-    /// Applies the report in a call's answer.
+    /// Applies the report in the answer to a call.
     fn apply_answer(&mut self, call: &DirectCall, report: &Heartbeat, now: Moment) {
         let Some(machine) = self.machines.get_mut(&call.machine) else {
             return;
         };
         if call.is_answered_by(report) && report.agent_epoch == machine.agent_epoch() {
-            // The machine receives commands.
+            // The answer proves that commands reach the machine, so its quarantine ends.
             self.placement.due |= machine.quarantine.take().is_some();
         }
         if report.machine == call.machine
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Drops attempts whose start commands were never sent, on a machine that isn't reached: their tasks may
-    /// start elsewhere at once instead of when its lease has expired. A connection attempt that was given up
-    /// never completes.
+    /// Drops the attempts whose start commands were never sent, on a machine that can't be reached. Their tasks may
+    /// start on other machines at once, rather than after the machine's lease has expired. This is safe because
+    /// an abandoned connection attempt never completes.
     fn drop_unsent(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -72,7 +72,7 @@
         self.drop_never_sent(name, unsent);
     }
 
-    /// Counts calls with starts, and has unconfirmed starts revoked.
+    /// Counts calls with start commands, and requests the revocation of unconfirmed starts.
     fn note_delivery(&mut self, call: &DirectCall, delivery: DeliveryStatus, now: Moment) {
         if call.starts.is_empty() {
             return;
@@ -84,7 +84,7 @@
         self.fencing.counters.unconfirmed_starts += call.starts.len() as u64;
         self.fencing
             .note_unconfirmed(&call.machine, call.fencing_token);
-        // The record writer raises the fencing token.
+        // Wakes the record writer, which raises the fencing token.
         self.writes_due = true;
         for key in &call.starts {
             log_unconfirmed_start(call, *key, now - call.began_at);
@@ -92,8 +92,8 @@
     }
 }
 
-/// Notes what became of the call's starts.
-fn settle_starts(
+/// Updates the delivery status of the call's start commands, and returns it.
+fn update_start_delivery(
     machine: &mut Machine,
     call: &DirectCall,
     result: &DirectResult,
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means for its task, its job and its machine.
+//! Effects of an attempt's exit on its task, its job and its machine.
 
 use super::attempt::MIN_COUNTED_RUN;
 use super::wire::ExitReason;
@@ -6,30 +6,31 @@
 use crate::jobs::Job;
 use crate::time::{Micros, Moment};
 
-/// A job that failed on at least this many machines is taken to be the cause of its errors, not the machines.
-const JOB_AT_FAULT_FROM: usize = 3;
-/// A machine on which tasks of at least this many jobs failed one after the other is taken to be faulty.
-const MACHINE_AT_FAULT_FROM: usize = 2;
+/// Number of machines on which a job must have failed for its errors to be attributed to the job, not the machines.
+const MIN_MACHINES_OF_FAULTY_JOB: usize = 3;
+/// Number of jobs of which tasks must have failed on a machine, without a completed task in between, for the machine
+/// to be considered faulty.
+const MIN_JOBS_OF_FAULTY_MACHINE: usize = 2;
 
-/// An attempt that a report shows as exited for the first time.
+/// Exit of an attempt, in the first report that shows it.
 pub(super) struct Exit {
     pub key: AttemptKey,
     pub exit_reason: ExitReason,
     pub at: Moment,
 }
 
-/// What follows from an exit beyond its job and machine.
+/// Effects of an exit beyond its job and machine, to be applied by the caller.
 #[derive(Default)]
 pub(super) struct ExitEffect {
-    /// True if the job's last task completed: its final state is to be recorded.
+    /// True if the last task of the job has completed, so that its final state must be recorded.
     pub completes_job: bool,
-    /// How long the attempt ran, if its task completed.
+    /// Run time of the attempt, if its task completed.
     pub run_time: Option<Micros>,
 }
 
-/// Settles an exit: the attempt's resources are free again. The first attempt of a task that completes
-/// decides the task's outcome.
-pub(super) fn settle_exit(
+/// Applies an exit, and frees the attempt's resources. The first attempt of a task that completes determines the
+/// task's outcome.
+pub(super) fn apply_exit(
     exit: &Exit,
     job: &mut Job,
     machine: &mut Machine,
@@ -39,10 +40,10 @@
     let running_since = attempt.running_since;
     let effect = if job.spec.is_standing() {
         let lasted = running_since.is_some_and(|since| exit.at - since > MIN_COUNTED_RUN);
-        settle_replica(exit, lasted, job, machine);
+        apply_replica_exit(exit, lasted, job, machine);
         ExitEffect::default()
     } else {
-        settle_task(exit, running_since, job, machine)
+        apply_task_exit(exit, running_since, job, machine)
     };
     if std::mem::take(&mut attempt.bound) {
         job.unbind(exit.key.task);
@@ -50,9 +51,9 @@
     effect
 }
 
-/// The exit of a standing job's replica is no outcome: it runs again elsewhere. If replicas exit soon after
-/// their start, on one machine after the other, the job waits longer and longer.
-fn settle_replica(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
+/// Applies the exit of a standing job's replica. It isn't an outcome: the replica is started again. If replicas exit
+/// soon after their start on several machines in a row, the job's next start is delayed by an increasing backoff.
+fn apply_replica_exit(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
         ExitReason::Done => job.note_task_failure(&machine.name, exit.at),
@@ -61,7 +62,7 @@
     }
 }
 
-fn settle_task(
+fn apply_task_exit(
     exit: &Exit,
     running_since: Option<Moment>,
     job: &mut Job,
@@ -85,12 +86,13 @@
     }
 }
 
-/// An error mostly means that the machine is faulty, unless the job fails wherever it runs.
+/// Counts an error against the job and the machine. Errors of several jobs on one machine usually mean that the
+/// machine is faulty, unless the job fails on every machine.
 fn note_error(exit: &Exit, job: &mut Job, machine: &mut Machine) {
     job.note_task_failure(&machine.name, exit.at);
     machine.error_streak.insert(exit.key.job);
-    let is_job_at_fault = job.failed_on.len() >= JOB_AT_FAULT_FROM;
-    if machine.error_streak.len() >= MACHINE_AT_FAULT_FROM && !is_job_at_fault {
+    let is_job_at_fault = job.failed_on.len() >= MIN_MACHINES_OF_FAULTY_JOB;
+    if machine.error_streak.len() >= MIN_JOBS_OF_FAULTY_MACHINE && !is_job_at_fault {
         machine.faulty = true;
     }
 }
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -1,41 +1,43 @@
-//! The images that a machine's worker has fetched or is fetching.
+//! Estimate of the images in a worker's local cache.
 
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
-/// The number of images remembered of a machine: images without a size would never fill its cache.
+/// Maximum number of images tracked for a machine. Images without a size never fill its cache, so the capacity alone
+/// wouldn't bound their number.
 const MAX_IMAGES: usize = 64;
 
-/// What is known of one image on one machine.
+/// One image on one machine.
 #[derive(Clone, Debug)]
 pub struct Image {
-    /// Its size in gigabytes.
+    /// Size in gigabytes.
     pub gb: f64,
-    /// When an attempt that needs it was last reported.
+    /// Time at which an attempt that needs the image was last reported.
     pub last_used: Moment,
-    /// True once it was completely fetched; false while it may be on its way.
+    /// True once the image was fetched completely; false while it may still be being fetched.
     pub cached: bool,
 }
 
-/// The images on one machine, as estimated from the attempts that it reports: workers don't list them.
+/// Images on one machine. They are estimated from the attempts that its worker reports, because workers don't
+/// report their images.
 #[derive(Debug, Default)]
 pub struct ImageCache {
     images: BTreeMap<String, Image>,
 }
 
 impl ImageCache {
-    /// What is known of this image, if it may be on the machine.
+    /// State of this image; `None` if it isn't expected on the machine.
     pub fn get(&self, image: &str) -> Option<&Image> {
         self.images.get(image)
     }
 
-    /// All images, by name.
+    /// All images, ordered by name.
     pub fn values(&self) -> impl Iterator<Item = &Image> {
         self.images.values()
     }
 
-    /// Notes that an attempt uses an image. If the images exceed `capacity_gb` then, the least recently used
-    /// ones are dropped, as the worker does, until only one is left.
+    /// Records that an attempt uses an image. If the images then exceed `capacity_gb`, the least recently used ones
+    /// are evicted, as the worker does, but at least one is kept.
     pub fn note_use(&mut self, image: &str, gb: f64, cached: bool, capacity_gb: f64, now: Moment) {
         let entry = self.images.entry(image.to_string()).or_insert(Image {
             gb,
--- a/src/workers/missing_attempts.rs
+++ b/src/workers/missing_attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts that a worker's report doesn't list: which have ended, which never started, and which may yet
-//! start.
+//! Attempts that a worker's report doesn't list: which have ended, which never started, and which may still start.
 
 use super::command_log::{ReleaseReason, log_release};
 use super::reconciliation::ReportSource;
@@ -9,22 +8,22 @@
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
-/// What follows for an attempt from a report that doesn't list it.
+/// Classification of an attempt that a report doesn't list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MissingAttempt {
-    /// Nothing: its start command may be on its way, or is still to be sent.
+    /// The start command may be in flight, or hasn't been sent yet: the attempt is kept.
     Pending,
-    /// It has ended, or it never started and isn't wanted any more.
+    /// The attempt has ended, or it never started and should no longer run.
     Over,
-    /// Its start command was lost with the reply that carried it, and it is still wanted.
+    /// The start command was lost with the reply that carried it, and the attempt should still run.
     StartLost,
 }
 
 /// Classifies an attempt that the report doesn't list.
 ///
-/// A worker has one heartbeat in flight. Once it sends a newer one that doesn't list the attempt, it has
-/// dropped the reply that carried the start command. The answer of a direct call proves nothing: the worker
-/// may have made it while the reply was on its way.
+/// A worker has only one heartbeat in flight. Once it sends a newer one that doesn't list the attempt, it has dropped
+/// the reply that carried the start command. The answer to a direct call proves nothing: the worker may have created
+/// it while the reply was in transit.
 fn classify(attempt: &Attempt, report: &Heartbeat, source: ReportSource) -> MissingAttempt {
     if attempt.delivery.may_arrive() {
         return MissingAttempt::Pending;
@@ -49,8 +48,8 @@
 }
 
 impl SchedulerState {
-    /// Drops the machine's attempts that the report proves to have ended, or never to start. `reported` are
-    /// those that it lists.
+    /// Drops the machine's attempts of which the report proves that they have ended or will never start. `reported`
+    /// contains the keys of the attempts that the report lists.
     pub(super) fn drop_missing_attempts(
         &mut self,
         report: &Heartbeat,
--- a/src/workers/reported_tasks.rs
+++ b/src/workers/reported_tasks.rs
@@ -1,7 +1,7 @@
-//! What a worker's report shows of one attempt.
+//! Reconciliation of a single attempt with a worker's report.
 
 use super::attempt::MIN_COUNTED_RUN;
-use super::exits::{Exit, settle_exit};
+use super::exits::{Exit, apply_exit};
 use super::wire::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use super::{Attempt, AttemptKey, DesiredState};
 use crate::invariants::{self, Invariant};
@@ -10,7 +10,7 @@
 use crate::time::{Micros, Moment};
 
 impl SchedulerState {
-    /// Reconciles one reported attempt of a known job.
+    /// Applies the reported state of one attempt whose job is known.
     pub(super) fn reconcile_task(
         &mut self,
         report: &Heartbeat,
@@ -46,7 +46,7 @@
                 exit_reason: task.exit_reason.unwrap_or(ExitReason::Other),
                 at: now,
             };
-            let effect = settle_exit(&exit, job, machine, &mut attempt);
+            let effect = apply_exit(&exit, job, machine, &mut attempt);
             self.placement.due = true;
             self.writes_due |= effect.completes_job;
             run_time = effect.run_time;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The state of an attempt that this leader doesn't know yet: an earlier leader's, or one whose start was
-/// taken for lost.
+/// Creates the state of a reported attempt that is unknown to this leader: an earlier leader started it, or its start
+/// command was considered lost.
 fn discover_attempt(job: &mut Job, key: AttemptKey, task: &ReportedTask, now: Moment) -> Attempt {
     let bound = task.status != TaskStatus::Exited;
     if bound {
@@ -71,18 +71,18 @@
     Attempt::discovered(bound, now)
 }
 
-/// Checks that an attempt that is reported for the first time isn't of a job whose cancellation must be
+/// Checks that an attempt that is reported for the first time doesn't belong to a job whose cancellation must be
 /// complete by now.
 fn check_first_report(
     job: &Job,
     task: &ReportedTask,
     machine: &str,
-    cancel_time: Micros,
+    cancellation_bound: Micros,
     now: Moment,
 ) {
     let is_late = job
         .cancel_requested_at
-        .is_some_and(|at| now - at > cancel_time);
+        .is_some_and(|at| now - at > cancellation_bound);
     if is_late && task.status != TaskStatus::Exited {
         invariants::report_violation(
             Invariant::CancelledTaskStartedLate,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Notes since when the attempt runs, and whether its job counts as begun.
+/// Records when the attempt started running, and whether it has run long enough for its job to count as started.
 fn note_running(job: &mut Job, attempt: &mut Attempt, now: Moment) {
     if attempt.status == Some(TaskStatus::Running) {
         attempt.running_since.get_or_insert(now);
@@ -108,12 +108,12 @@
         log::debug!(
             job = job.spec.id,
             waited_s = waited.as_secs_f64();
-            "job began"
+            "job started"
         );
     }
 }
 
-/// Nobody needs the results of a closed job's attempts, or of those of a task that is done.
+/// Kills the attempt if its results are not needed because its job is closed or its task is done.
 fn stop_unwanted(job: &Job, key: AttemptKey, attempt: &mut Attempt) {
     let is_unwanted = job.is_closed() || job.done.contains(key.task);
     if is_unwanted
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -76,6 +76,7 @@
             self.fencing.counters.ended_by_token += 1;
             log::debug!(
                 machine = name,
+                task = key.task,
                 attempt = key.attempt,
                 fencing_token = start.fencing_token,
                 seen_fencing_token = seen,
