--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,9 +1,9 @@
-//! The leader's state in memory: one struct for each owner, held together.
+//! The leader's in-memory state, made up of one struct for each area of responsibility.
 //!
-//! Everything here is deterministic: events, `now` and a seeded generator go in, the desired
-//! state comes out. Threads, sockets and clocks stay outside, so that a test replays a trace. The decisions over
-//! the state stand in the slices: [placement](crate::placement), [provisioning](crate::provisioning),
-//! [workers](crate::workers) and [jobs](crate::jobs).
+//! The scheduler is deterministic: its inputs are events, the current time `now` and a seeded random generator, and
+//! its output is the desired state. Threads, sockets and clocks are kept out of it so that tests can replay
+//! traces. The decisions on this state are made in the modules [placement](crate::placement),
+//! [provisioning](crate::provisioning), [workers](crate::workers) and [jobs](crate::jobs).
 
 mod class_statistics;
 mod config;
@@ -29,50 +29,52 @@
 
 pub use config::SchedulerConfig;
 
-/// Added to a lease beside clock drift: for timers, and for the time between reading a clock and sending.
+/// Margin added to a lease on top of clock drift. It covers timer delays, and the time between reading a clock and
+/// sending a message.
 pub const LEASE_MARGIN: Micros = Micros::from_millis(500);
 
-/// The leader's state, each part with its owner.
+/// The leader's in-memory state. Each part is managed by its own type or module.
 #[derive(Debug)]
 pub struct SchedulerState {
-    /// What operator and platform set.
+    /// Configuration set by operator and platform.
     pub config: SchedulerConfig,
-    /// The term that this leader won.
+    /// Term that this leader won.
     pub term: u64,
-    /// Attempt numbers are `term << 32 | attempt_counter`: they rise across leaders with nothing written.
+    /// Number of attempts created in this term. Attempt numbers are `term << 32 | attempt_counter`, so that they
+    /// increase across leaders without being stored.
     pub attempt_counter: u32,
-    /// When this term surely began: leaders of earlier terms answered nobody after this.
+    /// Time at which this term has certainly begun: leaders of earlier terms sent no replies after it.
     pub started: Moment,
-    /// The time of day at `started`.
+    /// Time of day at `started`.
     pub wall_at_start: WallTime,
-    /// The source of all random choices.
+    /// Source of all random choices.
     pub rng: fastrand::Rng,
     /// Accepted jobs, and which of their tasks may start.
     pub jobs: JobTable,
-    /// What was learned of each class of jobs.
+    /// Learned statistics of each job class.
     pub classes: ClassStatistics,
-    /// Machines and the attempts on them, by name.
+    /// Machines and the attempts on them, by machine name.
     pub machines: BTreeMap<String, Machine>,
-    /// Machines to which commands go at once.
+    /// Machines that get commands in direct calls.
     pub commands: CommandQueue,
-    /// The machine registry, the cloud's catalog and list, and provisioning requests.
+    /// Machine registry, the cloud's catalog and machine list, and provisioning requests.
     pub provisioning: Provisioning,
-    /// What earlier terms left behind.
+    /// Machines and tasks of earlier terms that are not reconciled yet.
     pub prior_term: PriorTerm,
-    /// The fencing tokens given out, and the unconfirmed starts that they revoke.
+    /// Issued fencing tokens, and the unconfirmed starts that they revoke.
     pub fencing: Fencing,
-    /// When placement passes run.
+    /// Schedule of placement passes.
     pub placement: PlacementSchedule,
     /// Whether this process gets enough processor time.
     pub overload: OverloadMonitor,
-    /// Somebody waits for a record: the writer doesn't wait for its next round.
+    /// True if records must be written without waiting for the record writer's next round.
     pub writes_due: bool,
-    /// Which decisions may be made now.
+    /// Decisions that may be made at present.
     permissions: Permissions,
 }
 
 impl SchedulerState {
-    /// The state of a leader that knows nothing yet.
+    /// Creates the state of a new leader, without any jobs or machines.
     pub fn new(config: SchedulerConfig, term: u64, started: Moment, seed: u64) -> SchedulerState {
         let value_bytes = config.value_bytes;
         SchedulerState {
@@ -96,25 +98,26 @@
         }
     }
 
-    /// After this long without a reply a worker's agent epoch is surely over.
+    /// Time without a reply after which a worker's agent epoch has certainly ended: the lease, with clock drift and
+    /// margin.
     pub fn max_lease_duration(&self) -> Micros {
         at_most(self.config.worker_lease) + LEASE_MARGIN
     }
 
-    /// The time of day, as far as this clock tells it.
+    /// Time of day at `now`, computed from the time of day at the start of the term.
     pub fn wall(&self, now: Moment) -> WallTime {
         WallTime(self.wall_at_start.0 + (now - self.started).0)
     }
 
-    /// Which decisions may be made now. Every slice asks here before it decides what needs a record.
+    /// Decisions that may be made at present. All modules check this before a decision that must be recorded.
     pub fn permissions(&self) -> Permissions {
         self.permissions
     }
 
-    /// Sets which decisions may be made from now on. True if something is allowed that wasn't.
+    /// Sets the decisions that may be made from now on. Returns true if recording is allowed again.
     pub fn set_permissions(&mut self, permissions: Permissions) -> bool {
         let before = std::mem::replace(&mut self.permissions, permissions);
-        // What waited for the permission is looked at again.
+        // Reconsider work that waited for a permission.
         self.placement.due |= permissions.assign && !before.assign;
         let may_record_again = permissions.record && !before.record;
         self.writes_due |= may_record_again;
--- a/src/scheduler/config.rs
+++ b/src/scheduler/config.rs
@@ -1,39 +1,40 @@
-//! What operator and platform set for the scheduler.
+//! Configuration of the scheduler.
 
 use crate::settings::{Objective, TeamSettings};
 use crate::time::Micros;
 
-/// What operator and platform set for the scheduler; it doesn't change during a term.
+/// Configuration of the scheduler, set by operator and platform. It doesn't change during a term.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// Teams with their quotas. Elsewhere a team is its index here.
+    /// Teams with their quotas. The rest of the scheduler identifies a team by its index in this list.
     pub teams: Vec<TeamSettings>,
-    /// A worker that is not answered for this long, by its own clock, stops its tasks.
+    /// Duration of a worker's lease: a worker that gets no reply for this long, by its own clock, stops its tasks.
     pub worker_lease: Micros,
-    /// Within this long after its confirmation a cancellation must be complete.
+    /// Maximum time from the confirmation of a cancellation to its completion.
     pub cancellation_bound: Micros,
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Micros,
-    /// By how much the cloud's machine list may be out of date.
+    /// Maximum age of the data in the cloud's machine list.
     pub list_lag: Micros,
-    /// Machines drawn for a task before all are looked at; more where there are many.
+    /// Number of randomly chosen machines to examine for a task before all machines are examined. It is higher if
+    /// many machines have free capacity.
     pub candidate_sample: usize,
-    /// A spot machine without work is returned after this long, an on-demand one sooner.
+    /// Idle time after which a spot machine is returned to the cloud; on-demand machines are returned sooner.
     pub max_idle: Micros,
-    /// An on-demand machine is worth requesting for work that may use spot ones if it saves this long a wait.
+    /// Reduction of the waiting time that justifies an on-demand machine for work that may use spot machines.
     pub on_demand_max_wait: Micros,
-    /// Capacity kept ready where objectives ask for short waiting times, as a share of the CPUs in use.
+    /// Free capacity to reserve if objectives require short waiting times, as a fraction of the CPUs in use.
     pub headroom: f64,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
-    /// A job that has not begun for this long goes before all others with its first tasks.
+    /// Waiting time after which the first tasks of a job that hasn't started take precedence over all other jobs.
     pub max_queue_wait: Micros,
-    /// Bytes that a value in the key-value store may have.
+    /// Maximum size of a value in the key-value store, in bytes.
     pub value_bytes: usize,
-    /// Bytes that jobs may take; beyond it none are accepted until some are over.
+    /// Memory limit for jobs, in bytes. Beyond it no jobs are accepted until some have ended.
     pub job_bytes: usize,
-    /// Machines that are known at once, at most: heartbeats of others are turned away.
+    /// Maximum number of known machines: heartbeats of further machines are rejected.
     pub max_machines: usize,
-    /// Names of machines that are gone, at most, kept against late copies of their heartbeats.
+    /// Maximum number of names of former machines, which are kept to reject late duplicates of their heartbeats.
     pub max_gone_machines: usize,
 }
--- a/src/scheduler/prior_term_release.rs
+++ b/src/scheduler/prior_term_release.rs
@@ -1,15 +1,15 @@
-//! When what earlier terms left may be placed.
+//! Release of the tasks of earlier terms for placement.
 
 use super::SchedulerState;
 use crate::time::Moment;
 
 impl SchedulerState {
-    /// Lets tasks of earlier terms be placed once no unreconciled machine can hold them any more.
+    /// Releases tasks of earlier terms for placement once no unreconciled machine can hold them any more.
     ///
-    /// A task starts only on a registered machine, and only once a start watermark covers it. So
-    /// tasks above the watermarks never started, and the others can only be on registered
-    /// machines. Once each of these was reconciled in this term, or its agent epoch surely
-    /// ended, nothing is unreconciled, and the wait for a full lease ends early.
+    /// A task starts only on a registered machine, and only after a start watermark covers it. Tasks above the
+    /// watermarks were therefore never started, and the others can only be on registered machines. Once each of
+    /// these machines was reconciled in this term, or its agent epoch has certainly ended, no task is
+    /// unreconciled, and the release doesn't wait for a full lease to expire.
     pub fn release_prior_term(&mut self, now: Moment) {
         if self.prior_term.released {
             return;
@@ -29,7 +29,7 @@
         log::info!(
             term = self.term,
             unreconciled_machines = self.prior_term.unreconciled.len();
-            "jobs of earlier terms released"
+            "tasks of earlier terms released for placement"
         );
         for name in std::mem::take(&mut self.prior_term.unreconciled) {
             if !self.machines.contains_key(&name) {
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,4 +1,4 @@
-//! Which machines' heartbeats reach the leader, and what missing ones tell of its own links.
+//! Reachability of the leader by the machines' heartbeats, and what missing heartbeats imply for its own links.
 
 use super::SchedulerState;
 use crate::time::{Micros, Moment};
@@ -6,31 +6,34 @@
 use aspenreel_link_health::reachability::Reachability;
 use std::collections::BTreeMap;
 
-/// A machine is silent after this many heartbeat intervals without a heartbeat.
+/// Number of heartbeat intervals without a report after which a machine counts as silent.
 const SILENT_AFTER_INTERVALS: f64 = 1.5;
-/// Silence is judged only after the leader could have received all heartbeats for this many times as long.
-const SETTLED_AFTER_SILENCES: f64 = 2.0;
+/// Silence is evaluated only after the leader was able to receive heartbeats for this multiple of the time after which
+/// a machine counts as silent.
+const SETTLING_FACTOR: f64 = 2.0;
 
 impl SchedulerState {
-    /// True if most machines became silent at once: this controller is cut off rather than they.
+    /// True if most machines are silent at the same time, so that this controller is more likely to be cut off than
+    /// the machines.
     ///
-    /// The key-value store may still serve a leader that no worker reaches. It would keep its own lease while
-    /// the leases of all machines expire. An overloaded leader isn't cut off: heartbeats wait here, unread.
-    /// The next leader would have no more processor time, and all workers would have to change over.
+    /// The key-value store may still be available to a leader that no worker reaches. Such a leader would keep its own
+    /// lease while the leases of all machines expire. An overloaded leader isn't considered cut off: heartbeats
+    /// arrive, but wait unread in its queue. The next leader would get no more processor time, and all workers
+    /// would have to switch to it.
     pub fn is_cut_off_from_workers(&self, acting_since: Moment, now: Moment) -> bool {
         now - acting_since >= self.settling_time()
             && self.reachability_is_settled(now)
             && self.reachability(now).most_are_unreachable()
     }
 
-    /// True if this controller has led, and wasn't overloaded, for long enough to tell which machines are
+    /// True if this controller has been the leader, without overload, for long enough to determine which machines are
     /// silent.
     pub fn reachability_is_settled(&self, now: Moment) -> bool {
         let undisturbed_since = self.started.max(self.overload.last_overloaded());
         now - undisturbed_since >= self.settling_time()
     }
 
-    /// After this long without a heartbeat a machine is silent.
+    /// Time without a report after which a machine counts as silent.
     fn silent_after(&self) -> Micros {
         self.config
             .heartbeat_interval
@@ -38,16 +41,16 @@
     }
 
     fn settling_time(&self) -> Micros {
-        self.silent_after().scaled(SETTLED_AFTER_SILENCES)
+        self.silent_after().scaled(SETTLING_FACTOR)
     }
 
-    /// How many of the machines that should send heartbeats do.
+    /// Number of machines that should send heartbeats, and of those that do.
     fn reachability(&self, now: Moment) -> Reachability {
         self.reachability_where(now, |_| true)
     }
 
-    /// The same, but counting only machines whose heartbeats come as regularly as those of a worker that is
-    /// answered.
+    /// Like `reachability`, but a machine counts as reachable only if its heartbeats are as regular as those of a
+    /// worker that receives the replies.
     pub fn bidirectional_reachability(&self, now: Moment) -> Reachability {
         let silent_after = self.silent_after();
         self.reachability_where(now, |machine| machine.heartbeat_gap <= silent_after)
@@ -72,8 +75,8 @@
         reachability
     }
 
-    /// True unless the machine may be silent for reasons of its own: it is over or about to end, or it never
-    /// sent a heartbeat and is new.
+    /// False if the machine may be silent for a reason that isn't the network: its lease has expired or the cloud lists
+    /// it as failed, it is about to end, or it is new and has never sent a heartbeat.
     fn should_send_heartbeats(&self, machine: &Machine) -> bool {
         let is_ending = machine.unreachable || machine.draining || machine.has_preemption_notice;
         let is_known =
@@ -81,7 +84,7 @@
         !is_ending && is_known()
     }
 
-    /// True if the machine sent nothing for long, neither heartbeats nor answers of direct calls.
+    /// True if neither heartbeats nor answers to direct calls have arrived from the machine recently.
     fn is_silent(&self, machine: &Machine, now: Moment) -> bool {
         let silent_after = self.silent_after();
         machine
@@ -89,14 +92,14 @@
             .is_none_or(|seen_at| now - seen_at > silent_after)
     }
 
-    /// The zone with the most silent machines; the last by name among equals.
+    /// Zone with the most silent machines, and of several such zones the last by name; `None` if no machine is silent.
     pub fn silent_zone(&self, now: Moment) -> Option<String> {
         let zones = self.silent_by_zone(now);
         let (zone, _) = zones.into_iter().max_by_key(|(_, count)| *count)?;
         Some(zone.to_string())
     }
 
-    /// How many machines are silent in each zone that has any.
+    /// Number of silent machines by zone. Zones without silent machines are left out.
     pub fn silent_by_zone(&self, now: Moment) -> BTreeMap<&str, u32> {
         let mut zones = BTreeMap::new();
         for machine in self.machines.values() {
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -1,18 +1,18 @@
-//! How long tasks run, learned from those that ended, and when they should start.
+//! Expected run times of tasks, learned from finished tasks, and the latest start times that follow from them.
 
 use super::SchedulerState;
 use crate::jobs::{Job, JobId};
 use crate::settings::Objective;
 use crate::time::{Micros, Moment};
 
-/// How long a replica of a standing job is expected to run: nobody waits for its end.
-const FOR_GOOD: Micros = Micros::from_secs(24 * 3600);
+/// Expected run time of a standing job's replica. It is only nominal, since a replica isn't expected to end.
+const STANDING_JOB_RUN_TIME: Micros = Micros::from_secs(24 * 3600);
 
-/// A job that is to end in time is started as if its tasks ran so many times as long as expected.
+/// Safety factor on the expected run time when a start time is derived from the time by which a job should end.
 const RUN_TIME_MARGIN: f64 = 1.2;
 
 impl SchedulerState {
-    /// Learns from a finished task of the job.
+    /// Updates the statistics of the job and its class with the run time of a finished task.
     pub fn record_run_time(&mut self, id: JobId, ran: Micros) {
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return;
@@ -26,11 +26,11 @@
         }
     }
 
-    /// How long a task of the job should run: the estimate, corrected by what its class and its own finished
-    /// tasks tell.
+    /// Expected run time of a task of the job: the user's estimate, corrected by the statistics of the job's class and
+    /// by the run times of the job's finished tasks.
     pub fn expected_run_time(&self, job: &Job) -> Micros {
         if job.spec.is_standing() {
-            return FOR_GOOD;
+            return STANDING_JOB_RUN_TIME;
         }
         let ratio = self.classes.run_time_ratio(&job.spec.class);
         let estimate = job.spec.estimate.scaled(ratio);
@@ -38,8 +38,8 @@
         Micros((estimate.0 + finished.total.0) / u64::from(finished.count + 1))
     }
 
-    /// When the job's tasks should start at the latest: by its own deadline, and by the objectives for its
-    /// class. Without either, at once.
+    /// Latest time at which the job's tasks should start to meet its own deadline and the objectives for its class.
+    /// Without a deadline or an objective this is the time at which the job was accepted.
     pub fn latest_start(&self, job: &Job) -> Moment {
         if job.spec.is_standing() {
             return job.accepted_at;
@@ -53,13 +53,13 @@
         latest.unwrap_or(job.accepted_at)
     }
 
-    /// When the job's tasks should start so that they end by then.
+    /// Latest time at which the job's tasks should start so that they end by `end`.
     fn start_for_end(&self, job: &Job, end: Moment) -> Moment {
         let run_time = self.expected_run_time(job).scaled(RUN_TIME_MARGIN);
         Moment(end.0.saturating_sub(run_time.0))
     }
 
-    /// When the job's tasks should start for the objective; None if it isn't for this job.
+    /// Latest time at which the job's tasks should start to meet the objective; `None` if it doesn't apply to the job.
     fn latest_start_for(&self, job: &Job, objective: &Objective) -> Option<Moment> {
         let class = Some(job.spec.class.as_str());
         if objective.class.as_deref() != class || objective.within_s <= 0.0 {
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -1,4 +1,4 @@
-//! What the leader tells of jobs and of its machines.
+//! Status of jobs in the leader's memory, and log summaries of commands and capacity.
 
 use super::SchedulerState;
 use crate::invariants::violation_count;
@@ -8,11 +8,11 @@
 use crate::workers::{Attempt, AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
-/// Thousandths in a CPU, the unit of amounts.
-const CPU_UNITS: i64 = 1000;
+/// Amounts of CPU are counted in thousandths.
+const MILLICPUS_PER_CPU: i64 = 1000;
 
 impl SchedulerState {
-    /// What this leader's memory tells of a job, by the name that its user gave it.
+    /// Status of a job in this leader's memory. `id` is the id that the user gave the job.
     pub fn job_status(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
             return LocalStatus::Nothing;
@@ -24,7 +24,7 @@
             return LocalStatus::FinalWriteInFlight;
         }
         let running = if job.is_bound() {
-            self.running_of(job_id)
+            self.running_task_count(job_id)
         } else {
             0
         };
@@ -39,8 +39,8 @@
         })
     }
 
-    /// How many tasks of the job run, as far as heartbeats tell.
-    fn running_of(&self, id: JobId) -> u32 {
+    /// Number of running tasks of the job, according to the newest reports of workers.
+    fn running_task_count(&self, id: JobId) -> u32 {
         self.machines
             .values()
             .flat_map(|m| m.attempts.range(AttemptKey::range_of_job(id)))
@@ -48,7 +48,7 @@
             .count() as u32
     }
 
-    /// One line on commands that went straight to workers, and on starts whose delivery is unconfirmed.
+    /// Log line that summarizes direct calls, unconfirmed starts and violated invariants.
     pub fn command_summary(&self) -> String {
         let counters = &self.fencing.counters;
         format!(
@@ -65,7 +65,7 @@
         )
     }
 
-    /// One line on where the CPUs are, for whoever wonders why work waits.
+    /// Log line that summarizes the use of CPUs, for diagnosing why tasks wait.
     pub fn capacity_summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut held: BTreeMap<&str, i64> = BTreeMap::new();
@@ -86,20 +86,20 @@
         let waiting: i64 = jobs.map(|j| j.spec.demand.cpu * i64::from(j.ready())).sum();
         let held: String = held
             .iter()
-            .map(|(phase, cpu)| format!(" {phase}={}", cpu / CPU_UNITS))
+            .map(|(phase, cpu)| format!(" {phase}={}", cpu / MILLICPUS_PER_CPU))
             .collect();
         format!(
             "CPUs: up={} unusable={} free={}{held} waiting={} jobs={}",
-            total / CPU_UNITS,
-            unusable / CPU_UNITS,
-            free / CPU_UNITS,
-            waiting / CPU_UNITS,
+            total / MILLICPUS_PER_CPU,
+            unusable / MILLICPUS_PER_CPU,
+            free / MILLICPUS_PER_CPU,
+            waiting / MILLICPUS_PER_CPU,
             self.jobs.table.len()
         )
     }
 }
 
-/// What an attempt does with the CPUs that it holds, in a word.
+/// Name of the attempt's phase in the capacity summary.
 fn attempt_phase(attempt: &Attempt) -> &'static str {
     match (attempt.desired, attempt.status) {
         (DesiredState::Stop { .. }, _) => "stopping",
--- a/src/scheduler/timer.rs
+++ b/src/scheduler/timer.rs
@@ -1,11 +1,12 @@
-//! What falls due by time alone.
+//! Work that becomes due with the passing of time.
 
 use super::SchedulerState;
 use crate::jobs::Job;
 use crate::time::Moment;
 
 impl SchedulerState {
-    /// Does what time alone makes due: expired leases, revocations, retries and placement passes.
+    /// Handles everything that becomes due with time: expired leases, checks of revocations, retries and placement
+    /// passes.
     pub fn on_timer(&mut self, now: Moment) {
         self.expire_leases(now);
         self.check_revocations(now);
@@ -15,7 +16,7 @@
     }
 }
 
-/// True if waiting tasks of the job may be tried again by now.
+/// True if the job's delay after failures has ended and it has tasks that are ready for placement.
 fn is_retry_due(job: &Job, now: Moment) -> bool {
     job.retry_after > Moment(0) && job.retry_after <= now && job.ready() > 0
 }
