--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants of the scheduler that are checked at run time.
 //!
-//! A violation is counted, and logged at level `error` with its evidence. It doesn't end the process, because an outage
-//! would do more harm. Tests fail if the count isn't zero or the log line appears.
+//! A violation is counted, and logged at level `error` with its evidence. It doesn't end the process, because an
+//! outage would do more harm. Tests fail if the count isn't zero or the log line appears.
 
 #![warn(missing_docs)]
 
@@ -11,8 +11,8 @@
 /// A safety property whose violation a single leader can detect on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// No start command of a cancelled job can be executed after the time limit of the cancellation. It is violated if
-    /// such a command wasn't revoked in time.
+    /// No start command of a cancelled job can be executed after the time limit of the cancellation. It is violated
+    /// if such a command wasn't revoked in time.
     CancelledStartNotRevoked,
     /// No task of a cancelled job starts after the time limit of the cancellation. It is violated if a worker reports
     /// such a task for the first time after that.
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -8,18 +8,18 @@
 
 /// Number of heartbeat intervals without a report after which a machine counts as silent.
 const SILENT_AFTER_INTERVALS: f64 = 1.5;
-/// Silence is evaluated only after the leader was able to receive heartbeats for this multiple of the time after which
-/// a machine counts as silent.
+/// Silence is evaluated only after the leader was able to receive heartbeats for this multiple of the time after
+/// which a machine counts as silent.
 const SETTLING_FACTOR: f64 = 2.0;
 
 impl SchedulerState {
     /// True if most machines are silent at the same time, so that this controller is more likely to be cut off than
     /// the machines.
     ///
-    /// The key-value store may still be available to a leader that no worker reaches. Such a leader would keep its own
-    /// lease while the leases of all machines expire. An overloaded leader isn't considered cut off: heartbeats
-    /// arrive, but wait unread in its queue. The next leader would get no more processor time, and all workers
-    /// would have to switch to it.
+    /// The key-value store may still be available to a leader that no worker reaches. Such a leader would keep its
+    /// own lease while the leases of all machines expire. An overloaded leader isn't considered cut off: heartbeats
+    /// do arrive, but this process hasn't read them yet. The next leader would get no more processor time, and all
+    /// workers would have to switch to it.
     pub fn is_cut_off_from_workers(&self, acting_since: Moment, now: Moment) -> bool {
         now - acting_since >= self.settling_time()
             && self.reachability_is_settled(now)
@@ -75,7 +75,7 @@
         reachability
     }
 
-    /// False if the machine may be silent for a reason that isn't the network: its lease has expired or the cloud lists
+    /// False if the machine may be silent for a reason other than the network: its lease has expired, the cloud lists
     /// it as failed, it is about to end, or it is new and has never sent a heartbeat.
     fn should_send_heartbeats(&self, machine: &Machine) -> bool {
         let is_ending = machine.unreachable || machine.draining || machine.has_preemption_notice;
@@ -92,7 +92,7 @@
             .is_none_or(|seen_at| now - seen_at > silent_after)
     }
 
-    /// Zone with the most silent machines, and of several such zones the last by name; `None` if no machine is silent.
+    /// Zone with the most silent machines, or the last by name of several; `None` if no machine is silent.
     pub fn silent_zone(&self, now: Moment) -> Option<String> {
         let zones = self.silent_by_zone(now);
         let (zone, _) = zones.into_iter().max_by_key(|(_, count)| *count)?;
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Expected run time of a task of the job: the user's estimate, corrected by the statistics of the job's class and
-    /// by the run times of the job's finished tasks.
+    /// Expected run time of a task of the job: the user's estimate, corrected by the statistics of the job's class
+    /// and by the run times of the job's finished tasks.
     pub fn expected_run_time(&self, job: &Job) -> Micros {
         if job.spec.is_standing() {
             return STANDING_JOB_RUN_TIME;
@@ -59,7 +59,7 @@
         Moment(end.0.saturating_sub(run_time.0))
     }
 
-    /// Latest time at which the job's tasks should start to meet the objective; `None` if it doesn't apply to the job.
+    /// Latest time at which the job's tasks should start to meet the objective; `None` if it doesn't apply.
     fn latest_start_for(&self, job: &Job, objective: &Objective) -> Option<Moment> {
         let class = Some(job.spec.class.as_str());
         if objective.class.as_deref() != class || objective.within_s <= 0.0 {
--- a/src/workers/command_queue.rs
+++ b/src/workers/command_queue.rs
@@ -25,8 +25,12 @@
 impl CommandQueue {
     /// True if the limit on calls in flight allows another direct call.
     pub(super) fn may_call(&self, now: Moment) -> bool {
-        let is_prompt = |began_at: &&Moment| now - **began_at < SLOW_CALL_AFTER;
-        self.calls_in_flight.iter().filter(is_prompt).count() < MAX_CALLS_IN_FLIGHT
+        let counts_towards_limit = |began_at: &&Moment| now - **began_at < SLOW_CALL_AFTER;
+        self.calls_in_flight
+            .iter()
+            .filter(counts_towards_limit)
+            .count()
+            < MAX_CALLS_IN_FLIGHT
     }
 
     /// Removes the finished call that began at this time from the calls in flight.
--- a/src/workers/direct_calls.rs
+++ b/src/workers/direct_calls.rs
@@ -30,8 +30,8 @@
             (may_start && attempt.was_never_sent()).then_some(CommandKind::Run)
         }
         (Some(status), DesiredState::Stop { .. }) => {
-            let runs_on = status != TaskStatus::Exited && attempt.stop_sent_at.is_none();
-            runs_on.then_some(CommandKind::Stop)
+            let needs_stop = status != TaskStatus::Exited && attempt.stop_sent_at.is_none();
+            needs_stop.then_some(CommandKind::Stop)
         }
         _ => None,
     }
@@ -63,10 +63,10 @@
     fn direct_call(&mut self, name: &str, now: Moment) -> Option<DirectCall> {
         let heartbeat_interval = self.config.heartbeat_interval;
         let machine = self.machines.get_mut(name)?;
-        let was_seen_lately = machine
+        let was_seen_recently = machine
             .last_seen
             .is_some_and(|t| now - t < heartbeat_interval.scaled(2.0));
-        if machine.call_in_flight || machine.unreachable || !was_seen_lately {
+        if machine.call_in_flight || machine.unreachable || !was_seen_recently {
             return None;
         }
         if let Some(quarantine) = &mut machine.quarantine {
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -63,13 +63,13 @@
             return;
         };
         let seen = machine.seen_fencing_token;
-        let mut some_left = false;
+        let mut any_unconfirmed_left = false;
         for (key, attempt) in &mut machine.attempts {
             let Some(start) = attempt.delivery.unconfirmed() else {
                 continue;
             };
             if !attempt.delivery.settled_by(seen) {
-                some_left = true;
+                any_unconfirmed_left = true;
                 continue;
             }
             attempt.delivery = DeliveryStatus::Settled;
@@ -84,7 +84,7 @@
                 "unconfirmed start revoked"
             );
         }
-        if !some_left {
+        if !any_unconfirmed_left {
             self.fencing.remove_machine(name);
         }
     }
