--- a/src/scheduler/config.rs
+++ b/src/scheduler/config.rs
@@ -14,7 +14,7 @@
     pub cancellation_bound: Micros,
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Micros,
-    /// Maximum age of the data in the cloud's machine list.
+    /// Time by which the cloud's machine list may be out of date.
     pub list_lag: Micros,
     /// Number of randomly chosen machines to examine for a task before all machines are examined. It is higher if
     /// many machines have free capacity.
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -69,14 +69,14 @@
     pub fn capacity_summary(&self, now: Moment) -> String {
         let (mut total, mut free, mut unusable) = (0, 0, 0);
         let mut held: BTreeMap<&str, i64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_seen.is_some()) {
-            total += m.total.cpu;
-            if self.usable(m, now) {
-                free += self.free_capacity(m).cpu;
+        for machine in self.machines.values().filter(|m| m.last_seen.is_some()) {
+            total += machine.total.cpu;
+            if self.usable(machine, now) {
+                free += self.free_capacity(machine).cpu;
             } else {
-                unusable += m.total.cpu;
+                unusable += machine.total.cpu;
             }
-            for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
+            for (key, attempt) in machine.attempts.iter().filter(|(_, a)| a.holds_resources()) {
                 let job = self.jobs.table.get(&key.job);
                 let demand = job.map_or(0, |j| j.spec.demand.cpu);
                 *held.entry(attempt_phase(attempt)).or_insert(0) += demand;
--- a/src/workers/delivery_status.rs
+++ b/src/workers/delivery_status.rs
@@ -14,9 +14,9 @@
 //! - The agent epoch has ended, or the machine no longer exists. All attempts of the epoch are dropped then
 //!   (`SchedulerState::end_epoch`), together with their unconfirmed starts.
 //! - A report of the same agent epoch contains a fencing token above the command's
-//!   ([`DeliveryStatus::settled_by`]). The worker already refused the command when it made that report. If it had
-//!   executed the command earlier, the report, which lists all attempts, contains the attempt: an attempt isn't
-//!   cleared while its start is unconfirmed.
+//!   ([`DeliveryStatus::settled_by`]). The worker has been refusing the command since before it made that report.
+//!   If it executed the command earlier, the report, which lists all attempts, contains the attempt: an attempt
+//!   isn't cleared while its start is unconfirmed.
 //!
 //! Repeating a start command on purpose needs no separate status: it names the same attempt, which the worker
 //! runs only once until it is cleared.
--- a/src/workers/heartbeat_commands.rs
+++ b/src/workers/heartbeat_commands.rs
@@ -147,7 +147,8 @@
         NextStep::Nothing
     }
 
-    /// Kills an attempt that is still saving its checkpoint after its grace period and a margin.
+    /// Kills an attempt that is still saving its checkpoint after its grace period and a margin, or at once if the
+    /// grace period is zero. Until then the reply carries no command for it.
     fn kill_overdue(
         &self,
         job: &Job,
--- a/src/workers/quarantine.rs
+++ b/src/workers/quarantine.rs
@@ -48,7 +48,7 @@
         self.next_probe_at <= now
     }
 
-    /// Schedules the next probe after one is sent.
+    /// Schedules the next probe when one is sent, and doubles the interval up to its maximum.
     pub(super) fn note_probe(&mut self, now: Moment) {
         self.next_probe_at = now + self.probe_interval;
         let doubled = Micros(self.probe_interval.0 * 2);
