--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -30,7 +30,7 @@
         };
         match scheduler.job_status(id) {
             LocalStatus::View(view) => PeerReply::Job(view),
-            LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => PeerReply::Unknown,
+            LocalStatus::FinalWriteInFlight | LocalStatus::Unknown => PeerReply::Unknown,
         }
     }
 }
--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -71,7 +71,7 @@
             {
                 Some(LocalStatus::View(view)) if view.is_final() => return PeerReply::Job(view),
                 Some(LocalStatus::View(_) | LocalStatus::FinalWriteInFlight) => {}
-                Some(LocalStatus::Nothing) | None => return PeerReply::Busy,
+                Some(LocalStatus::Unknown) | None => return PeerReply::Busy,
             }
             let Some(left) = time_left(&*self.os, deadline) else {
                 return PeerReply::Busy;
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -40,7 +40,7 @@
         }
         match self.local_status(id) {
             LocalStatus::View(view) => Some(job_status(id, view)),
-            LocalStatus::FinalWriteInFlight | LocalStatus::Nothing => None,
+            LocalStatus::FinalWriteInFlight | LocalStatus::Unknown => None,
         }
     }
 
@@ -63,7 +63,7 @@
         match (state.terminal_states.get(id), state.acting_leader(now)) {
             (Some(view), _) => LocalStatus::View(view),
             (None, Some((_, scheduler))) => scheduler.job_status(id),
-            (None, None) => LocalStatus::Nothing,
+            (None, None) => LocalStatus::Unknown,
         }
     }
 
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -55,7 +55,7 @@
         match self.local_status(id) {
             LocalStatus::View(view) => return known(id, view),
             LocalStatus::FinalWriteInFlight => return self.known_or_retry(id),
-            LocalStatus::Nothing => {}
+            LocalStatus::Unknown => {}
         }
         let Some(catalog) = self.catalog() else {
             return retry_soon();
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -24,7 +24,7 @@
     /// to a user, before its writer knows: until then only the store tells.
     FinalWriteInFlight,
     /// The job isn't known here.
-    Nothing,
+    Unknown,
 }
 
 /// What a user may be told of a job. Controllers send it to each other: its fields keep their order.
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -15,7 +15,7 @@
     /// What this leader's memory tells of a job, by the name that its user gave it.
     pub fn job_status(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
-            return LocalStatus::Nothing;
+            return LocalStatus::Unknown;
         };
         if let Some(outcome) = job.outcome {
             return LocalStatus::View(JobView::of_final(outcome, job.spec.tasks));
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -379,7 +379,7 @@
                 v.running
             ),
             LocalStatus::FinalWriteInFlight => "being decided".into(),
-            LocalStatus::Nothing => "unknown".into(),
+            LocalStatus::Unknown => "unknown".into(),
         };
         self.note(&format!("{id} is told as {text}"));
         self
