--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -109,7 +109,7 @@
             unreconciled_below: start_watermark,
             start_watermark,
             requested_watermark: 0,
-            revisions: vec![0; done.chunks() as usize],
+            revisions: vec![0; done.chunk_count() as usize],
             recorded: done.clone(),
             done,
             job_revision,
--- a/src/jobs/pending_writes.rs
+++ b/src/jobs/pending_writes.rs
@@ -73,7 +73,7 @@
         let mut writes = Vec::new();
         for id in self.jobs_by_unrecorded_tasks() {
             let job = &self.jobs.table[&id];
-            for chunk in 0..job.done.chunks() {
+            for chunk in 0..job.done.chunk_count() {
                 if writes.len() >= max_changes {
                     return writes;
                 }
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -146,7 +146,7 @@
 
 /// Chunks of the done set that have a key, the highest first.
 fn stored_chunks(job: &Job) -> impl Iterator<Item = u32> + '_ {
-    (0..job.done.chunks())
+    (0..job.done.chunk_count())
         .rev()
         .filter(|chunk| job.revisions[*chunk as usize] > 0)
 }
--- a/src/jobs/task_set.rs
+++ b/src/jobs/task_set.rs
@@ -93,7 +93,7 @@
     }
 
     /// The number of chunks, at least 1.
-    pub fn chunks(&self) -> u32 {
+    pub fn chunk_count(&self) -> u32 {
         self.size.div_ceil(CHUNK_TASKS).max(1)
     }
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -133,7 +133,7 @@
         set.insert(task);
     }
     let mut back = TaskSet::new(100_000);
-    for chunk in 0..set.chunks() {
+    for chunk in 0..set.chunk_count() {
         let text = set.chunk_text(chunk);
         assert!(text.len() <= 2100, "{}", text.len());
         back.add_chunk(chunk, &text).unwrap();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -314,7 +314,7 @@
         done.insert(task);
     }
     let mut recorded = TaskSet::new(100_000);
-    for chunk in 0..done.chunks() {
+    for chunk in 0..done.chunk_count() {
         for _ in 0..3 {
             if let Some(text) = done.fitting_text(chunk, &recorded, most - 40) {
                 let record = DoneRecord {
