--- a/src/controller/routes.rs
+++ b/src/controller/routes.rs
@@ -55,7 +55,7 @@
     fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         let response = match route(&request) {
             Route::Heartbeat => Some(self.heartbeat(&request.body)),
-            Route::Health => Some(self.up()),
+            Route::Health => Some(self.health_check()),
             Route::Status(id) => self.known_status(id),
             Route::Refused(status) => Some(Response::new(status, Vec::new())),
             Route::Submit | Route::Cancel(_) => None,
@@ -77,7 +77,7 @@
             Route::Status(id) => self.status(id),
             Route::Cancel(id) => self.cancel(id),
             Route::Heartbeat => self.heartbeat(&request.body),
-            Route::Health => self.up(),
+            Route::Health => self.health_check(),
             Route::Refused(status) => Response::new(status, Vec::new()),
         }
     }
--- a/src/jobs/api/health.rs
+++ b/src/jobs/api/health.rs
@@ -21,7 +21,7 @@
     ///
     /// Without the store and without any peer it can't tell a user anything. In an outage that all
     /// controllers feel there are still peers, and it stays up.
-    pub fn up(&self) -> Response {
+    pub fn health_check(&self) -> Response {
         if self.catalog().is_none() || self.isolated.load(Ordering::Relaxed) {
             return retry_soon();
         }
