--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -47,7 +47,9 @@
         }
         job.outcome = Some(outcome);
         job.final_write = FinalWrite::Idle;
-        let first_placed_s = job.placed_at.map(|at| (at - job.accepted_at).as_secs_f64());
+        let first_placed_s = job
+            .fully_placed_at
+            .map(|at| (at - job.accepted_at).as_secs_f64());
         log::debug!(
             job = job.spec.id, class = job.spec.class, outcome:?, tasks = job.spec.tasks, first_placed_s:?;
             "job over"
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -87,7 +87,7 @@
     /// After failures it isn't placed before this moment; 0 if it never had to wait.
     pub retry_after: Moment,
     /// When no task was left without a place for the first time.
-    pub placed_at: Option<Moment>,
+    pub fully_placed_at: Option<Moment>,
     /// Run times of its finished tasks.
     pub run_times: RunTimes,
 }
@@ -125,7 +125,7 @@
             failed_on: BTreeSet::new(),
             failures: 0,
             retry_after: Moment(0),
-            placed_at: None,
+            fully_placed_at: None,
             run_times: RunTimes::default(),
             spec,
         }
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -61,7 +61,7 @@
         };
         let waiting = job.ready();
         if waiting == 0 {
-            job.placed_at.get_or_insert(now);
+            job.fully_placed_at.get_or_insert(now);
         }
         let requested = std::mem::take(&mut job.requested_watermark);
         if requested <= job.start_watermark {
