--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -1,5 +1,5 @@
-//! Jobs that end: what the store says of done tasks and final states, cancellations, and what is stopped
-//! then.
+//! Completion and cancellation of jobs: applying stored done sets and final states, and stopping the attempts of jobs
+//! that end.
 
 use super::{DoneRecord, FinalWrite, JobId, Outcome};
 use crate::scheduler::SchedulerState;
@@ -7,7 +7,8 @@
 use crate::workers::{AttemptKey, DesiredState};
 
 impl SchedulerState {
-    /// Takes in a chunk of a done set as it was read, when this leader's term began or after a conflict.
+    /// Applies a chunk of a done set that was read from the store, either at the beginning of this leader's term or
+    /// after a failed precondition.
     pub fn apply_done_record(&mut self, id: &str, chunk: u32, record: &DoneRecord, revision: u64) {
         let Some(job_id) = self.jobs.find(id) else {
             return;
@@ -19,7 +20,8 @@
             return;
         };
         if *known != revision && chunk == 0 {
-            // A write without an answer depended on the revision before: it can't be applied any more.
+            // A write whose outcome is unknown had the earlier revision as its precondition: it can't be applied any
+            // more.
             job.final_write = FinalWrite::Idle;
         }
         *known = revision;
@@ -37,7 +39,7 @@
         }
     }
 
-    /// A job's final state is recorded: nothing of it may run any more.
+    /// Applies a job's recorded final state and stops all its attempts.
     pub fn apply_outcome(&mut self, id: JobId, outcome: Outcome) {
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return;
@@ -52,13 +54,14 @@
             .map(|at| (at - job.accepted_at).as_secs_f64());
         log::debug!(
             job = job.spec.id, class = job.spec.class, outcome:?, tasks = job.spec.tasks, first_placed_s:?;
-            "job over"
+            "job ended"
         );
         self.stop_attempts_of(id);
     }
 
-    /// From here on nothing of the job starts, and what runs is stopped: its user has no use for it,
-    /// whatever becomes of the record. It is cancelled once that is written. False if the job isn't known.
+    /// Requests the cancellation of a job. From here on none of its tasks starts, and running attempts are stopped
+    /// whether or not the record succeeds, since the user doesn't need their results. The job counts as cancelled
+    /// once its final state is written. False if the job isn't known.
     pub fn request_cancellation(&mut self, id: &str, now: Moment) -> bool {
         let Some(job_id) = self.jobs.find(id) else {
             return false;
@@ -77,7 +80,7 @@
         true
     }
 
-    /// Stops all attempts of a job, without time for a checkpoint: nobody has a use for what they do.
+    /// Stops all attempts of a job without a grace period for a checkpoint, since their results aren't needed.
     fn stop_attempts_of(&mut self, id: JobId) {
         for machine in self.machines.values_mut() {
             let own = AttemptKey::all_of(id);
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -1,100 +1,101 @@
-//! One accepted job in the leader's memory: which of its tasks are done, which are on machines, and
+//! The leader's in-memory state of one accepted job: which of its tasks are done, which are bound to machines, and
 //! which may be placed.
 
 use super::{FinalWrite, JobSpec, Outcome, TaskSet};
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
 
-/// Bytes of memory that a job takes at least, beside its texts and its tasks; 1.3 KB were measured.
+/// Bytes of memory accounted for a job in addition to its strings and its tasks; 1.3 KB were measured.
 const JOB_BYTES: usize = 2048;
-/// Bytes of memory that a machine type's name takes beside its text.
+/// Bytes of memory that a machine type's name takes in addition to its text.
 const NAME_BYTES: usize = 24;
-/// Each task takes a quarter of a byte: two bits, in the sets of done and of recorded tasks.
+/// Number of tasks per byte of memory: each task takes two bits, one in the set of done tasks and one in the set of
+/// recorded tasks.
 const TASKS_PER_BYTE: usize = 4;
-/// At least so many tasks beyond the one to be placed are covered by a new start watermark.
+/// Minimum number of tasks that a new start watermark covers beyond the task to be placed.
 const MIN_WATERMARK_AHEAD: u32 = 4;
-/// A job whose tasks fail on so many machines in a row waits before it is placed again.
+/// Number of machines on which a job's tasks fail, without a success in between, before the job has to wait for a
+/// backoff until it is placed again.
 const FAILED_MACHINES_BEFORE_BACKOFF: u32 = 3;
-/// The first such wait, in seconds; it doubles with each further machine.
+/// First backoff in seconds; it doubles with each further machine on which a task fails.
 const FIRST_BACKOFF_S: u64 = 2;
-/// How often it doubles at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// A job's number in one leader's memory. Another leader may give the job another number.
+/// Number of a job in one leader's memory. Another leader may assign a different number to the same job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(
-    /// Numbers rise in the order in which the leader learns of jobs.
+    /// Numbers increase in the order in which the leader learns of jobs.
     pub u32,
 );
 
-/// Run times seen of a job's own finished tasks.
+/// Observed run times of a job's finished tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimes {
-    /// How many were seen.
+    /// Number of observed run times.
     pub count: u32,
-    /// Their sum.
+    /// Sum of the observed run times.
     pub total: Micros,
 }
 
-/// One accepted job.
+/// State of an accepted job in the leader's memory.
 #[derive(Debug)]
 pub struct Job {
-    /// What its user asked for.
+    /// Specification that the user submitted.
     pub spec: JobSpec,
-    /// Index in the settings' teams; `None` if the team is no longer there.
+    /// Index of the job's team in the settings; `None` if the team is no longer configured.
     pub team: Option<usize>,
-    /// When it was accepted, on this process's clock: before the process began, if need be.
+    /// Time of acceptance on this process's clock; it may lie before the start of the process.
     pub accepted_at: Moment,
     /// Tasks numbered below this may have started under an earlier term, and a machine that is not
-    /// reconciled yet may still run them. 0 once that is settled.
+    /// reconciled yet may still run them. 0 once no unreconciled machine can run them.
     pub unreconciled_below: u32,
-    /// Tasks numbered below this may start: the start watermark is on record.
+    /// Tasks numbered below this may start: this start watermark is recorded in the store.
     pub start_watermark: u32,
-    /// What the next start watermark is to cover.
+    /// Start watermark that the next placed tasks need; 0 if none is requested.
     pub requested_watermark: u32,
-    /// Tasks that are done, as far as this leader knows.
+    /// Tasks that this leader knows to be done, whether recorded or not.
     pub done: TaskSet,
-    /// Tasks whose being done is on record. A subset of `done`.
+    /// Tasks that are recorded as done in the store. A subset of `done`.
     pub recorded: TaskSet,
-    /// Revisions of the done set's keys, one a chunk; 0 where there is no key.
+    /// Store revisions of the done set's keys, one per chunk; 0 where there is no key.
     pub revisions: Vec<u64>,
-    /// The revision of the job's own key.
+    /// Store revision of the key `jobs/<ref>`.
     pub job_revision: u64,
-    /// How it ended, once that is recorded.
+    /// Final outcome, once it is recorded in the store.
     pub outcome: Option<Outcome>,
-    /// When its cancellation was first requested under this leader.
+    /// Time of the first cancellation request under this leader.
     pub cancel_requested_at: Option<Moment>,
-    /// Whether its final state is under way to the store.
+    /// Progress of the write of the final state.
     pub final_write: FinalWrite,
-    /// How many attempts of each task may be on a machine. No entry is 0.
+    /// Number of attempts of each task that may be on machines. Tasks without attempts have no entry.
     bound: HashMap<u32, u16>,
-    /// How many of the tasks in `bound` are not done.
-    bound_open: u32,
+    /// Number of tasks in `bound` that are not done.
+    bound_remaining: u32,
     /// The sum of the counts in `bound`.
     bound_attempts: u32,
-    /// One of its tasks ran for long enough for the job to count as begun.
+    /// True once one of its tasks has run long enough for the job to count as begun.
     pub ran_long_enough: bool,
-    /// Tasks that lost their last attempt without being done: they go first. Some may have been bound or
-    /// done since.
+    /// Tasks that lost their last attempt without being done. They are placed first. Some of them may have been bound
+    /// or done since.
     requeued: BTreeSet<u32>,
-    /// No task below this may be placed, but those in `requeued`. Where tasks may still be unreconciled, it
-    /// begins anew at 0 once they aren't.
+    /// Next task to be considered for its first placement; below it only tasks in `requeued` can be placed. Reset
+    /// to 0 when the job's unreconciled tasks become placeable.
     cursor: u32,
-    /// Machines on which a task failed, since the last success.
+    /// Machines on which a task failed since the last success.
     pub failed_on: BTreeSet<String>,
-    /// How many of its tasks' attempts failed.
+    /// Number of failed attempts of its tasks.
     pub failures: u32,
-    /// After failures it isn't placed before this moment; 0 if it never had to wait.
+    /// End of the backoff after failures: the job isn't placed before this moment. 0 if it never had a backoff.
     pub retry_after: Moment,
-    /// When no task was left without a place for the first time.
+    /// First moment at which no task of the job was waiting to be placed.
     pub fully_placed_at: Option<Moment>,
-    /// Run times of its finished tasks.
+    /// Run times of the job's finished tasks.
     pub run_times: RunTimes,
 }
 
 impl Job {
-    /// A job without any outcome. Its first `start_watermark` tasks may have started under an earlier
-    /// term.
+    /// Creates a job without an outcome. Its first `start_watermark` tasks may have started under an earlier term.
     pub fn new(
         spec: JobSpec,
         team: Option<usize>,
@@ -117,7 +118,7 @@
             cancel_requested_at: None,
             final_write: FinalWrite::Idle,
             bound: HashMap::new(),
-            bound_open: 0,
+            bound_remaining: 0,
             bound_attempts: 0,
             ran_long_enough: false,
             requeued: BTreeSet::new(),
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Bytes of memory that it takes while it waits, roughly. What runs is bounded by the machines.
+    /// Estimate of the memory in bytes that the job takes while it waits. The memory for running attempts is not
+    /// included: it is bounded by the number of machines.
     pub fn memory_bytes(&self) -> usize {
         let spec = &self.spec;
         let machine_types = spec.machine_types.iter().flatten();
@@ -140,7 +142,7 @@
         JOB_BYTES + 2 * texts + names + spec.tasks as usize / TASKS_PER_BYTE
     }
 
-    /// How many of its tasks could start now, if there were room for them.
+    /// Number of tasks that could be placed now if there were capacity for them.
     pub fn ready(&self) -> u32 {
         if self.is_closed() {
             return 0;
@@ -148,27 +150,27 @@
         self.unbound() - self.unreconciled_unbound()
     }
 
-    /// Tasks neither done nor known to be on a machine.
+    /// Number of tasks that are neither done nor known to be on a machine.
     fn unbound(&self) -> u32 {
-        self.spec.tasks - self.done.len() - self.bound_open
+        self.spec.tasks - self.done.len() - self.bound_remaining
     }
 
-    /// Of these, the ones that may be on a machine that is not reconciled yet.
+    /// Number of unbound tasks that are not done and may be on a machine that is not reconciled yet.
     fn unreconciled_unbound(&self) -> u32 {
         (0..self.unreconciled_below)
             .filter(|task| !self.done.contains(*task) && !self.bound.contains_key(task))
             .count() as u32
     }
 
-    /// Tasks that a machine which is not reconciled yet may run, done ones as well: a command of an
-    /// earlier term may still start them there once more.
+    /// Number of unbound tasks that a machine that is not reconciled yet may run. Done tasks count as well: a
+    /// command of an earlier term may still start them there once more.
     pub fn maybe_unreconciled(&self) -> u32 {
         (0..self.unreconciled_below)
             .filter(|task| !self.bound.contains_key(task))
             .count() as u32
     }
 
-    /// No machine that is not reconciled can have any of its tasks: all of them may be placed.
+    /// Allows all tasks to be placed; called once no unreconciled machine can have any of them.
     pub fn end_reconciliation(&mut self) {
         if self.unreconciled_below > 0 {
             self.unreconciled_below = 0;
@@ -181,52 +183,53 @@
         self.cancel_requested_at.is_some()
     }
 
-    /// True if it is done or cancelled, or is to be cancelled: nothing of it may go on.
+    /// True if the job is done or cancelled or its cancellation was requested: none of its tasks may start or keep
+    /// running.
     pub fn is_closed(&self) -> bool {
         self.is_cancel_requested() || self.outcome.is_some()
     }
 
-    /// True if some task of it has a place, is done, or ran for long enough.
+    /// True if some task of the job is bound, is done, or has run long enough.
     pub fn has_begun(&self) -> bool {
         self.is_bound() || self.ran_long_enough || !self.done.is_empty()
     }
 
-    /// True if an attempt of it may be on a machine.
+    /// True if an attempt of the job may be on a machine.
     pub fn is_bound(&self) -> bool {
         self.bound_attempts > 0
     }
 
-    /// How many attempts of it may be on machines.
+    /// Number of attempts of the job that may be on machines.
     pub fn bound_attempts(&self) -> u32 {
         self.bound_attempts
     }
 
-    /// How many of its tasks are not done.
+    /// Number of the job's tasks that are not done.
     pub fn remaining(&self) -> u32 {
         self.spec.tasks - self.done.len()
     }
 
-    /// True if all tasks are done in memory; the record may still be missing.
+    /// True if the leader knows all tasks to be done; the record in the store may still be missing.
     pub fn is_complete(&self) -> bool {
         self.done.is_full()
     }
 
-    /// When the job should be complete, if it has a deadline.
+    /// Moment by which the job should be complete, if it has a deadline.
     pub fn deadline(&self) -> Option<Moment> {
         self.spec.deadline.map(|time| self.accepted_at + time)
     }
 
-    /// Marks a task as done: true the first time.
+    /// Marks a task as done. True if it was not done before.
     pub fn mark_done(&mut self, task: u32) -> bool {
         let first = self.done.insert(task);
         if first && self.bound.contains_key(&task) {
-            self.bound_open -= 1;
+            self.bound_remaining -= 1;
         }
         first
     }
 
-    /// Requests a start watermark that covers the task. Somewhat more is covered than is placed, so that
-    /// a job that starts bit by bit needs few records.
+    /// Requests a start watermark that covers the task. It covers further tasks as well, so that a job whose tasks
+    /// are placed a few at a time needs few writes.
     pub fn request_watermark(&mut self, task: u32) {
         if task < self.start_watermark.max(self.requested_watermark) {
             return;
@@ -235,7 +238,7 @@
         self.requested_watermark = (task + 1).saturating_add(ahead).min(self.spec.tasks);
     }
 
-    /// The next task to be placed; the same one is given until it is bound.
+    /// The next task to be placed. Returns the same task until it is bound.
     pub fn next_ready(&mut self) -> Option<u32> {
         self.next_requeued().or_else(|| self.next_never_bound())
     }
@@ -265,17 +268,17 @@
         self.done.contains(task) || self.bound.contains_key(&task)
     }
 
-    /// One more attempt of the task may be on a machine.
+    /// Counts one more attempt of the task that may be on a machine.
     pub fn bind(&mut self, task: u32) {
         let attempts = self.bound.entry(task).or_insert(0);
         *attempts += 1;
         self.bound_attempts += 1;
         if *attempts == 1 && !self.done.contains(task) {
-            self.bound_open += 1;
+            self.bound_remaining += 1;
         }
     }
 
-    /// An attempt of the task is surely over.
+    /// Removes an attempt of the task that is known to have ended.
     pub fn unbind(&mut self, task: u32) {
         let Some(attempts) = self.bound.get_mut(&task) else {
             return;
@@ -287,13 +290,13 @@
         }
         self.bound.remove(&task);
         if !self.done.contains(task) {
-            self.bound_open -= 1;
+            self.bound_remaining -= 1;
             self.requeued.insert(task);
         }
     }
 
-    /// Waits longer after each failure on yet another machine, so that a job that was submitted with a
-    /// mistake doesn't starve the others.
+    /// Records the failure of a task. The backoff grows with each further machine on which a task fails, so that a
+    /// job with a faulty submission doesn't starve the others.
     pub fn note_task_failure(&mut self, machine: &str, now: Moment) {
         self.failures += 1;
         self.failed_on.insert(machine.to_string());
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,13 +1,13 @@
-//! Jobs: their submission, the table of those that the leader knows, what is written about them to
-//! the key-value store, and what users are told.
+//! Jobs: submission, the leader's table of jobs, the records of jobs in the key-value store, and the status that is
+//! reported to users.
 //!
-//! A task's outcome is held in memory until its done set is written; only then is the task done for
-//! anybody outside. A job is final (done or cancelled) once that is recorded, never before.
+//! The completion of a task is held in memory until the job's done set is written; only then is the task reported as
+//! done. A job is final (done or cancelled) once its final state is recorded, never before.
 //!
-//! Domain types are in `spec`, `wire`, `records` and `status`; state is in `job`, `table`, `task_set`
-//! and `admission_gate`. Decisions are in `admission`, `feasibility`, `completion`, `pending_writes`,
-//! `retirement` and `write_results`. The record writer and the request handlers of `api` call them
-//! and do all input and output; so does the job watch, in the slice of leadership.
+//! Domain types are in `spec`, `wire`, `records` and `status`; state is in `job`, `table`, `task_set` and
+//! `admission_gate`. Decisions are in `admission`, `feasibility`, `completion`, `pending_writes`, `retirement` and
+//! `write_results`; these modules do no I/O. All I/O is done by their callers: the record writer, the request
+//! handlers in `api`, and the job watch in the `leadership` module.
 
 #![warn(missing_docs)]
 
--- a/src/jobs/pending_write.rs
+++ b/src/jobs/pending_write.rs
@@ -1,4 +1,4 @@
-//! One write to the key-value store that waits to be sent.
+//! A write to the key-value store that is waiting to be sent.
 
 use super::{JobId, Outcome};
 use crate::http::cbor::json_len;
@@ -6,32 +6,32 @@
 use crate::store::{Change, Precondition, to_value};
 use serde::Serialize;
 
-/// One write: its changes belong together, and so do their preconditions.
+/// A group of changes and preconditions that must be sent in the same transaction.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
-    /// What it records, for whoever applies its result.
+    /// Kind of record, by which the result of the write is applied to the scheduler state.
     pub kind: PendingWriteKind,
-    /// The preconditions of the write.
+    /// Conditions that must hold in the store for the changes to be made.
     pub preconditions: Vec<Precondition>,
-    /// What it changes.
+    /// Keys to be written or deleted.
     pub changes: Vec<Change>,
 }
 
-/// What a write records.
+/// Kind of record that a write stores.
 #[derive(Clone, Debug)]
 pub enum PendingWriteKind {
     /// A job's final state.
     FinalState(JobId, Outcome),
     /// One chunk of a job's done set.
     DoneSet {
-        /// The job.
+        /// Job that the done set belongs to.
         job: JobId,
-        /// The chunk's number.
+        /// Number of the chunk, from 0.
         chunk: u32,
-        /// The chunk's tasks as they are written.
+        /// Stored text of the chunk's done tasks (see [`TaskSet`](super::TaskSet)).
         text: String,
     },
-    /// A job's final state, with all its other records deleted: only `final/<ref>` stays.
+    /// A job's final state and the deletion of all its other records: only `final/<ref>` remains.
     Retirement(JobId, Outcome),
     /// A page of start watermarks: tasks numbered below these may start.
     StartWatermarks(PageImage<u32>),
@@ -45,13 +45,13 @@
         matches!(self.kind, PendingWriteKind::MachineRegistry(_))
     }
 
-    /// What it takes of a transaction, in bytes of JSON.
+    /// Size in JSON bytes that the write adds to a transaction.
     pub(super) fn json_len(&self) -> usize {
         json_len(&to_value(&self.preconditions)) + json_len(&to_value(&self.changes))
     }
 }
 
-/// The write of a page under a key prefix, on condition of the revision that the page had.
+/// Creates the write of a page under a key prefix. Its precondition is the revision that the page had.
 pub fn page_write<V: Clone + Serialize>(
     prefix: &str,
     image: PageImage<V>,
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -1,4 +1,4 @@
-//! The record writer: the loop that writes what is due to the key-value store.
+//! The record writer: the loop in which the leader writes due records to the key-value store.
 
 use super::write_authority::WriteAuthority;
 use super::{AdmissionGate, PendingWrite, pack_transactions, take_affordable};
@@ -10,67 +10,71 @@
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-/// JSON bytes that the writes of one transaction may have: the store takes 64 KiB in all, with the
-/// leader's precondition and what surrounds them.
+/// Maximum size in JSON bytes of the writes in one transaction. The store accepts 64 KiB in all, including the
+/// leader's precondition and the envelope of the transaction.
 const TRANSACTION_BYTES: usize = 60 * 1024;
-/// Final states that complete within this long share a transaction.
-const GATHER_TIME: Duration = Duration::from_millis(25);
-/// New machines are written at most once in the time in which so many tokens come.
-const REGISTRY_TOKENS: f64 = 5.0;
-/// While this controller doesn't write, it looks again after this long, or when something changes.
-const STANDBY_TIME: Duration = Duration::from_millis(500);
-/// While nothing is to be written, it looks again after between these times.
+/// Time during which due writes are batched: final states that become due within it share a transaction.
+const BATCH_DELAY: Duration = Duration::from_millis(25);
+/// Number of tokens that accumulate between two writes of newly registered machines.
+const TOKENS_PER_REGISTRY_WRITE: f64 = 5.0;
+/// Maximum time between two checks whether this controller may write records, while it may not.
+const STANDBY_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time to wait while no write is due or affordable.
 const MIN_WAIT: Duration = Duration::from_millis(20);
+/// Maximum time to wait while no write is due or affordable.
 const MAX_WAIT: Duration = Duration::from_millis(2000);
-/// Pause after a transaction that the store refused.
-const REFUSED_PAUSE: Micros = Micros::from_millis(200);
-/// Pause after a transaction without an answer. Whether it was applied shows at the next try: then its
-/// preconditions fail.
-const UNANSWERED_PAUSE: Micros = Micros::from_millis(50);
+/// Pause after a transaction that was not executed.
+const NOT_EXECUTED_PAUSE: Micros = Micros::from_millis(200);
+/// Pause after a transaction whose outcome is unknown. The next attempt shows whether it was applied: in that case
+/// the preconditions of that attempt fail.
+const OUTCOME_UNKNOWN_PAUSE: Micros = Micros::from_millis(50);
 
 impl Controller {
-    /// Writes records while this controller leads, for as long as the process lives.
+    /// Thread body of the record writer: writes records whenever this controller leads. Never returns.
     pub fn record_writer_loop(&self) {
         let mut writer = RecordWriter::new(self);
         loop {
-            self.os.sleep(GATHER_TIME);
+            self.os.sleep(BATCH_DELAY);
             writer.step();
         }
     }
 }
 
-/// What the loop does next.
+/// Next action of the record writer.
 enum Step {
-    /// Nothing until something changes, or for so long.
+    /// Wait until the controller's state changes, at most for this long.
     Wait(Duration),
-    /// Unconfirmed starts are to be revoked by a higher fencing token.
+    /// Raise the fencing token to revoke unconfirmed starts.
     RaiseFencingToken(LeaderLease),
+    /// Close or open the admission gate in the store.
     WriteGate {
         authority: WriteAuthority,
         closed: bool,
     },
+    /// Write records to the store.
     WriteRecords {
         authority: WriteAuthority,
         writes: Vec<PendingWrite>,
     },
 }
 
-/// What the loop remembers. Tokens stand for changes: the store takes so many in a second.
+/// State of the record writer. One token is spent per change, since the store limits the changes per second.
 struct RecordWriter<'a> {
     controller: &'a Controller,
-    /// Changes that one transaction may have.
+    /// Maximum number of changes in one transaction.
     max_changes: usize,
-    /// Changes per second.
+    /// Write budget in changes per second.
     rate: f64,
     tokens: TokenBucket,
-    /// Time between two rounds in which everything is written that nobody waits for.
-    round: Micros,
+    /// Time between two rounds in which records that nothing waits for are written.
+    round_interval: Micros,
     next_round: Moment,
-    /// Machines come up one by one: they share pages, and leave most of the tokens to start watermarks.
+    /// Minimum time between two writes of newly registered machines. Machines come up one by one; the interval lets
+    /// them share pages and leaves most of the tokens to start watermarks.
     registry_interval: Micros,
     next_registry_write: Moment,
-    /// No records before this moment.
-    not_before: Moment,
+    /// End of the pause after a failed transaction: no records are written before this moment.
+    paused_until: Moment,
     gate: AdmissionGate,
 }
 
@@ -85,16 +89,16 @@
             max_changes: limits.txn_ops,
             rate,
             tokens: TokenBucket::new(rate, burst, controller.now()),
-            round: Micros::from_millis(options.record_round_ms),
+            round_interval: Micros::from_millis(options.record_round_ms),
             next_round: controller.now(),
-            registry_interval: Micros::from_secs_f64(REGISTRY_TOKENS / rate),
+            registry_interval: Micros::from_secs_f64(TOKENS_PER_REGISTRY_WRITE / rate),
             next_registry_write: controller.now(),
-            not_before: Moment(0),
+            paused_until: Moment(0),
             gate: AdmissionGate::default(),
         }
     }
 
-    /// Decides under the lock what is next, and does it without.
+    /// Chooses the next action under the state lock and performs it after releasing the lock.
     fn step(&mut self) {
         let controller = self.controller;
         let now = controller.now();
@@ -119,10 +123,10 @@
 
     fn next_step(&mut self, state: &mut ControllerState, now: Moment) -> Step {
         let Some((lease, scheduler)) = state.acting_leader(now) else {
-            return Step::Wait(STANDBY_TIME);
+            return Step::Wait(STANDBY_INTERVAL);
         };
         if !scheduler.permissions().record {
-            return Step::Wait(STANDBY_TIME);
+            return Step::Wait(STANDBY_INTERVAL);
         }
         if self.gate.term != lease.term {
             self.gate = AdmissionGate::new(lease.term);
@@ -136,17 +140,18 @@
             return Step::WriteGate { authority, closed };
         }
         let writes = self.collect_due(scheduler, now);
-        if writes.is_empty() || now < self.not_before {
+        if writes.is_empty() || now < self.paused_until {
             return Step::Wait(self.time_to_wait(scheduler, now));
         }
-        // From here on nobody is told anything older than what may be on record soon.
+        // From here on this controller reports no status from memory for jobs whose final states are in these writes:
+        // they may be recorded at any moment, and the status in memory would be older.
         scheduler.mark_sent(&writes);
         let authority = WriteAuthority::of(lease);
         Step::WriteRecords { authority, writes }
     }
 
-    /// The writes that are due, as far as there are tokens for them. First what somebody waits for: starts
-    /// wait for the first two, users for the third.
+    /// The due writes that the available tokens pay for. Writes that something waits for come first: task starts wait
+    /// for the machine registry and the start watermarks, users wait for final states.
     fn collect_due(&mut self, scheduler: &SchedulerState, now: Moment) -> Vec<PendingWrite> {
         let mut left = self.tokens.available(now).max(0.0) as usize;
         let mut writes = Vec::new();
@@ -162,13 +167,13 @@
         let final_states = scheduler.pending_final_writes(self.max_changes);
         writes.extend(take_affordable(final_states, &mut left));
         if now >= self.next_round {
-            self.next_round = now + self.round;
+            self.next_round = now + self.round_interval;
             self.collect_round(scheduler, &mut left, &mut writes);
         }
         writes
     }
 
-    /// What nobody waits for.
+    /// Adds the writes that nothing waits for.
     fn collect_round(
         &self,
         scheduler: &SchedulerState,
@@ -186,15 +191,16 @@
     }
 
     fn time_to_wait(&self, scheduler: &SchedulerState, now: Moment) -> Duration {
-        let mut wait = (self.next_round - now).max(self.not_before - now);
+        let mut wait = (self.next_round - now).max(self.paused_until - now);
         if scheduler.has_awaited_writes(self.max_changes) {
-            // Until there are tokens for the smallest write again.
+            // Wait until there is a token for the smallest write.
             wait = wait.min(Micros::from_secs_f64(1.0 / self.rate));
         }
         wait.duration().clamp(MIN_WAIT, MAX_WAIT)
     }
 
-    /// Writes records in as few transactions as possible, up to the first that the store doesn't answer.
+    /// Writes records in as few transactions as possible. Stops at the first transaction that fails with an error;
+    /// the later ones are not sent.
     fn write_records(&mut self, authority: &WriteAuthority, writes: Vec<PendingWrite>) {
         let transactions = pack_transactions(writes, self.max_changes, TRANSACTION_BYTES);
         let mut transactions = transactions.into_iter();
@@ -225,7 +231,8 @@
             .transact(&preconditions, &changes, StorePriority::Admitted)
     }
 
-    /// Takes in what came of one transaction; an error if the store refused it or gave no answer.
+    /// Applies the result of a transaction to the controller's state. Returns the error of a transaction that was not
+    /// executed or whose outcome is unknown.
     fn apply_result(
         &mut self,
         authority: &WriteAuthority,
@@ -250,14 +257,14 @@
                 Ok(())
             }
             Err(error) => {
-                log::debug!(term = authority.term, error:%; "records not written");
+                log::debug!(term = authority.term, error:%; "failed to write records");
                 self.pause_after(&error, authority, writes);
                 Err(error)
             }
         }
     }
 
-    /// After an error nothing is written for a while.
+    /// Pauses the writing of records after an error, and marks these writes as not written or of unknown outcome.
     fn pause_after(
         &mut self,
         error: &StoreError,
@@ -266,10 +273,10 @@
     ) {
         let now = self.controller.now();
         if matches!(error, StoreError::NotExecuted { .. }) {
-            self.not_before = now + REFUSED_PAUSE;
+            self.paused_until = now + NOT_EXECUTED_PAUSE;
             self.mark_not_written(authority, writes);
         } else {
-            self.not_before = now + UNANSWERED_PAUSE;
+            self.paused_until = now + OUTCOME_UNKNOWN_PAUSE;
             self.controller.with_scheduler(authority.term, |scheduler| {
                 scheduler.mark_unanswered(writes)
             });
--- a/src/jobs/retirement.rs
+++ b/src/jobs/retirement.rs
@@ -1,5 +1,5 @@
-//! Retirement of final jobs: only `final/<ref>` stays of them, so that a new leader reads no more than
-//! what still matters.
+//! Retirement of final jobs: all their records except `final/<ref>` are deleted, so that a new leader reads only
+//! records that are still needed.
 
 use super::records::{done_key, final_key, job_key};
 use super::{FinalRecord, Job, JobId, Outcome, PendingWrite, PendingWriteKind};
@@ -8,12 +8,13 @@
 use crate::store::{Change, Precondition, to_value};
 use crate::workers::{AttemptKey, DeliveryStatus};
 
-/// Changes of a retirement beside its done set's chunks: the final record and the job's own.
-const CHANGES_BESIDE_CHUNKS: usize = 2;
+/// Number of changes of a retirement in addition to the deletion of the done set's chunks: the write of
+/// `final/<ref>` and the deletion of `jobs/<ref>`.
+const CHANGES_WITHOUT_CHUNKS: usize = 2;
 
 impl SchedulerState {
-    /// Retirements of final jobs of which nothing is left on any machine, with at most so many changes in
-    /// all and in one transaction.
+    /// Retirements of final jobs that have no tasks left on any machine, with at most `max_changes` changes in all
+    /// and `max_transaction_changes` in one transaction.
     pub fn pending_retirements(
         &self,
         max_changes: usize,
@@ -37,19 +38,19 @@
         writes
     }
 
-    /// True if nothing of the job can be on any machine, or arrive there.
+    /// True if no attempt of the job can be on any machine or still arrive there.
     pub(super) fn is_retirable(&self, id: JobId, job: &Job) -> bool {
-        // A machine that is not reconciled may still run its tasks: its team's quota counts them.
+        // A machine that is not reconciled may still run tasks of the job, which count against the team's quota.
         job.unreconciled_below == 0 && !job.is_bound() && !self.has_undelivered_start(id)
     }
 
-    /// True while a start without an answer may still arrive: its attempt must not be cleared, so its job
-    /// stays known.
+    /// True while a start command without an answer may still arrive. Its attempt must not be cleared, so the job
+    /// must stay in memory.
     fn has_undelivered_start(&self, id: JobId) -> bool {
         self.has_attempt(id, DeliveryStatus::may_arrive)
     }
 
-    /// True while a call that carries a start of the job is under way.
+    /// True while a call that carries a start command of the job is in flight.
     pub(super) fn has_start_in_flight(&self, id: JobId) -> bool {
         self.has_attempt(id, |delivery| delivery == DeliveryStatus::InFlight)
     }
@@ -61,8 +62,8 @@
             .any(|(_, attempt)| matches(attempt.delivery))
     }
 
-    /// Takes a retired job out of memory. What workers still report of it are exited attempts: they
-    /// are told to clear them.
+    /// Removes a retired job from memory. Workers can only report exited attempts of it from now on; they get the
+    /// command to clear them.
     pub fn forget_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
@@ -87,7 +88,8 @@
     }
 }
 
-/// The transaction after which only `final/<ref>` is left; `None` if the done set has too many chunks.
+/// Creates the write after which only `final/<ref>` is left of the job; `None` if the done set has too many chunks
+/// for one transaction.
 pub(super) fn retirement(
     id: JobId,
     job: &Job,
@@ -95,13 +97,13 @@
     max_changes: usize,
 ) -> Option<PendingWrite> {
     let chunks: Vec<u32> = stored_chunks(job).collect();
-    if chunks.len() + CHANGES_BESIDE_CHUNKS > max_changes {
+    if chunks.len() + CHANGES_WITHOUT_CHUNKS > max_changes {
         return None;
     }
     let (mut preconditions, mut changes) = deletions(job, chunks);
     let name = &job.spec.id;
     if job.revisions[0] == 0 {
-        // Else a cancellation of this leader that got no answer could stand beside this.
+        // Without this precondition a cancellation by this leader whose outcome is unknown could be recorded as well.
         preconditions.push(Precondition::new(done_key(name, 0), 0));
     }
     preconditions.push(Precondition::new(job_key(name), job.job_revision));
@@ -118,8 +120,8 @@
     })
 }
 
-/// Deletes the higher chunks of a done set that has too many for one transaction; the final state, in
-/// chunk 0, goes last.
+/// Creates the deletion of the higher chunks of a done set that has too many chunks for one transaction. Chunk 0,
+/// which holds the final state, is deleted last, by the retirement itself.
 fn chunk_deletion(id: JobId, job: &Job, max_changes: usize) -> PendingWrite {
     let chunks = stored_chunks(job).filter(|chunk| *chunk > 0);
     let (preconditions, changes) = deletions(job, chunks.take(max_changes));
@@ -134,7 +136,7 @@
     }
 }
 
-/// Deletes these chunks of a done set, on condition of their revisions.
+/// Preconditions and changes that delete these chunks of a done set if their revisions are unchanged.
 fn deletions(job: &Job, chunks: impl IntoIterator<Item = u32>) -> (Vec<Precondition>, Vec<Change>) {
     let deletion = |chunk: u32| {
         let key = done_key(&job.spec.id, chunk);
@@ -144,7 +146,7 @@
     chunks.into_iter().map(deletion).unzip()
 }
 
-/// Chunks of the done set that have a key, the highest first.
+/// Chunks of the done set that have a key in the store, the highest first.
 fn stored_chunks(job: &Job) -> impl Iterator<Item = u32> + '_ {
     (0..job.done.chunk_count())
         .rev()
--- a/src/jobs/write_results.rs
+++ b/src/jobs/write_results.rs
@@ -1,4 +1,4 @@
-//! What became of writes that were sent.
+//! Effects of the results of writes on the scheduler state.
 
 use super::records::parse_done_key;
 use super::{FinalWrite, JobId, JobTable, Outcome, PendingWrite, PendingWriteKind};
@@ -7,7 +7,7 @@
 use crate::store::paged_map::PageImage;
 
 impl JobTable {
-    /// Changes what is known of the final writes among these.
+    /// Replaces [`Job::final_write`](super::Job::final_write) of each job whose final state is among these writes.
     fn update_final_writes(
         &mut self,
         writes: &[PendingWrite],
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A done set's key turned out to be absent.
+    /// Notes that a key of a done set is absent from the store.
     pub(super) fn note_done_key_absent(&mut self, id: &str, chunk: u32) {
         if let Some(job_id) = self.find(id)
             && let Some(job) = self.table.get_mut(&job_id)
@@ -35,7 +35,7 @@
 }
 
 impl SchedulerState {
-    /// These writes are about to be sent.
+    /// Marks the final states among these writes as sent; called just before they are sent.
     pub fn mark_sent(&mut self, writes: &[PendingWrite]) {
         self.jobs.update_final_writes(writes, |state| match state {
             FinalWrite::Idle => FinalWrite::Sent,
@@ -43,7 +43,8 @@
         });
     }
 
-    /// These writes were surely not carried out.
+    /// Marks the final states among these writes as idle again: the writes are known not to have been executed. A
+    /// final state of which an earlier write has an unknown outcome stays unknown.
     pub fn mark_not_written(&mut self, writes: &[PendingWrite]) {
         self.jobs.update_final_writes(writes, |state| match state {
             FinalWrite::Sent => FinalWrite::Idle,
@@ -51,13 +52,14 @@
         });
     }
 
-    /// These writes got no answer: they may have been carried out, or may yet be.
+    /// Marks the outcome of the final states among these writes as unknown: the writes may have been executed, or may
+    /// still be.
     pub fn mark_unanswered(&mut self, writes: &[PendingWrite]) {
         self.jobs
             .update_final_writes(writes, |_| FinalWrite::Unknown);
     }
 
-    /// A write was committed at this revision.
+    /// Applies a write that was committed at this revision.
     pub fn apply_written(&mut self, write: &PendingWrite, revision: u64) {
         match &write.kind {
             PendingWriteKind::FinalState(job, outcome) => {
@@ -90,7 +92,7 @@
         self.apply_outcome(id, outcome);
     }
 
-    /// A chunk of a done set was written, or higher chunks of one that is retired were deleted.
+    /// Applies the write of a chunk of a done set, or the deletion of the higher chunks of a retired job's done set.
     fn apply_done_set(
         &mut self,
         id: JobId,
@@ -111,14 +113,15 @@
                 }
                 Change::Write { .. } => {
                     job.revisions[chunk as usize] = revision;
-                    // The text is this leader's own, so it isn't malformed.
+                    // The text was created by this leader, so it isn't malformed.
                     let _ = job.recorded.add_chunk(chunk, text);
                 }
             }
         }
     }
 
-    /// Tasks below the start watermarks may start now: commands that waited for this become due.
+    /// Applies a written page of start watermarks: tasks below them may start now, and commands that waited for them
+    /// become due.
     fn apply_start_watermarks(&mut self, image: &PageImage<u32>, revision: u64) {
         self.jobs
             .start_watermarks
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Tasks may be placed on the page's machines now.
+    /// Applies a written page of the machine registry: tasks may be placed on its machines now.
     fn apply_machine_registry(&mut self, image: &PageImage<u64>, revision: u64) {
         self.provisioning
             .registry
