--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -278,7 +278,7 @@
         } else {
             self.paused_until = now + OUTCOME_UNKNOWN_PAUSE;
             self.controller.with_scheduler(authority.term, |scheduler| {
-                scheduler.mark_unanswered(writes)
+                scheduler.mark_outcome_unknown(writes)
             });
         }
     }
--- a/src/jobs/write_results.rs
+++ b/src/jobs/write_results.rs
@@ -54,7 +54,7 @@
 
     /// Marks the outcome of the final states among these writes as unknown: the writes may have been executed, or may
     /// still be.
-    pub fn mark_unanswered(&mut self, writes: &[PendingWrite]) {
+    pub fn mark_outcome_unknown(&mut self, writes: &[PendingWrite]) {
         self.jobs
             .update_final_writes(writes, |_| FinalWrite::Unknown);
     }
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -237,7 +237,7 @@
     trace.scheduler.mark_not_written(&writes);
     trace.at(6.1).note("it was surely refused").view("run-1");
     trace.scheduler.mark_sent(&writes);
-    trace.scheduler.mark_unanswered(&writes);
+    trace.scheduler.mark_outcome_unknown(&writes);
     trace
         .at(6.2)
         .note("sent again, it got no answer")
