--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -1,12 +1,12 @@
-//! Jobs that enter the leader's state, and when no more of them may.
+//! Adding accepted jobs to the leader's state, and the memory limit for jobs.
 
 use super::{Job, JobId, JobSpec, Submission};
 use crate::scheduler::SchedulerState;
 use crate::time::{Moment, WallTime};
 
 impl SchedulerState {
-    /// Adds an accepted job, unless it is known already. Which of its tasks may have started under an
-    /// earlier term is known from the pages of start watermarks.
+    /// Adds an accepted job unless it is already known. The stored start watermarks tell which of its tasks may have
+    /// started under an earlier term.
     pub fn add_job(
         &mut self,
         submission: &Submission,
@@ -33,20 +33,20 @@
         self.jobs.insert(job)
     }
 
-    /// Below which number the job's tasks may have started under an earlier term.
+    /// Start watermark from earlier terms: tasks of the job numbered below it may have started.
     fn earlier_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
         let dropped_by_older_version =
             spec.is_standing() && revision <= self.prior_term.older_version_led_at;
         if self.prior_term.watermarks_lost || dropped_by_older_version {
-            // Any of its tasks may have started, whatever the pages say.
+            // The stored watermark can't be relied on, so any of the job's tasks may have started.
             return spec.tasks;
         }
         let recorded = self.jobs.start_watermarks.get(&spec.id);
         recorded.copied().unwrap_or(0)
     }
 
-    /// True while no more jobs may be accepted. Once full (`was_full`), it stays so until a tenth of the
-    /// memory for jobs is free.
+    /// True while no more jobs may be accepted. Once the memory for jobs was full (`was_full`), it counts as full
+    /// until a tenth of it is free.
     pub fn is_full(&self, was_full: bool) -> bool {
         self.jobs.is_full(self.config.job_bytes, was_full)
     }
--- a/src/jobs/admission_gate.rs
+++ b/src/jobs/admission_gate.rs
@@ -1,22 +1,22 @@
-//! Whether the store says that no more jobs are accepted.
+//! The record writer's view of the key that stops the acceptance of jobs.
 
-/// What the record writer knows of the key [`FULL_KEY`](super::FULL_KEY), in one term.
+/// State of the key [`FULL_KEY`](super::FULL_KEY) as known to the record writer in one term.
 #[derive(Debug, Default)]
 pub struct AdmissionGate {
-    /// The term in which this was learned.
+    /// Term to which the state belongs.
     pub term: u64,
-    /// True while the key exists: no more jobs are accepted.
+    /// True while the key exists, so that no more jobs are accepted.
     pub closed: bool,
-    /// The key's revision, 0 while it is absent.
+    /// Store revision of the key, 0 while it is absent.
     pub revision: u64,
-    /// What was written last without an answer: whether the gate is to be closed. It is written until that
-    /// is known to have worked: the opposite, written over it, could be undone by it, and no controller
-    /// would accept anything any more.
+    /// Value of `closed` in the last write if the outcome of that write is unknown. The write is repeated until it is
+    /// known to have been executed. If the opposite were written instead, the earlier write could still be executed
+    /// late and undo it, and no controller would accept jobs any more.
     pub unconfirmed: Option<bool>,
 }
 
 impl AdmissionGate {
-    /// The gate of a new term, which is open.
+    /// Creates the open gate of a new term.
     pub fn new(term: u64) -> AdmissionGate {
         AdmissionGate {
             term,
@@ -24,18 +24,18 @@
         }
     }
 
-    /// What is to be written now, if anything: whether the gate is closed.
+    /// Value of `closed` to be written now; `None` if no write is needed.
     pub fn next_write(&self, is_full: bool) -> Option<bool> {
         self.unconfirmed
             .or((is_full != self.closed).then_some(is_full))
     }
 
-    /// The key is known to be present (`closed`) or absent, with this revision.
+    /// Sets the confirmed state of the key: present (`closed`) with this revision, or absent.
     pub fn confirm(&mut self, closed: bool, revision: u64) {
         if closed != self.closed {
             match closed {
-                true => log::warn!("jobs take all the memory they may: no more are accepted"),
-                false => log::warn!("jobs are accepted again"),
+                true => log::warn!(term = self.term; "job memory limit reached, jobs not accepted"),
+                false => log::warn!(term = self.term; "job memory available, jobs accepted again"),
             }
         }
         self.closed = closed;
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -1,18 +1,19 @@
-//! What the controller learns from writes that were committed.
+//! Effects of committed writes on the controller's state.
 
 use super::{JobView, PendingWrite, PendingWriteKind};
 use crate::controller::{Controller, ControllerState};
 
 impl Controller {
-    /// Takes in that these writes were committed at this revision.
+    /// Applies writes that were committed at this revision to the state of the term in which they were sent, and
+    /// wakes the threads that wait for a change.
     pub(super) fn note_written(&self, term: u64, writes: &[PendingWrite], revision: u64) {
         self.with_state_of(term, |state| {
-            self.apply_all_written(state, writes, revision);
+            self.apply_written_records(state, writes, revision);
         });
         self.state_changed.notify_all();
     }
 
-    fn apply_all_written(
+    fn apply_written_records(
         &self,
         state: &mut ControllerState,
         writes: &[PendingWrite],
--- a/src/jobs/feasibility.rs
+++ b/src/jobs/feasibility.rs
@@ -1,32 +1,32 @@
-//! Whether any machine and any quota could ever hold a job.
+//! Feasibility check of submitted jobs against machine types, zones and team quotas.
 
 use super::JobSpec;
 use crate::placement::Resources;
 use crate::provisioning::MachineType;
 use crate::settings::TeamSettings;
 
-/// Why a job could never run. Users are told the text.
+/// Reason why a job could never run. The text is part of the response to the user.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
-    /// The settings have no team of that name.
+    /// The settings contain no team of that name.
     #[error("unknown team")]
     UnknownTeam {
-        /// The team that the job names.
+        /// Team that the job names.
         team: String,
     },
-    /// Tasks that must run at once take more than the team may ever use.
+    /// The tasks that must run at the same time need more than the team's maximum quota.
     #[error("more than the team's limit")]
     OverTeamLimit {
-        /// The job's team.
+        /// Team that the job names.
         team: String,
     },
-    /// The settings have no zone of that name.
+    /// The settings contain no zone of that name.
     #[error("unknown zone")]
     UnknownZone {
-        /// The zone that the job names.
+        /// Zone that the job names.
         zone: String,
     },
-    /// A task is larger than every machine type on which it may run.
+    /// No machine type on which a task may run has enough capacity for it.
     #[error("a task fits no allowed machine type")]
     NoMachineType,
 }
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// [`Infeasible`] with the first reason for which it could never run.
+    /// [`Infeasible`] with the first reason why the job could never run.
     pub(super) fn check_feasible(
         &self,
         teams: &[TeamSettings],
@@ -47,7 +47,7 @@
             let team = self.team.clone();
             return Err(Infeasible::UnknownTeam { team });
         };
-        if !self.least_demand().fits(limit_of(team)) {
+        if !self.minimum_demand().fits(team_limit(team)) {
             let team = self.team.clone();
             return Err(Infeasible::OverTeamLimit { team });
         }
@@ -63,14 +63,14 @@
         }
     }
 
-    /// What it takes at least of its team's quota. Tasks of an array may run one after the other;
-    /// replicas run together.
-    fn least_demand(&self) -> Resources {
-        let together = if self.is_standing() { self.tasks } else { 1 };
+    /// Minimum share of the team's quota that the job needs. Tasks of an array may run one after the other; the
+    /// replicas of a standing job run at the same time.
+    fn minimum_demand(&self) -> Resources {
+        let concurrent_tasks = if self.is_standing() { self.tasks } else { 1 };
         Resources {
-            // Teams have no limit of memory.
+            // Teams have no memory limit.
             ram: 0,
-            ..self.demand.scaled(i64::from(together))
+            ..self.demand.scaled(i64::from(concurrent_tasks))
         }
     }
 
@@ -83,6 +83,6 @@
     }
 }
 
-fn limit_of(team: &TeamSettings) -> Resources {
+fn team_limit(team: &TeamSettings) -> Resources {
     Resources::capacity(team.cpus_max, team.gpus_max, 0.0)
 }
--- a/src/jobs/gate_writer.rs
+++ b/src/jobs/gate_writer.rs
@@ -1,4 +1,4 @@
-//! Writing the key that says that no more jobs are accepted.
+//! Writing the key that stops the acceptance of jobs.
 
 use super::write_authority::WriteAuthority;
 use super::{AdmissionGate, FULL_KEY};
@@ -6,7 +6,7 @@
 use crate::store::{Change, Precondition, StoreError, StorePriority, TransactionOutcome, to_value};
 
 impl Controller {
-    /// Writes that no more jobs are to be accepted (`closed`), or that they are again.
+    /// Writes the key that stops the acceptance of jobs (`closed`), or deletes it so that jobs are accepted again.
     pub(super) fn write_gate(
         &self,
         authority: &WriteAuthority,
@@ -28,7 +28,7 @@
                 gate.confirm(closed, revision);
             }
             Ok(TransactionOutcome::Conflict { failed }) if failed == [FULL_KEY] => {
-                // An earlier write without an answer was carried out.
+                // An earlier write whose outcome was unknown has been executed.
                 if let Ok(row) = store.get(FULL_KEY, StorePriority::Normal) {
                     let revision = row.as_ref().map_or(0, |row| row.revision);
                     gate.confirm(row.is_some(), revision);
@@ -36,7 +36,7 @@
             }
             Ok(TransactionOutcome::Conflict { .. }) | Err(StoreError::NotExecuted { .. }) => {}
             Err(error) => {
-                log::debug!(term = authority.term, error:%; "admission gate not written");
+                log::debug!(term = authority.term, closed, error:%; "failed to write admission gate");
                 gate.unconfirmed = Some(closed);
             }
         }
--- a/src/jobs/read_back.rs
+++ b/src/jobs/read_back.rs
@@ -1,5 +1,5 @@
-//! Reading back keys whose revisions were not as expected: an earlier write of this leader that got no
-//! answer was applied.
+//! Reading back keys whose revisions were not as expected because an earlier write of this leader whose outcome was
+//! unknown had been applied.
 
 use super::records::{final_key, job_key, parse_done_key};
 use super::{DoneRecord, FinalRecord, JOBS_PREFIX, JobView, WATERMARKS_PREFIX};
@@ -9,7 +9,8 @@
 use crate::store::{StorePriority, from_value};
 
 impl Controller {
-    /// Reads the keys back whose preconditions failed.
+    /// Reads back the keys whose preconditions failed, and applies their values or revisions to the state of this
+    /// term.
     pub(super) fn read_back(&self, term: u64, failed: &[String]) {
         for key in failed {
             if let Some(page) = key.strip_prefix(WATERMARKS_PREFIX) {
@@ -46,12 +47,12 @@
                 });
                 self.read_back_job(term, &job_key(id));
             }
-            Err(error) => log::debug!(key, error:%; "not read back"),
+            Err(error) => log::debug!(key, error:%; "failed to read back done set"),
         }
     }
 
-    /// A page that a write without an answer changed is written again over that one, which can't be
-    /// applied any more once the page's revision is known.
+    /// Reads back the revision of a page that a write of unknown outcome may have changed. The page is then written
+    /// again over that write. Once the page's revision is known, the earlier write can't be applied any more.
     fn read_back_page(
         &self,
         term: u64,
@@ -62,7 +63,7 @@
         let revision = match self.store.get(key, StorePriority::Normal) {
             Ok(row) => row.map_or(0, |row| row.revision),
             Err(error) => {
-                log::debug!(key, error:%; "not read back");
+                log::debug!(key, error:%; "failed to read back page revision");
                 return;
             }
         };
@@ -71,7 +72,8 @@
         }
     }
 
-    /// A job whose retirement was applied without an answer is gone from `jobs/`.
+    /// Applies the final record of a job whose key under `jobs/` is absent: its retirement was applied although the
+    /// outcome of that write was unknown.
     fn read_back_job(&self, term: u64, key: &str) {
         let Some(id) = key.strip_prefix(JOBS_PREFIX) else {
             return;
@@ -83,7 +85,7 @@
             return;
         };
         let Some(record) = from_value::<FinalRecord>(&row.data) else {
-            log::error!(key = row.key; "malformed record");
+            log::error!(key = row.key; "malformed final record");
             return;
         };
         let view = JobView::of_final(record.state, record.tasks);
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,24 +1,24 @@
-//! A job as the controllers work with it, independent of its form on the wire.
+//! Specification of a job, independent of its wire format.
 
 use crate::placement::Resources;
 use crate::time::{Micros, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// How urgent a job is. The order of the variants is the order of urgency, the least urgent first.
+/// Priority of a job. The variants are ordered from the least to the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs on what nothing else needs.
+    /// Jobs that run on capacity that no other job needs.
     Low,
-    /// The default of users.
+    /// Priority that users request by default.
     Normal,
-    /// Before normal work.
+    /// Jobs that are placed before those of normal priority.
     High,
     /// Services that users depend on.
     Production,
 }
 
-/// Whether a job ends by itself.
+/// Kind of a job: whether it ends by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -31,43 +31,43 @@
 /// An accepted job's specification. It never changes.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
-    /// The id that its user gave it (`run-` and digits).
+    /// Id assigned by the user (`run-` and digits).
     pub id: String,
-    /// Jobs of one class are expected to run for similar times.
+    /// Class of the job. Jobs of one class are expected to have similar run times.
     pub class: String,
-    /// Whose quota its tasks count against.
+    /// Team whose quota the job's tasks count against.
     pub team: String,
-    /// How urgent it is.
+    /// Priority in the placement of tasks.
     pub priority: Priority,
     /// Number of tasks; they are numbered from 0.
     pub tasks: u32,
-    /// Resources that one task takes of its machine.
+    /// Resources that one task needs on its machine.
     pub demand: Resources,
-    /// The image that its tasks run.
+    /// Name of the image that the tasks run.
     pub image: String,
-    /// The image's size in gigabytes.
+    /// Size of the image in gigabytes.
     pub image_gb: f64,
-    /// Machine types on which its tasks may run; `None` allows all.
+    /// Machine types on which the tasks may run; `None` allows all.
     pub machine_types: Option<Vec<String>>,
-    /// The only zone in which its tasks may run, if it names one.
+    /// Zone in which the tasks must run; `None` allows all.
     pub zone: Option<String>,
-    /// All of its tasks must run in one zone, whichever that is.
+    /// True if all tasks must run in the same zone, which can be any zone.
     pub same_zone: bool,
-    /// Its tasks must be spread over zones.
+    /// True if the tasks must be spread over zones.
     pub spread: bool,
-    /// Its tasks may run on spot machines.
+    /// True if the tasks may run on spot machines.
     pub spot: bool,
-    /// The user's estimate of a task's run time.
+    /// User's estimate of the run time of one task.
     pub estimate: Micros,
-    /// Time between two checkpoints of a task; zero if it makes none.
+    /// Time between two checkpoints of a task; zero if the tasks make none.
     pub checkpoint_interval: Micros,
-    /// Time that one checkpoint takes.
+    /// Time needed to write one checkpoint.
     pub checkpoint_duration: Micros,
-    /// Time from acceptance by which it should be done, if it has a deadline.
+    /// Time after acceptance within which the job should be done, if it has a deadline.
     pub deadline: Option<Micros>,
-    /// Whether it ends by itself.
+    /// Kind of the job: whether it ends by itself.
     pub kind: JobKind,
-    /// When it was accepted, by the accepting controller's clock.
+    /// Time of acceptance by the accepting controller's clock.
     pub accepted_at: WallTime,
 }
 
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -1,49 +1,51 @@
-//! What may be said of a job, and what the leader knows of its final write.
+//! Status of jobs as reported to users, and the progress of the write of a final state.
 
 use super::Outcome;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What is known of a final state that was sent to the key-value store.
+/// Progress of the write of a job's final state to the key-value store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FinalWrite {
-    /// None is under way.
+    /// No such write is in flight.
     #[default]
     Idle,
-    /// One is under way.
+    /// A write is in flight.
     Sent,
-    /// One got no answer: it may have been applied, or may yet be.
+    /// The outcome of a write is unknown: it may have been applied, or may still be.
     Unknown,
 }
 
-/// What one controller can say of a job by itself.
+/// Status of a job as known to one controller without asking its peers or the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalStatus {
-    /// The job's status.
+    /// Known status of the job.
     View(JobView),
-    /// A final state is under way to the store. Another controller may have read it there, and told it
-    /// to a user, before its writer knows: until then only the store tells.
+    /// The write of a final state is in flight. Another controller may read that state in the store and report it
+    /// to a user before the writer gets the answer, so until then only the store can tell the status.
     FinalWriteInFlight,
-    /// The job isn't known here.
+    /// The job is not known to this controller.
     Unknown,
 }
 
-/// What a user may be told of a job. Controllers send it to each other: its fields keep their order.
+/// Status of a job as reported to users. Controllers send it to each other in Borsh, so the order of the fields
+/// must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct JobView {
-    /// The job's state.
+    /// State of the job.
     pub state: ViewState,
-    /// Tasks that are recorded as done.
+    /// Number of tasks that are recorded as done.
     pub done: u32,
-    /// Tasks that run, as workers report them.
+    /// Number of running tasks, as reported by workers.
     pub running: u32,
 }
 
-/// A job's state as users are told it. Controllers send it to each other: variants keep their order.
+/// State of a job as reported to users. Controllers send it to each other in Borsh, so the order of the variants
+/// must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ViewState {
-    /// Accepted; none of its tasks runs.
+    /// Accepted; no task is running.
     Queued,
-    /// Some of its tasks run.
+    /// At least one task is running.
     Running,
     /// Recorded as done.
     Done,
@@ -52,7 +54,7 @@
 }
 
 impl ViewState {
-    /// Its name in answers to users.
+    /// Name of the state in responses to users.
     pub fn name(self) -> &'static str {
         match self {
             ViewState::Queued => "queued",
@@ -64,14 +66,14 @@
 }
 
 impl JobView {
-    /// The view of an accepted job of which nothing runs and nothing is done.
+    /// View of an accepted job without running or done tasks.
     pub(super) const QUEUED: JobView = JobView {
         state: ViewState::Queued,
         done: 0,
         running: 0,
     };
 
-    /// The view of a job of so many tasks that ended like this.
+    /// View of a job with this final outcome and this number of tasks.
     pub fn of_final(outcome: Outcome, tasks: u32) -> JobView {
         let (state, done) = match outcome {
             Outcome::Done => (ViewState::Done, tasks),
@@ -84,7 +86,7 @@
         }
     }
 
-    /// True if the state never changes any more.
+    /// True if the state is final: it never changes any more.
     pub fn is_final(&self) -> bool {
         matches!(self.state, ViewState::Done | ViewState::Cancelled)
     }
--- a/src/jobs/task_set.rs
+++ b/src/jobs/task_set.rs
@@ -1,41 +1,41 @@
-//! Compact sets of task numbers, kept as text in the key-value store.
+//! Compact sets of task numbers with a text encoding for the key-value store.
 //!
-//! A set is cut into chunks, one key each, so that no value is larger than the store allows. A chunk's text
-//! has either ranges of task numbers, as in `0-3,7`, or, where that is shorter, a bitmap: `x` and
-//! hexadecimal words, whose lowest bits stand for the lowest numbers.
+//! A set is split into chunks, one key each, so that no value exceeds the store's limit. The text of a chunk
+//! consists either of ranges of task numbers, as in `0-3,7`, or, where that is shorter, of a bitmap: `x` followed
+//! by hexadecimal words, whose lowest bits stand for the lowest numbers.
 
 use std::fmt::Write;
 use std::ops::Range;
 
-/// Tasks that a chunk covers: as hexadecimal text at most 2 KiB.
+/// Number of tasks that a chunk covers. Its bitmap takes at most 2 KiB as hexadecimal text.
 const CHUNK_TASKS: u32 = 8192;
-/// The first character of a chunk's text that is a bitmap.
+/// First character of the text of a chunk that is encoded as a bitmap.
 const BITMAP_MARK: char = 'x';
-/// Tasks that one word of a bitmap covers.
+/// Number of tasks that one word of a bitmap covers.
 const WORD_TASKS: u32 = u64::BITS;
-/// Hexadecimal digits of one word.
+/// Number of hexadecimal digits of one word of a bitmap.
 const WORD_DIGITS: usize = 16;
 
-/// A set of a job's task numbers, which are below the job's number of tasks.
+/// Set of task numbers of one job, all below the job's number of tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskSet {
     words: Vec<u64>,
-    /// The job's number of tasks.
+    /// Number of tasks of the job.
     size: u32,
-    /// How many tasks are in the set.
+    /// Number of tasks in the set.
     count: u32,
 }
 
-/// Why a stored chunk could not be read.
+/// Reason why the text of a stored chunk could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedChunk {
-    /// Something is neither a number nor a word of a bitmap.
-    #[error("malformed number")]
+    /// A part of the text is neither a task number nor a word of a bitmap.
+    #[error("malformed task number or bitmap word")]
     Number,
     /// A task is outside the chunk.
     #[error("task {task} is outside the chunk")]
     OutOfRange {
-        /// The task.
+        /// Number of the task.
         task: u32,
     },
 }
@@ -47,7 +47,7 @@
 }
 
 impl TaskSet {
-    /// An empty set for a job of so many tasks.
+    /// Creates an empty set for a job with `size` tasks.
     pub fn new(size: u32) -> Self {
         TaskSet {
             words: vec![0; size.div_ceil(WORD_TASKS) as usize],
@@ -62,7 +62,7 @@
         task < self.size && self.words[word as usize] >> bit & 1 == 1
     }
 
-    /// Adds a task. True if it was not in the set before; false also if the job has no such task.
+    /// Adds a task. False if it was in the set already or if the job has no such task.
     pub fn insert(&mut self, task: u32) -> bool {
         if task >= self.size || self.contains(task) {
             return false;
@@ -72,27 +72,27 @@
         true
     }
 
-    /// How many tasks are in the set.
+    /// Number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// True if no task is in the set.
+    /// True if the set contains no task.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// True if all of the job's tasks are in the set.
+    /// True if the set contains all tasks of the job.
     pub fn is_full(&self) -> bool {
         self.count == self.size
     }
 
-    /// The tasks in the set, in rising order.
+    /// Tasks in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.size).filter(|task| self.contains(*task))
     }
 
-    /// The number of chunks, at least 1.
+    /// Number of chunks of the set, at least 1.
     pub fn chunk_count(&self) -> u32 {
         self.size.div_ceil(CHUNK_TASKS).max(1)
     }
@@ -101,7 +101,7 @@
         chunk * CHUNK_TASKS..((chunk + 1) * CHUNK_TASKS).min(self.size)
     }
 
-    /// The tasks of one chunk as text: ranges or, if these were longer, a bitmap.
+    /// Encodes the tasks of one chunk as text: as ranges or, if these would be longer, as a bitmap.
     pub fn chunk_text(&self, chunk: u32) -> String {
         let range = self.chunk_range(chunk);
         let bitmap_len = 1 + (range.len().div_ceil(WORD_TASKS as usize)) * WORD_DIGITS;
@@ -129,9 +129,9 @@
         text
     }
 
-    /// The text of a chunk, if it has at most `max_len` bytes; else the text of what is `recorded` and of as
-    /// many more tasks as fit, or `None` if no more fit. What isn't recorded runs again after a failover; the
-    /// more tasks are done, the more of them grow together into ranges.
+    /// Encodes a chunk as text of at most `max_len` bytes. If the whole chunk is longer, the text contains the
+    /// `recorded` tasks and as many further tasks as fit; `None` if no further task fits. Done tasks that aren't
+    /// recorded run again after a failover. The more tasks are done, the more of them merge into ranges.
     pub fn fitting_text(&self, chunk: u32, recorded: &TaskSet, max_len: usize) -> Option<String> {
         let text = self.chunk_text(chunk);
         if text.len() <= max_len {
@@ -141,7 +141,7 @@
         let mut unrecorded: Vec<u32> = range
             .filter(|task| self.contains(*task) && !recorded.contains(*task))
             .collect();
-        // Halving finds nearly as much as fits, in few steps.
+        // Halving finds nearly the largest number of tasks that fits, in few steps.
         while unrecorded.len() > 1 {
             unrecorded.truncate(unrecorded.len() / 2);
             let mut part = recorded.clone();
@@ -156,12 +156,12 @@
         None
     }
 
-    /// Adds the tasks that a stored chunk holds.
+    /// Decodes the text of a stored chunk and adds its tasks.
     ///
     /// # Errors
     ///
-    /// [`MalformedChunk`] if the text has another form, or tasks outside the chunk. Some of its tasks may
-    /// have been added then.
+    /// [`MalformedChunk`] if the text can't be decoded or contains tasks outside the chunk. Some of its tasks may
+    /// have been added in that case.
     pub fn add_chunk(&mut self, chunk: u32, text: &str) -> Result<(), MalformedChunk> {
         let range = self.chunk_range(chunk);
         match text.strip_prefix(BITMAP_MARK) {
@@ -204,7 +204,7 @@
     }
 }
 
-/// Appends `first-last`, or `first` alone if there is but one task.
+/// Appends `first-last`, or `first` if the range has only one task.
 fn push_range(text: &mut String, first: u32, last: u32) {
     if !text.is_empty() {
         text.push(',');
--- a/src/jobs/transactions.rs
+++ b/src/jobs/transactions.rs
@@ -1,9 +1,9 @@
-//! How pending writes share transactions and tokens.
+//! Grouping of pending writes into transactions, and their share of the write budget.
 
 use super::PendingWrite;
 
-/// Packs writes into transactions of at most `max_changes` changes and `max_bytes` bytes of JSON. Their
-/// order stays, and each write stays whole.
+/// Packs writes into transactions of at most `max_changes` changes and `max_bytes` bytes of JSON. The order of the
+/// writes is kept, and no write is split.
 pub fn pack_transactions(
     writes: Vec<PendingWrite>,
     max_changes: usize,
@@ -29,8 +29,8 @@
     transactions
 }
 
-/// As many of the writes, in their order, as there are tokens for; each change takes one of the `tokens`.
-/// A write that is too large stops the others: else small ones would always go before it.
+/// Takes writes from the front as long as there are tokens for them; each change costs one of the `tokens`. A write
+/// that costs more than is left ends the selection, because otherwise smaller writes would always overtake it.
 pub fn take_affordable(writes: Vec<PendingWrite>, tokens: &mut usize) -> Vec<PendingWrite> {
     let mut taken = Vec::new();
     for write in writes {
--- a/src/jobs/wire.rs
+++ b/src/jobs/wire.rs
@@ -1,5 +1,5 @@
-//! Submissions as they stand on the wire and in the key-value store, and their one conversion to
-//! [`JobSpec`]. The interface's older words stand here, in serde names, and nowhere else.
+//! Format of submissions on the wire and in the key-value store, and their conversion to [`JobSpec`]. Names of the
+//! interface that differ from the names in the code appear only here, as serde names.
 
 use super::{JobKind, JobSpec, Priority};
 use crate::http::cbor::{DecodeError, Number, decode};
@@ -7,102 +7,102 @@
 use crate::time::{Micros, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// The largest number of tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// The prefix of all job ids.
+/// Prefix of all job ids.
 const ID_PREFIX: &str = "run-";
-/// The largest number of digits of a job id.
+/// Maximum number of digits of a job id.
 const MAX_ID_DIGITS: usize = 40;
-/// Amounts of resources and times in seconds up to this are accepted.
+/// Maximum value of the amounts in a submission: CPUs, GPUs, gigabytes and seconds.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// A submission: the body of a user's request, and the value of `jobs/<ref>`.
+/// Body of a user's request to submit a job, and value of the key `jobs/<ref>`.
 ///
-/// Fields are written in this order: the stored bytes depend on it.
+/// Fields are encoded in the order of their declaration, so the stored bytes depend on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submission {
-    /// The job's id (`run-` and digits).
+    /// Id of the job, assigned by the user (`run-` and digits).
     #[serde(rename = "ref")]
     pub id: String,
-    /// Jobs of one class are expected to run for similar times.
+    /// Class of the job. Jobs of one class are expected to have similar run times.
     #[serde(rename = "lane")]
     pub class: String,
-    /// Whose quota its tasks count against.
+    /// Team whose quota the job's tasks count against.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Whether it ends by itself.
+    /// Kind of the job: whether it ends by itself.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// How urgent it is.
+    /// Priority in the placement of tasks.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks, 1 to [`MAX_TASKS`].
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u64,
-    /// CPUs of one task.
+    /// Number of CPUs that one task needs.
     pub cpus: Number,
-    /// GPUs of one task.
+    /// Number of GPUs that one task needs.
     pub gpus: Number,
-    /// Memory of one task in gigabytes.
+    /// Memory that one task needs, in gigabytes.
     #[serde(rename = "ramGb")]
     pub ram_gb: Number,
-    /// The image that its tasks run.
+    /// Name of the image that the tasks run.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// The image's size in gigabytes.
+    /// Size of the image in gigabytes.
     #[serde(rename = "imageGb")]
     pub image_gb: Number,
-    /// Machine types on which its tasks may run; `None` allows all.
+    /// Machine types on which the tasks may run; `None` allows all.
     #[serde(rename = "builds", default)]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone in which its tasks may run, if it names one.
+    /// Zone in which the tasks must run; `None` allows all.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All of its tasks must run in one zone.
+    /// True if all tasks must run in the same zone, which can be any zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
-    /// Its tasks must be spread over zones.
+    /// True if the tasks must be spread over zones.
     pub spread: bool,
-    /// Its tasks may run on spot machines.
+    /// True if the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of a task's run time, in seconds.
+    /// User's estimate of the run time of one task, in seconds.
     #[serde(rename = "guessS")]
     pub estimate_s: Number,
-    /// Seconds between two checkpoints of a task; 0 if it makes none.
+    /// Seconds between two checkpoints of a task; 0 if the tasks make none.
     #[serde(rename = "bookmarkS")]
     pub checkpoint_interval_s: Number,
-    /// Seconds that one checkpoint takes.
+    /// Seconds needed to write one checkpoint.
     #[serde(rename = "stashS")]
     pub checkpoint_duration_s: Number,
-    /// Seconds from acceptance by which it should be done.
+    /// Seconds after acceptance within which the job should be done; `None` for no deadline.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<Number>,
-    /// When it was accepted, in microseconds since 1970 by the accepting controller's clock. Users don't
-    /// send it; only the stored record has it.
+    /// Time of acceptance in microseconds since 1970 by the accepting controller's clock. Requests of users don't
+    /// contain it; it is set in the stored record.
     #[serde(rename = "acceptedUs", default)]
     pub accepted_us: u64,
 }
 
-/// Why a body is not a submission. Users are told the text.
+/// Reason why the body of a request is not a valid submission. The text is part of the response to the user.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedSubmission {
-    /// The body has another form.
+    /// The body could not be decoded.
     #[error(transparent)]
     Body(#[from] DecodeError),
-    /// A field, here with its name on the wire, has a value that is not allowed.
+    /// The field with this name on the wire has a value that is not allowed.
     #[error("field `{0}`")]
     Field(&'static str),
 }
 
-/// Whether an id has the form that users give to jobs (`run-` and digits).
+/// True if the text is a valid job id: `run-` and 1 to [`MAX_ID_DIGITS`] digits.
 pub(super) fn is_job_id(id: &str) -> bool {
     id.strip_prefix(ID_PREFIX).is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// The job id in a body that is not a submission otherwise.
+/// Extracts the job id from a body that is not a valid submission; `None` if it contains no valid id.
 pub(super) fn job_id_of(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct OnlyId {
@@ -114,12 +114,11 @@
 }
 
 impl Submission {
-    /// Decodes and checks the body of a request.
+    /// Decodes and validates the body of a request.
     ///
     /// # Errors
     ///
-    /// [`MalformedSubmission`] with the first field whose value is not allowed, or with what is wrong with
-    /// the body's form.
+    /// [`MalformedSubmission`] with the decoding error, or with the first field whose value is not allowed.
     pub fn decode(body: &[u8]) -> Result<Submission, MalformedSubmission> {
         let submission: Submission = decode(body)?;
         submission.check()?;
@@ -149,7 +148,7 @@
         ]
     }
 
-    /// The job that it asks for.
+    /// Converts the submission to the specification of the job.
     pub fn spec(&self) -> JobSpec {
         JobSpec {
             id: self.id.clone(),
--- a/src/jobs/write_authority.rs
+++ b/src/jobs/write_authority.rs
@@ -1,14 +1,15 @@
-//! The term on whose behalf the record writer writes.
+//! The leader term in which the record writer sends its writes.
 
 use crate::leadership::LeaderLease;
 use crate::store::Precondition;
 
-/// A term in which this controller leads, and the precondition by which writes fail once it doesn't.
+/// Term in which this controller leads, with the precondition that makes writes fail once it no longer does.
 pub(super) struct WriteAuthority {
+    /// Number of the term.
     pub(super) term: u64,
-    /// The leader's lease in the store.
+    /// Id of the leader's lease in the store; keys that are attached to it are deleted when it ends.
     pub(super) lease_id: u64,
-    /// The precondition that this controller leads.
+    /// Precondition that holds while this controller leads in the term.
     pub(super) precondition: Precondition,
 }
 
