--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -1,7 +1,7 @@
-//! Cancellation of jobs.
+//! Handling of requests to cancel jobs.
 
 use super::messages::{known, retry_soon, unknown_job};
-use super::peers::PEER_TIME;
+use super::peers::PEER_TIMEOUT;
 use super::status::StatusLookup;
 use crate::controller::Controller;
 use crate::http::server::Response;
@@ -11,17 +11,18 @@
 use crate::peer::{PeerReply, PeerRequest};
 use crate::time::Micros;
 
-/// A cancellation is answered once it is recorded, or else refused after this.
-const CANCEL_TIME: Micros = Micros::from_millis(2000);
+/// Maximum time that a request to cancel waits for the record of the cancellation. The user is asked to retry after
+/// it.
+const CANCEL_TIMEOUT: Micros = Micros::from_millis(2000);
 
 impl Controller {
-    /// Answers a request to cancel a job: with its final state once that is recorded.
+    /// Handles a user's request to cancel a job. The response contains the final state once it is recorded.
     pub fn cancel(&self, id: &str) -> Response {
         if !is_job_id(id) {
             return unknown_job();
         }
         let reply = match self.cancel_as_leader(id) {
-            PeerReply::NotLeading => self.cancel_by_leader(id),
+            PeerReply::NotLeading => self.cancel_through_leader(id),
             reply => reply,
         };
         if let PeerReply::Job(view) = reply
@@ -30,7 +31,7 @@
             self.state().terminal_states.note(id, view);
             return known(id, view);
         }
-        // Without a leader nothing is cancelled, but what is over or was never accepted can be told.
+        // Without a leader no job can be cancelled, but jobs that ended or were never accepted can still be reported.
         match self.look_up(id) {
             StatusLookup::Job(view) if view.is_final() => known(id, view),
             StatusLookup::Absent => unknown_job(),
@@ -38,16 +39,17 @@
         }
     }
 
-    fn cancel_by_leader(&self, id: &str) -> PeerReply {
+    fn cancel_through_leader(&self, id: &str) -> PeerReply {
         let request = PeerRequest::Cancel { id: id.to_string() };
-        let timeout = (CANCEL_TIME + PEER_TIME).duration();
-        self.ask_leader(&request, timeout)
+        let timeout = (CANCEL_TIMEOUT + PEER_TIMEOUT).duration();
+        self.call_leader(&request, timeout)
             .unwrap_or(PeerReply::Busy)
     }
 
-    /// Cancels a job if this controller leads, and waits for the record for a bounded time.
+    /// Requests the cancellation of a job if this controller leads, and waits up to [`CANCEL_TIMEOUT`] for its
+    /// final state to be recorded.
     pub fn cancel_as_leader(&self, id: &str) -> PeerReply {
-        let deadline = self.now() + CANCEL_TIME;
+        let deadline = self.now() + CANCEL_TIMEOUT;
         let mut state = self.state();
         if let Some(view) = state.terminal_states.get(id) {
             return PeerReply::Job(view);
--- a/src/jobs/api/for_peers.rs
+++ b/src/jobs/api/for_peers.rs
@@ -1,13 +1,13 @@
-//! Answers to what peers ask on behalf of their users.
+//! Handlers of requests that peers send on behalf of their users.
 
-use super::peers::PEER_TIME;
+use super::peers::PEER_TIMEOUT;
 use super::submit::AcceptResult;
 use crate::controller::Controller;
 use crate::jobs::{LocalStatus, Submission};
 use crate::peer::PeerReply;
 
 impl Controller {
-    /// A peer asks this controller to accept a submission that it has checked.
+    /// Handles the request of a peer to accept a submission that the peer has checked.
     pub fn accept_for_peer(&self, body: &[u8]) -> PeerReply {
         let Ok(submission) = Submission::decode(body) else {
             return PeerReply::Busy;
@@ -22,12 +22,13 @@
         }
     }
 
-    /// A peer that the store refuses asks this controller to read a job's status.
+    /// Handles the request of a peer whose requests the store refuses or doesn't answer to read a
+    /// job's status.
     pub fn read_for_peer(&self, id: &str) -> PeerReply {
         if let LocalStatus::View(view) = self.local_status(id) {
             return PeerReply::Job(view);
         }
-        match self.stored_status(id, self.now() + PEER_TIME) {
+        match self.stored_status(id, self.now() + PEER_TIMEOUT) {
             Ok(Some(view)) => PeerReply::Job(view),
             Ok(None) => PeerReply::Absent,
             Err(_) => PeerReply::Busy,
--- a/src/jobs/api/health.rs
+++ b/src/jobs/api/health.rs
@@ -1,4 +1,4 @@
-//! `/up`: whether this controller can take requests of users.
+//! Health check `/up`: whether this controller can handle requests of users.
 
 use super::messages::retry_soon;
 use crate::controller::Controller;
@@ -8,19 +8,19 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a peer has to answer a probe.
-const PROBE_TIME: Duration = Duration::from_millis(150);
-/// Time between two probes.
+/// Maximum time that a probe waits for the peer's answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Without an answer of the store for this long, peers are probed.
-const STORE_SILENCE: Micros = Micros::from_secs(6);
+/// Time without an answer of the store after which peers are probed.
+const STORE_SILENCE_THRESHOLD: Micros = Micros::from_secs(6);
 
 impl Controller {
-    /// The answer to a health check: 200 if users' requests can be taken here, whether this controller
-    /// leads or not. It must know the machine types.
+    /// Handles a health check: 200 if this controller can handle requests of users, whether it leads or not. To do
+    /// so it must know the machine types.
     ///
-    /// Without the store and without any peer it can't tell a user anything. In an outage that all
-    /// controllers feel there are still peers, and it stays up.
+    /// A controller that reaches neither the store nor any peer can't answer users and is not healthy. In a store
+    /// outage that affects all controllers peers are still reachable, and the controller stays healthy.
     pub fn health_check(&self) -> Response {
         if self.catalog().is_none() || self.isolated.load(Ordering::Relaxed) {
             return retry_soon();
@@ -28,22 +28,24 @@
         Response::new(200, Vec::new())
     }
 
-    /// Probes peers while the store doesn't answer, for as long as the process lives, so that a health
-    /// check never has to wait for it.
+    /// Thread body of the peer probe: probes peers while the store doesn't answer, so that health checks never wait
+    /// for a probe. Never returns.
     pub fn peer_probe_loop(&self) {
         loop {
             self.os.sleep(PROBE_INTERVAL);
-            let isolated = !self.hears_store() && !self.peers.is_empty() && !self.hears_peer();
+            let isolated = !self.has_recent_store_answer()
+                && !self.peers.is_empty()
+                && !self.is_any_peer_reachable();
             self.isolated.store(isolated, Ordering::Relaxed);
         }
     }
 
-    fn hears_store(&self) -> bool {
-        self.now() - self.store.last_answered_at() < STORE_SILENCE
+    fn has_recent_store_answer(&self) -> bool {
+        self.now() - self.store.last_answered_at() < STORE_SILENCE_THRESHOLD
     }
 
-    fn hears_peer(&self) -> bool {
-        let answers = |peer: &PeerClient| peer.is_reachable(PROBE_TIME);
-        self.peers.values().any(answers)
+    fn is_any_peer_reachable(&self) -> bool {
+        let is_reachable = |peer: &PeerClient| peer.is_reachable(PROBE_TIMEOUT);
+        self.peers.values().any(is_reachable)
     }
 }
--- a/src/jobs/api/messages.rs
+++ b/src/jobs/api/messages.rs
@@ -1,14 +1,15 @@
-//! The bodies of answers to users.
+//! Responses to users and their bodies.
 
 use crate::http::cbor::encode;
 use crate::http::server::Response;
 use crate::jobs::{JobView, ViewState};
 use serde::Serialize;
 
-/// When a user who was refused should come back, in seconds.
-const RETRY_S: u32 = 1;
-/// The same, while the service holds as many jobs as it can: some must get done first.
-const FULL_RETRY_S: u32 = 5;
+/// Seconds after which a user should repeat a request that could not be decided.
+const RETRY_AFTER_S: u32 = 1;
+/// Seconds after which a user should repeat a submission that was refused because the memory for jobs is full. It is
+/// longer because some jobs must end first.
+const FULL_RETRY_AFTER_S: u32 = 5;
 
 #[derive(Serialize)]
 struct JobAnswer<'a> {
@@ -26,12 +27,12 @@
     error: String,
 }
 
-/// 201: the job was accepted by this request.
+/// Response 201: the job was accepted by this request.
 pub(super) fn accepted(id: &str) -> Response {
     job_state(201, id, ViewState::Queued)
 }
 
-/// 200 with the job's state: it was known before, or is over.
+/// Response 200 with the state of a job that was known before or has ended.
 pub(super) fn known(id: &str, view: JobView) -> Response {
     job_state(200, id, view.state)
 }
@@ -46,7 +47,7 @@
     Response::new(status, encode(&answer))
 }
 
-/// 200 with the job's state and its counts of tasks.
+/// Response 200 with the state of a job and its numbers of done and running tasks.
 pub(super) fn job_status(id: &str, view: JobView) -> Response {
     let answer = JobAnswer {
         id,
@@ -57,22 +58,22 @@
     Response::new(200, encode(&answer))
 }
 
-/// 404: no such job was ever accepted.
+/// Response 404: no such job was ever accepted.
 pub(super) fn unknown_job() -> Response {
     Response::new(404, Vec::new())
 }
 
-/// A refusal for good, with its reason.
+/// Response with this status and reason to a request that will never succeed.
 pub(super) fn refused(status: u16, reason: String) -> Response {
     Response::new(status, encode(&ErrorAnswer { error: reason }))
 }
 
-/// It can't be decided now: the user should try again soon.
+/// Response to a request that can't be decided now: the user should repeat it after [`RETRY_AFTER_S`].
 pub(super) fn retry_soon() -> Response {
-    Response::busy(RETRY_S)
+    Response::busy(RETRY_AFTER_S)
 }
 
-/// No more jobs are accepted until some are over.
+/// Response to a submission while no more jobs are accepted: the user should repeat it after [`FULL_RETRY_AFTER_S`].
 pub(super) fn retry_when_not_full() -> Response {
-    Response::busy(FULL_RETRY_S)
+    Response::busy(FULL_RETRY_AFTER_S)
 }
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -1,5 +1,5 @@
-//! The handlers of users' requests (submit, status, cancel), of health checks, and of what peers ask on
-//! behalf of their users.
+//! Handlers of user requests (submit, status, cancel), of health checks, and of requests that peers send on behalf of
+//! their users.
 
 mod cancel;
 mod for_peers;
--- a/src/jobs/api/peers.rs
+++ b/src/jobs/api/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to peers on behalf of users.
+//! Requests to peers on behalf of users.
 
 use crate::controller::Controller;
 use crate::os::time_left;
@@ -6,31 +6,40 @@
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-/// How long a peer has to answer a question.
-pub(super) const PEER_TIME: Micros = Micros::from_millis(500);
+/// Maximum time that a request to a peer waits for the answer.
+pub(super) const PEER_TIMEOUT: Micros = Micros::from_millis(500);
 
 impl Controller {
-    /// Asks the other controllers in turn until one can tell, beginning with a random one: if the first
-    /// were always the same, a dead one would cost every question its time.
-    pub(super) fn ask_any(&self, request: &PeerRequest, deadline: Moment) -> Option<PeerReply> {
+    /// Calls the other controllers one after the other until one gives an answer other than [`PeerReply::Busy`].
+    /// The first one is chosen at random: if it were always the same, every request would wait for its timeout
+    /// while that controller is down.
+    pub(super) fn call_any_peer(
+        &self,
+        request: &PeerRequest,
+        deadline: Moment,
+    ) -> Option<PeerReply> {
         let peers: Vec<&PeerClient> = self.peers.values().collect();
         let first = fastrand::usize(0..peers.len().max(1));
         (0..peers.len())
             .map(|i| peers[(first + i) % peers.len()])
             .filter_map(|peer| {
                 let left = time_left(&*self.os, deadline)?;
-                peer.call(request, PEER_TIME.duration().min(left)).ok()
+                peer.call(request, PEER_TIMEOUT.duration().min(left)).ok()
             })
             .find(|reply| !matches!(reply, PeerReply::Busy))
     }
 
-    /// Asks the leader, if it is known and another controller.
-    pub(super) fn ask_leader(&self, request: &PeerRequest, timeout: Duration) -> Option<PeerReply> {
+    /// Calls the leader, if it is known and is another controller.
+    pub(super) fn call_leader(
+        &self,
+        request: &PeerRequest,
+        timeout: Duration,
+    ) -> Option<PeerReply> {
         let leader = self.state().known_leader.as_ref()?.node.clone();
         match self.peers.get(&leader)?.call(request, timeout) {
             Ok(reply) => Some(reply),
             Err(error) => {
-                log::debug!(node = leader, error:%; "leader not reached");
+                log::debug!(node = leader, error:%; "call to leader failed");
                 None
             }
         }
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -1,7 +1,7 @@
-//! What a job's status is: known here, told by the leader, or read from the key-value store.
+//! Lookup of a job's status in memory, at the leader, and in the key-value store.
 
 use super::messages::{job_status, retry_soon, unknown_job};
-use super::peers::PEER_TIME;
+use super::peers::PEER_TIMEOUT;
 use crate::controller::{Controller, ControllerState};
 use crate::http::server::Response;
 use crate::jobs::records::{done_key, final_key, job_key};
@@ -13,27 +13,30 @@
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-/// Users wait two seconds for a status: what can't be found out by then is said to be unknown.
-pub(super) const LOOKUP_TIME: Micros = Micros::from_millis(1600);
-/// How long users' questions about a job wait while its final state is being recorded: the answer
-/// mostly comes within this, and there is time left to read the record.
-const FINAL_WRITE_TIME: Micros = Micros::from_millis(300);
-/// Reads for users are given up sooner than others, so that a peer can still be asked.
-const READ_TIME: Duration = Duration::from_millis(700);
+/// Maximum time of a status lookup. Users wait two seconds for a status; if it can't be determined in time, they are
+/// asked to retry.
+pub(super) const LOOKUP_TIMEOUT: Micros = Micros::from_millis(1600);
+/// Maximum time that a status lookup waits while the write of the job's final state is in flight. The store mostly
+/// answers within it, and there is time left to read the record.
+const FINAL_WRITE_TIMEOUT: Micros = Micros::from_millis(300);
+/// Timeout of a read from the store on behalf of a user. It is shorter than that of other reads, so that there is
+/// time left to call a peer.
+const USER_READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What could be found out about a job.
+/// Result of a status lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusLookup {
-    /// The job's status.
+    /// Status of the job.
     Job(JobView),
-    /// Surely never accepted up to now.
+    /// The job is known not to have been accepted up to now.
     Absent,
-    /// Nobody who knows could be reached.
-    Undecided,
+    /// Neither the store nor any controller that knows the status could be reached.
+    Undetermined,
 }
 
 impl Controller {
-    /// The answer to a status question, if this controller knows it without asking anybody.
+    /// Handles a status request without calling peers or the store; `None` if this controller can't answer it by
+    /// itself.
     pub fn known_status(&self, id: &str) -> Option<Response> {
         if !is_job_id(id) {
             return Some(unknown_job());
@@ -44,16 +47,16 @@
         }
     }
 
-    /// Answers a status question, for which it may ask peers and the store.
+    /// Handles a status request; may call peers and the store.
     pub fn status(&self, id: &str) -> Response {
         match self.look_up(id) {
             StatusLookup::Job(view) => job_status(id, view),
             StatusLookup::Absent => unknown_job(),
-            StatusLookup::Undecided => retry_soon(),
+            StatusLookup::Undetermined => retry_soon(),
         }
     }
 
-    /// What this controller can say of a job by itself.
+    /// Status of a job as known to this controller without calling peers or the store.
     pub(super) fn local_status(&self, id: &str) -> LocalStatus {
         self.local_status_in(&mut self.state(), id)
     }
@@ -67,9 +70,10 @@
         }
     }
 
-    /// What this controller can say of a job by itself, after a wait for a final write that is in flight.
+    /// Status as returned by [`Controller::local_status`], after waiting up to [`FINAL_WRITE_TIMEOUT`] for a final
+    /// write that is in flight.
     fn local_status_after_final_write(&self, id: &str) -> LocalStatus {
-        let deadline = self.now() + FINAL_WRITE_TIME;
+        let deadline = self.now() + FINAL_WRITE_TIMEOUT;
         loop {
             let mut state = self.state();
             let status = self.local_status_in(&mut state, id);
@@ -82,8 +86,8 @@
         }
     }
 
-    /// Finds out about a job. What took a while to find out may be older than what this controller has
-    /// learned meanwhile, so terminal states are looked at last.
+    /// Looks up the status of a job. The lookup takes time, and this controller may learn a newer status meanwhile,
+    /// so the cache of terminal states is checked last.
     pub(super) fn look_up(&self, id: &str) -> StatusLookup {
         let found = self.find_status(id);
         let mut state = self.state();
@@ -94,34 +98,37 @@
         terminal.map_or(found, StatusLookup::Job)
     }
 
-    /// Asks whoever may know, the nearest first.
+    /// Queries the sources of a job's status in this order: this controller, the leader, the store, and any other
+    /// controller.
     fn find_status(&self, id: &str) -> StatusLookup {
-        let deadline = self.now() + LOOKUP_TIME;
+        let deadline = self.now() + LOOKUP_TIMEOUT;
         if let LocalStatus::View(view) = self.local_status_after_final_write(id) {
             return StatusLookup::Job(view);
         }
         let request = PeerRequest::Status { id: id.to_string() };
-        if let Some(PeerReply::Job(view)) = self.ask_leader(&request, PEER_TIME.duration()) {
+        if let Some(PeerReply::Job(view)) = self.call_leader(&request, PEER_TIMEOUT.duration()) {
             return StatusLookup::Job(view);
         }
         if self.store.is_answering(self.now()) {
             match self.stored_status(id, deadline) {
                 Ok(Some(view)) => return StatusLookup::Job(view),
                 Ok(None) => return StatusLookup::Absent,
-                Err(error) => log::debug!(job = id, error:%; "status not read"),
+                Err(error) => {
+                    log::debug!(job = id, error:%; "failed to read job status from store")
+                }
             }
         }
         let request = PeerRequest::Read { id: id.to_string() };
-        match self.ask_any(&request, deadline) {
+        match self.call_any_peer(&request, deadline) {
             Some(PeerReply::Job(view)) => StatusLookup::Job(view),
             Some(PeerReply::Absent) => StatusLookup::Absent,
-            _ => StatusLookup::Undecided,
+            _ => StatusLookup::Undetermined,
         }
     }
 
-    /// What the store knows; `None` if it has no record of the job. The order of the reads matters: a
-    /// job's record is deleted in the same transaction that writes its final one, so whoever misses the
-    /// first finds the second.
+    /// Reads the status of a job from the store; `None` if it has no record of the job. The order of the reads
+    /// matters: the key `jobs/<ref>` is deleted in the same transaction that writes `final/<ref>`, so a reader that
+    /// doesn't find the first key finds the second.
     pub(super) fn stored_status(
         &self,
         id: &str,
@@ -146,7 +153,7 @@
         Ok(Some(JobView::of_final(record.state, record.tasks)))
     }
 
-    /// The final state in a job's done set, if it has one.
+    /// Reads the final state in chunk 0 of a job's done set, if it has one.
     fn stored_outcome(&self, id: &str, deadline: Moment) -> Result<Option<Outcome>, StoreError> {
         let Some(row) = self.read_for_user(&done_key(id, 0), deadline)? else {
             return Ok(None);
@@ -163,6 +170,6 @@
             });
         };
         self.store
-            .get_within(key, StorePriority::Normal, READ_TIME.min(left))
+            .get_within(key, StorePriority::Normal, USER_READ_TIMEOUT.min(left))
     }
 }
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -1,7 +1,7 @@
-//! Submission of jobs.
+//! Handling of requests to submit jobs.
 
 use super::messages::{accepted, known, refused, retry_soon, retry_when_not_full};
-use super::status::{LOOKUP_TIME, StatusLookup};
+use super::status::{LOOKUP_TIMEOUT, StatusLookup};
 use crate::controller::{Controller, ControllerState};
 use crate::http::cbor::{encode, json_len};
 use crate::http::server::Response;
@@ -14,7 +14,7 @@
 use crate::store::{Change, Precondition, StorePriority, TransactionOutcome, to_value};
 use crate::time::WallTime;
 
-/// Why a submission is refused for good. Users are told the text.
+/// Reason why a submission will never be accepted. The text is part of the response to the user.
 #[derive(Debug, thiserror::Error)]
 enum Refusal {
     #[error("malformed: {0}")]
@@ -32,20 +32,20 @@
     }
 }
 
-/// What became of recording a submission.
+/// Result of an attempt to record a submission in the store.
 pub(super) enum AcceptResult {
-    /// It is recorded, by this request.
+    /// The job was recorded by this request.
     Accepted,
     /// The job was accepted before.
     Known(JobView),
-    /// It is not recorded, as far as this controller knows.
+    /// The job is not recorded, as far as this controller knows.
     NotRecorded,
-    /// It is not recorded: the leader holds as many jobs as it can.
+    /// The job is not recorded because the leader has no memory for more jobs.
     Full,
 }
 
 impl Controller {
-    /// Answers a submission: 201 once the job is recorded, and 200 if it was accepted before.
+    /// Handles a submission. The response is 201 once the job is recorded, and 200 if it was accepted before.
     pub fn submit(&self, body: &[u8]) -> Response {
         let submission = match Submission::decode(body) {
             Ok(submission) => submission,
@@ -71,7 +71,8 @@
         self.accept(submission)
     }
 
-    /// A job that can't be accepted here and now is told if it was accepted before.
+    /// Response to a submission that can't be accepted by this controller now: the job's state if it was accepted
+    /// before, else a request to retry.
     fn known_or_retry(&self, id: &str) -> Response {
         match self.look_up(id) {
             StatusLookup::Job(view) => known(id, view),
@@ -79,27 +80,29 @@
         }
     }
 
-    /// A standing job is recorded once all controllers know what it is.
+    /// True if the submission may be recorded. Standing jobs may be recorded only once all controllers support them.
     pub(super) fn may_record(&self, submission: &Submission) -> bool {
         submission.kind == JobKind::Array || self.feature_level().has_standing_jobs()
     }
 
-    /// The id of an accepted job never gets a refusal, whatever body comes again.
+    /// Refuses a submission, unless its id is that of an accepted job: then the response is the job's state,
+    /// whatever body was submitted.
     fn refuse(&self, id: Option<&str>, refusal: Refusal) -> Response {
         let found = id.map_or(StatusLookup::Absent, |id| self.look_up(id));
         match (found, id) {
             (StatusLookup::Job(view), Some(id)) => known(id, view),
-            (StatusLookup::Undecided, _) => retry_soon(),
+            (StatusLookup::Undetermined, _) => retry_soon(),
             _ => refused(refusal.http_status(), refusal.to_string()),
         }
     }
 
-    /// Records the job; it is accepted once that is answered. Where this controller can't write, for want
-    /// of tokens or because the store refuses it alone, another one may. It is asked first while the store
-    /// is silent here, since waiting for the store takes longer than users want to.
+    /// Records the job, which is accepted once the store confirms the write. If this controller can't write,
+    /// because it has no tokens left or because the store rejects only its requests, a peer may be able to. Peers
+    /// are called first while the store doesn't answer this controller, since waiting for the store would take
+    /// longer than users wait.
     fn accept(&self, submission: Submission) -> Response {
-        let silent = !self.store.is_answering(self.now());
-        if silent && let Some(response) = self.accept_by_peer(&submission) {
+        let is_store_unresponsive = !self.store.is_answering(self.now());
+        if is_store_unresponsive && let Some(response) = self.accept_by_peer(&submission) {
             return response;
         }
         let id = &submission.id;
@@ -107,7 +110,7 @@
             AcceptResult::Accepted => accepted(id),
             AcceptResult::Known(view) => known(id, view),
             AcceptResult::Full => retry_when_not_full(),
-            AcceptResult::NotRecorded if silent => retry_soon(),
+            AcceptResult::NotRecorded if is_store_unresponsive => retry_soon(),
             AcceptResult::NotRecorded => {
                 self.accept_by_peer(&submission).unwrap_or_else(retry_soon)
             }
@@ -118,14 +121,14 @@
         let id = &submission.id;
         let body = encode(submission);
         let request = PeerRequest::Accept { body };
-        match self.ask_any(&request, self.now() + LOOKUP_TIME) {
+        match self.call_any_peer(&request, self.now() + LOOKUP_TIMEOUT) {
             Some(PeerReply::Accepted) => Some(accepted(id)),
             Some(PeerReply::Job(view)) => Some(known(id, view)),
             _ => None,
         }
     }
 
-    /// Writes the job's record, with the time of its acceptance.
+    /// Writes the job's record with the time of acceptance.
     pub(super) fn record(&self, mut submission: Submission) -> AcceptResult {
         if !self.take_submit_token() {
             return AcceptResult::NotRecorded;
@@ -169,7 +172,8 @@
         tokens.unwrap_or_else(|e| e.into_inner()).take(1.0, now)
     }
 
-    /// The preconditions of an acceptance: the job is neither accepted nor over, and the leader isn't full.
+    /// Preconditions of an acceptance: the job is neither accepted nor retired, and the leader has memory for more
+    /// jobs.
     fn acceptance_preconditions(&self, submission: &Submission) -> Vec<Precondition> {
         let mut preconditions = vec![
             Precondition::new(job_key(&submission.id), 0),
@@ -177,13 +181,14 @@
             Precondition::new(FULL_KEY, 0),
         ];
         if submission.kind == JobKind::Standing {
-            // What was known when this process looked may have been taken back since.
+            // The feature level may have been lowered since this process read it.
             preconditions.push(self.feature_level().precondition());
         }
         preconditions
     }
 
-    /// Adds a job that this controller recorded, if it leads as it did before (`term`).
+    /// Adds a job that this controller recorded to the scheduler state, if it still leads in the term in which it
+    /// sent the record (`term`).
     fn add_accepted_job(
         &self,
         submission: &Submission,
@@ -193,8 +198,9 @@
     ) {
         let mut state = self.state();
         let now = self.now();
-        // Under another term by now, as after standing still, the job may be over and retired by
-        // another leader: what was read when the term began tells.
+        // If the term has changed meanwhile, for example while this process was suspended, another leader may have
+        // ended and retired the job. In that case the records that were read at the beginning of the new term
+        // decide.
         if state.terminal_states.get(&submission.id).is_none()
             && leading_term(&state) == term
             && let Some((_, scheduler)) = state.acting_leader(now)
