--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -24,7 +24,7 @@
         let team = self.config.teams.iter().position(|t| t.name == spec.team);
         let age = wall.0.saturating_sub(spec.accepted_at.0);
         let accepted_at = Moment(now.0.saturating_sub(age));
-        let start_watermark = self.earlier_start_watermark(&spec, revision);
+        let start_watermark = self.prior_term_start_watermark(&spec, revision);
         let mut job = Job::new(spec, team, revision, accepted_at, start_watermark);
         if self.prior_term.released {
             job.end_reconciliation();
@@ -34,7 +34,7 @@
     }
 
     /// Start watermark from earlier terms: tasks of the job numbered below it may have started.
-    fn earlier_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
+    fn prior_term_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
         let dropped_by_older_version =
             spec.is_standing() && revision <= self.prior_term.older_version_led_at;
         if self.prior_term.watermarks_lost || dropped_by_older_version {
--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -11,8 +11,8 @@
 use crate::peer::{PeerReply, PeerRequest};
 use crate::time::Micros;
 
-/// Maximum time that a request to cancel waits for the record of the cancellation. The user is asked to retry after
-/// it.
+/// Maximum time that a request to cancel waits for the record of the cancellation. Once it has passed, the user is
+/// asked to retry.
 const CANCEL_TIMEOUT: Micros = Micros::from_millis(2000);
 
 impl Controller {
--- a/src/jobs/api/for_peers.rs
+++ b/src/jobs/api/for_peers.rs
@@ -7,7 +7,7 @@
 use crate::peer::PeerReply;
 
 impl Controller {
-    /// Handles the request of a peer to accept a submission that the peer has checked.
+    /// Accepts a submission on behalf of a peer that has checked it.
     pub fn accept_for_peer(&self, body: &[u8]) -> PeerReply {
         let Ok(submission) = Submission::decode(body) else {
             return PeerReply::Busy;
@@ -22,8 +22,7 @@
         }
     }
 
-    /// Handles the request of a peer whose requests the store refuses or doesn't answer to read a
-    /// job's status.
+    /// Reads a job's status on behalf of a peer whose requests the store refuses or doesn't answer.
     pub fn read_for_peer(&self, id: &str) -> PeerReply {
         if let LocalStatus::View(view) = self.local_status(id) {
             return PeerReply::Job(view);
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -97,9 +97,9 @@
     }
 
     /// Records the job, which is accepted once the store confirms the write. If this controller can't write,
-    /// because it has no tokens left or because the store rejects only its requests, a peer may be able to. Peers
-    /// are called first while the store doesn't answer this controller, since waiting for the store would take
-    /// longer than users wait.
+    /// because it has no tokens left or because the store rejects the requests of this controller alone, a peer may
+    /// be able to. Peers are called first while the store doesn't answer this controller, since waiting for the
+    /// store would take longer than users wait.
     fn accept(&self, submission: Submission) -> Response {
         let is_store_unresponsive = !self.store.is_answering(self.now());
         if is_store_unresponsive && let Some(response) = self.accept_by_peer(&submission) {
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -6,19 +6,14 @@
 impl Controller {
     /// Applies writes that were committed at this revision to the state of the term in which they were sent, and
     /// wakes the threads that wait for a change.
-    pub(super) fn note_written(&self, term: u64, writes: &[PendingWrite], revision: u64) {
+    pub(super) fn note_committed(&self, term: u64, writes: &[PendingWrite], revision: u64) {
         self.with_state_of(term, |state| {
-            self.apply_written_records(state, writes, revision);
+            self.apply_committed(state, writes, revision);
         });
         self.state_changed.notify_all();
     }
 
-    fn apply_written_records(
-        &self,
-        state: &mut ControllerState,
-        writes: &[PendingWrite],
-        revision: u64,
-    ) {
+    fn apply_committed(&self, state: &mut ControllerState, writes: &[PendingWrite], revision: u64) {
         let Some(scheduler) = &mut state.scheduler else {
             return;
         };
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -52,7 +52,7 @@
     pub unreconciled_below: u32,
     /// Tasks numbered below this may start: this start watermark is recorded in the store.
     pub start_watermark: u32,
-    /// Start watermark that the next placed tasks need; 0 if none is requested.
+    /// Start watermark that the newly bound tasks need; 0 if no new one is needed.
     pub requested_watermark: u32,
     /// Tasks that this leader knows to be done, whether recorded or not.
     pub done: TaskSet,
--- a/src/jobs/pending_writes.rs
+++ b/src/jobs/pending_writes.rs
@@ -62,8 +62,8 @@
         };
         PendingWrite {
             kind: PendingWriteKind::FinalState(id, outcome),
-            // The revision prevents that both done and cancelled are recorded, even if an earlier transaction of this
-            // leader whose outcome is unknown is applied late.
+            // The precondition on the revision ensures that done and cancelled are never both recorded, even if an
+            // earlier transaction of this leader whose outcome is unknown is applied late.
             preconditions: vec![Precondition::new(key.clone(), job.revisions[0])],
             changes: vec![Change::write(key, to_value(&record))],
         }
--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -242,7 +242,7 @@
         let controller = self.controller;
         match result {
             Ok(TransactionOutcome::Committed { revision }) => {
-                controller.note_written(authority.term, writes, revision);
+                controller.note_committed(authority.term, writes, revision);
                 Ok(())
             }
             Ok(TransactionOutcome::Conflict { failed })
--- a/src/jobs/wire.rs
+++ b/src/jobs/wire.rs
@@ -1,5 +1,5 @@
-//! Format of submissions on the wire and in the key-value store, and their conversion to [`JobSpec`]. Names of the
-//! interface that differ from the names in the code appear only here, as serde names.
+//! Format of submissions on the wire and in the key-value store, and their only conversion to [`JobSpec`]. The
+//! interface's older field names appear only here, as serde names.
 
 use super::{JobKind, JobSpec, Priority};
 use crate::http::cbor::{DecodeError, Number, decode};
