--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -15,7 +15,7 @@
     /// Status of a job in this leader's memory. `id` is the id that the user gave the job.
     pub fn job_status(&self, id: &str) -> LocalStatus {
         let (Some(job_id), Some(job)) = (self.jobs.find(id), self.jobs.get(id)) else {
-            return LocalStatus::Nothing;
+            return LocalStatus::Unknown;
         };
         if let Some(outcome) = job.outcome {
             return LocalStatus::View(JobView::of_final(outcome, job.spec.tasks));
