--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -121,11 +121,11 @@
 pub const DRIFT: f64 = 0.001;
 
 /// What `span` measured on another machine lasts at most on this one.
-pub fn at_most(span: Micros) -> Micros {
+pub fn max_with_drift(span: Micros) -> Micros {
     span.scaled(1.0 + DRIFT)
 }
 
 /// What `span` measured on another machine lasts at least on this one.
-pub fn at_least(span: Micros) -> Micros {
+pub fn min_with_drift(span: Micros) -> Micros {
     span.scaled(1.0 - DRIFT)
 }
--- a/src/leadership/leader_lease.rs
+++ b/src/leadership/leader_lease.rs
@@ -3,7 +3,7 @@
 use super::leader_record::LEADER_KEY;
 use super::term_counter::TermCounter;
 use crate::store::Precondition;
-use crate::time::{Micros, Moment, at_least};
+use crate::time::{Micros, Moment, min_with_drift};
 
 /// The lease is given up this long before it could have expired: for the time between a look at the clock and
 /// the action that relies on it.
@@ -39,5 +39,5 @@
 /// Until when a lease of this duration surely lives if its grant or renewal was requested at `requested_at`: the
 /// clocks of store and controller may drift apart.
 pub fn lease_valid_until(requested_at: Moment, duration: Micros) -> Moment {
-    requested_at + at_least(duration).saturating_sub(EXPIRY_MARGIN)
+    requested_at + min_with_drift(duration).saturating_sub(EXPIRY_MARGIN)
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::jobs::JobTable;
 use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
-use crate::time::{Micros, Moment, WallTime, at_most};
+use crate::time::{Micros, Moment, WallTime, max_with_drift};
 use crate::workers::fencing::Fencing;
 use crate::workers::{CommandQueue, Machine};
 use aspenreel_link_health::permissions::Permissions;
@@ -98,7 +98,7 @@
 
     /// After this long without a reply a worker's agent epoch is surely over.
     pub fn lease_span(&self) -> Micros {
-        at_most(self.config.worker_lease) + LEASE_MARGIN
+        max_with_drift(self.config.worker_lease) + LEASE_MARGIN
     }
 
     /// The time of day, as far as this clock tells it.
--- a/src/settings/leader_lease.rs
+++ b/src/settings/leader_lease.rs
@@ -1,7 +1,7 @@
 //! The length of the leader's lease.
 
 use super::{Settings, SettingsError};
-use crate::time::{Micros, at_least, at_most};
+use crate::time::{Micros, max_with_drift, min_with_drift};
 
 /// Added to the times of a cancellation: timers, and the ways of the last reply and of the last command.
 const CANCEL_MARGIN: Micros = Micros::from_millis(1000);
@@ -27,7 +27,7 @@
     pub fn leader_lease(&self, asked: Option<Micros>) -> Result<Micros, SettingsError> {
         let workers = &self.settings.workers;
         let cancel = Micros::from_secs_f64(workers.cancel_s);
-        let most = cancel.saturating_sub(at_most(workers.lease()) + CANCEL_MARGIN);
+        let most = cancel.saturating_sub(max_with_drift(workers.lease()) + CANCEL_MARGIN);
         if most < MIN_LEADER_LEASE {
             return Err(self.worker_lease_too_long(cancel));
         }
@@ -51,7 +51,7 @@
     fn worker_lease_too_long(&self, cancel: Micros) -> SettingsError {
         let workers = &self.settings.workers;
         let left = cancel.saturating_sub(CANCEL_MARGIN + MIN_LEADER_LEASE);
-        let most = (at_least(left).as_secs_f64() * 1000.0).floor() / 1000.0;
+        let most = (min_with_drift(left).as_secs_f64() * 1000.0).floor() / 1000.0;
         SettingsError::field(
             "settings.workers.lease_s",
             format!(
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -5,7 +5,7 @@
 use super::{DeliveryStatus, FencingToken};
 use crate::invariants::{self, Invariant};
 use crate::scheduler::{LEASE_MARGIN, SchedulerState};
-use crate::time::{Micros, Moment, at_least};
+use crate::time::{Micros, Moment, min_with_drift};
 
 impl SchedulerState {
     /// The fencing token that goes with replies and commands to this machine.
@@ -114,7 +114,8 @@
     /// How long an unconfirmed start may wait for a higher token once its job's cancellation was requested:
     /// a full lease must still fit into the time for the cancellation.
     fn revocation_time(&self) -> Micros {
-        at_least(self.config.cancellation_bound).saturating_sub(self.lease_span() + LEASE_MARGIN)
+        min_with_drift(self.config.cancellation_bound)
+            .saturating_sub(self.lease_span() + LEASE_MARGIN)
     }
 
     /// True if the machine has an unconfirmed start, of an attempt that no report showed, whose job's
