--- a/crates/link-health/src/election.rs
+++ b/crates/link-health/src/election.rs
@@ -1,41 +1,42 @@
-//! How long a candidate waits before it campaigns for leadership.
+//! The delay before a candidate campaigns for leadership.
 //!
-//! Well-connected candidates campaign first. Every delay is bounded, so the last controller that is left
-//! campaigns as well: a preference never leaves the cluster without a leader.
+//! Well-connected candidates campaign first. Every delay is bounded, so a controller campaigns even if it is the
+//! only one left: a preference for other candidates never leaves the cluster without a leader.
 
 use crate::handover::HandoverRecord;
 use crate::link::NodeName;
 use crate::monitor::LinkState;
 use aspenreel_time::Micros;
 
-/// The delay of a candidate of which nothing is known, good or bad.
+/// The delay of a candidate if nothing is known about its links or a preference.
 const DEFAULT_DELAY: Micros = Micros::from_millis(500);
-/// The delay of a candidate that the last leader preferred, or in whose zone that leader's silent workers are.
+/// The delay of a candidate that the last leader preferred, or that is in the zone of that leader's silent workers.
 const PREFERRED_DELAY: Micros = Micros::from_millis(30);
-/// Added for others while a candidate is preferred: longer than its election takes.
-const PREFERENCE_HEADSTART: Micros = Micros::from_millis(1200);
-/// Added for a candidate whose writes failed lately.
-const POOR_LINK_DELAY: Micros = Micros::from_millis(800);
-/// No candidate waits longer than this.
+/// Extra delay of the other candidates if one is preferred. Longer than the election of the preferred one takes.
+const NOT_PREFERRED_EXTRA_DELAY: Micros = Micros::from_millis(1200);
+/// Extra delay of a candidate whose writes to the key-value store failed recently.
+const FAILING_WRITES_EXTRA_DELAY: Micros = Micros::from_millis(800);
+/// Upper bound of every campaign delay.
 pub const MAX_CAMPAIGN_DELAY: Micros = Micros::from_millis(2500);
 
-/// What a candidate knows before an election.
+/// The inputs of a candidate's campaign delay.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The candidate's name.
     pub name: &'a NodeName,
-    /// The number of workers whose heartbeats it has refused lately: they look for a leader that they reach.
+    /// Number of workers whose heartbeats the candidate has refused recently. These workers can't reach the last
+    /// leader, and can reach the candidate.
     pub refused_workers: u32,
-    /// Whether the last leader's silent workers are in this candidate's zone.
+    /// Whether the silent workers of the last leader are in the candidate's zone.
     pub in_silent_zone: bool,
-    /// Its link for writes to the key-value store.
+    /// State of the candidate's link for writes to the key-value store.
     pub state_writes: LinkState,
-    /// The handover that ended the last term, if one did.
+    /// The handover that ended the last term, if the term ended with a handover.
     pub handover: Option<&'a HandoverRecord>,
 }
 
 impl Candidate<'_> {
-    /// How long it waits, at most [`MAX_CAMPAIGN_DELAY`].
+    /// Time to wait before campaigning, at most [`MAX_CAMPAIGN_DELAY`].
     pub fn campaign_delay(&self) -> Micros {
         let mut delay = Micros(DEFAULT_DELAY.0 / (1 + u64::from(self.refused_workers)));
         if self.in_silent_zone {
@@ -43,11 +44,11 @@
         }
         match self.handover {
             Some(record) if record.preferred == *self.name => delay = PREFERRED_DELAY,
-            Some(_) => delay = delay + PREFERENCE_HEADSTART,
+            Some(_) => delay = delay + NOT_PREFERRED_EXTRA_DELAY,
             None => {}
         }
         if matches!(self.state_writes, LinkState::Suspect | LinkState::Down) {
-            delay = delay + POOR_LINK_DELAY;
+            delay = delay + FAILING_WRITES_EXTRA_DELAY;
         }
         delay.min(MAX_CAMPAIGN_DELAY)
     }
--- a/crates/link-health/src/lib.rs
+++ b/crates/link-health/src/lib.rs
@@ -1,18 +1,18 @@
-//! What a controller concludes about its network links, and what follows from it.
+//! Health of a controller's network links, and the decisions that depend on it.
 //!
-//! A network can fail in one direction, for one peer, or for one kind of request only. This package turns
-//! the outcomes of calls and heartbeats ([`observation`]) into a state for each link ([`monitor`], for all
-//! links [`tracker`]), with hysteresis and flap damping, and derives three decisions from the states:
+//! A network can fail in one direction, for one peer, or for one kind of request only. This crate turns
+//! the outcomes of calls and heartbeats ([`observation`]) into a state for each link ([`monitor`] for one
+//! link, [`tracker`] for all), with hysteresis and flap damping, and derives three decisions from the states:
 //!
-//! - what a leader may decide now ([`permissions`]),
-//! - whether it should hand leadership over, and to whom ([`handover`]),
+//! - which decisions a leader may make now ([`permissions`]),
+//! - whether the leader should hand leadership over, and to which peer ([`handover`]),
 //! - how long a candidate waits before it campaigns ([`election`]).
 //!
-//! Controllers tell each other what they see as [`view`]s, and operators in a [`report`].
+//! Controllers send each other their link states as [`view`]s, and operators get them in a [`report`].
 //!
-//! Everything here is deterministic: observations and the current time go in, states and decisions come
-//! out. No safety property depends on it: a wrong conclusion can cost time, never correctness
-//! (`docs/half-cut-links.md`).
+//! The crate is deterministic: its inputs are observations and the current time, its outputs are states and
+//! decisions. No safety property depends on them: a wrong state or decision can cost time, but not
+//! correctness (`docs/half-cut-links.md`).
 
 #![warn(missing_docs)]
 
--- a/crates/link-health/src/link.rs
+++ b/crates/link-health/src/link.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The name of a controller, as `node` in its settings gives it.
+/// The name of a controller: the `node` field of its settings.
 #[derive(
     Clone,
     Debug,
@@ -33,7 +33,7 @@
     }
 }
 
-/// One link of a controller. Its workers count as one link, see [`crate::reachability`].
+/// A network link of a controller. All its workers together count as one link, see [`crate::reachability`].
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, BorshSerialize, BorshDeserialize,
 )]
--- a/crates/link-health/src/monitor.rs
+++ b/crates/link-health/src/monitor.rs
@@ -1,9 +1,10 @@
 //! The state of one link: up, suspect or down, with hysteresis and flap damping.
 //!
-//! One failure makes a link suspect, one answer makes it up again. Failures without an answer between them
-//! for [`LinkSettings::down_after`] take the link down. A link that is down must answer for a while before it
-//! counts as up, and for twice as long for each time it went down lately, up to a bound. So a link that
-//! flaps is down most of the time, and what depends on it doesn't flap with it.
+//! One failure makes a link suspect, one answer makes it up again. At least three failures over
+//! [`LinkSettings::down_after`], without an answer between them, take the link down. A link that is down must
+//! answer without a failure for its recovery time before it counts as up again. The recovery time doubles with
+//! each recent flap (transition to down) after the first, up to a bound. A flapping link is therefore down most
+//! of the time, and the decisions that depend on its state don't flap with it.
 
 use crate::observation::{CallFailure, CallOutcome};
 use crate::settings::LinkSettings;
@@ -12,13 +13,13 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A link goes down after at least this many failures: two may have one short cause.
+/// Minimum number of failures before a link goes down. Two failures may have the same short-lived cause.
 const FAILURES_TO_DOWN: u32 = 3;
-/// After this long without going down, one earlier flap is forgiven.
-const FORGIVE_AFTER: Micros = Micros::from_secs(60);
-/// Answers further apart than this don't count as answering without a break.
+/// Time without a further flap after which the flap count decreases by one.
+const FLAP_EXPIRY: Micros = Micros::from_secs(60);
+/// Maximum time between two answers that count as continuous. A longer gap restarts the recovery time.
 const MAX_ANSWER_GAP: Micros = Micros::from_secs(3);
-/// More flaps than this make no difference.
+/// Upper bound of the flap count.
 const MAX_FLAPS: u32 = 16;
 
 /// The state of a link.
@@ -36,14 +37,14 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkState {
-    /// Nothing has been observed yet.
+    /// No call has been answered or has failed yet.
     #[default]
     Unknown,
-    /// It answers.
+    /// The last call was answered; after [`LinkState::Down`], calls were answered for the recovery time.
     Up,
-    /// Its last call failed.
+    /// The last call failed.
     Suspect,
-    /// It doesn't answer, or has not answered for long enough since it failed.
+    /// Calls have failed for some time, or have been answered for less than the recovery time since then.
     Down,
 }
 
@@ -58,76 +59,77 @@
     }
 }
 
-/// A change of a link's state, for the log.
+/// A change of a link's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The state before.
+    /// The previous state.
     pub from: LinkState,
-    /// The state now.
+    /// The new state.
     pub to: LinkState,
-    /// The last failure, where the new state is worse than up.
+    /// The last failure, if the new state isn't [`LinkState::Up`].
     pub failure: Option<CallFailure>,
-    /// How long the link must answer before it is up again, where it went down.
-    pub recovery: Option<Micros>,
+    /// Time for which the link must answer before it is up again, if the new state is [`LinkState::Down`].
+    pub recovery_time: Option<Micros>,
 }
 
-/// Keeps the state of one link.
+/// The state machine of one link, with the observations that it needs.
 #[derive(Clone, Debug, Default)]
 pub struct LinkMonitor {
     state: LinkState,
     since: Moment,
-    /// Failures since the last answer.
+    /// Number of failures since the last answer.
     failures: u32,
-    /// When the first of them was.
+    /// Time of the first failure since the last answer.
     failing_since: Option<Moment>,
     last_failure: Option<CallFailure>,
     last_answer: Option<Moment>,
     last_received: Option<Moment>,
-    /// While down: since when it has answered without a failure or a long gap.
+    /// While down: start of the current period of answers without a failure or a gap over [`MAX_ANSWER_GAP`].
     answering_since: Option<Moment>,
-    /// How often it went down lately, less the flaps that were forgiven.
+    /// Number of transitions to down, minus those that have expired; at most [`MAX_FLAPS`].
     flaps: u32,
-    /// When it last went down or was last forgiven a flap.
-    forgiven_at: Moment,
+    /// Time of the last change of `flaps`: a transition to down, or an expiry.
+    flaps_changed_at: Moment,
 }
 
 impl LinkMonitor {
-    /// The state now.
+    /// The current state.
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// Whether it is down and has not answered since its last failure. Unlike the state, this isn't damped.
+    /// Whether the link is down and has not answered since its last failure. This isn't damped, unlike
+    /// the state: the first answer makes it false.
     pub fn is_failing(&self) -> bool {
         self.state == LinkState::Down && self.answering_since.is_none()
     }
 
-    /// When it entered its state.
+    /// Time at which the link entered its current state.
     pub fn since(&self) -> Moment {
         self.since
     }
 
-    /// When it last answered.
+    /// Time of the last answer.
     pub fn last_answer(&self) -> Option<Moment> {
         self.last_answer
     }
 
-    /// When a message from the other end last arrived.
+    /// Time at which the last message from the other end arrived, answers included.
     pub fn last_received(&self) -> Option<Moment> {
         self.last_received
     }
 
-    /// How its last failed call failed.
+    /// The failure of the last failed call.
     pub fn last_failure(&self) -> Option<CallFailure> {
         self.last_failure
     }
 
-    /// How often it went down lately.
+    /// Number of recent transitions to down; decreases by one per minute without a further one.
     pub fn flaps(&self) -> u32 {
         self.flaps
     }
 
-    /// Takes in the outcome of a call or a message; a change of state, if it makes one.
+    /// Processes the outcome of a call or a received message. Returns the change of state, if there is one.
     pub fn observe(
         &mut self,
         outcome: CallOutcome,
@@ -144,16 +146,16 @@
         }
     }
 
-    /// Forgives one flap if the last one was long ago.
-    pub fn forgive_old_flap(&mut self, now: Moment) {
-        if self.flaps > 0 && now - self.forgiven_at >= FORGIVE_AFTER {
+    /// Decreases the flap count by one if it hasn't changed for a minute.
+    pub fn expire_old_flap(&mut self, now: Moment) {
+        if self.flaps > 0 && now - self.flaps_changed_at >= FLAP_EXPIRY {
             self.flaps -= 1;
-            self.forgiven_at = now;
+            self.flaps_changed_at = now;
         }
     }
 
-    /// How long the link must answer before it is up again.
-    pub fn recovery(&self, settings: &LinkSettings) -> Micros {
+    /// Time for which a link that is down must answer before it is up again.
+    pub fn recovery_time(&self, settings: &LinkSettings) -> Micros {
         let doublings = self.flaps.saturating_sub(1).min(MAX_FLAPS);
         let wait = Micros(settings.up_after.0.saturating_mul(1 << doublings));
         wait.min(settings.up_after_max)
@@ -173,7 +175,7 @@
                     self.answering_since = None;
                 }
                 let since = *self.answering_since.get_or_insert(at);
-                let recovered = at - since >= self.recovery(settings);
+                let recovered = at - since >= self.recovery_time(settings);
                 recovered.then(|| self.enter(LinkState::Up, at, settings))?
             }
         }
@@ -193,7 +195,7 @@
             LinkState::Down => None,
             _ if self.failures >= FAILURES_TO_DOWN && at - since >= settings.down_after => {
                 self.flaps = (self.flaps + 1).min(MAX_FLAPS);
-                self.forgiven_at = at;
+                self.flaps_changed_at = at;
                 self.enter(LinkState::Down, at, settings)
             }
             LinkState::Suspect => None,
@@ -210,7 +212,7 @@
             from,
             to,
             failure: self.last_failure.filter(|_| is_worse),
-            recovery: (to == LinkState::Down).then(|| self.recovery(settings)),
+            recovery_time: (to == LinkState::Down).then(|| self.recovery_time(settings)),
         })
     }
 }
--- a/crates/link-health/src/observation.rs
+++ b/crates/link-health/src/observation.rs
@@ -1,4 +1,4 @@
-//! What single calls and messages show about a link.
+//! Observations of a link: the outcomes of single calls, and received messages.
 
 use crate::link::Link;
 use aspenreel_time::Moment;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallFailure {
-    /// The other end answered that it can't serve the request now.
+    /// The other end answered that it can't serve the request at present.
     Refused,
     /// No connection could be opened.
     Unreachable,
@@ -28,7 +28,7 @@
     }
 }
 
-/// What one call or message proves.
+/// What the outcome of one call, or one received message, proves about a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// An answer arrived: both directions work.
@@ -44,8 +44,8 @@
 pub struct Observation {
     /// The link that was used.
     pub link: Link,
-    /// What it showed.
+    /// The outcome of the call, or the receipt of a message.
     pub outcome: CallOutcome,
-    /// When the outcome became known.
+    /// Time at which the outcome became known.
     pub at: Moment,
 }
--- a/crates/link-health/src/peer_views.rs
+++ b/crates/link-health/src/peer_views.rs
@@ -1,40 +1,43 @@
-//! The newest view of each peer, and which of them may be used.
+//! The newest view of each peer, and the checks that decide whether a view may be used.
 //!
-//! A view counts only while it is young, only if it comes from the controller that was asked, and only if it is
-//! newer than the one known of the same process. All others are counted as rejected and change nothing.
+//! A view is accepted only if it comes from the controller that was asked, is addressed to this controller, and
+//! is newer than the known view of the same process. Other views are counted as rejected and have no further
+//! effect. An accepted view may be used until it expires.
 
 use crate::link::NodeName;
 use crate::view::{LinkView, ViewError};
 use aspenreel_time::{Micros, Moment};
 use std::collections::BTreeMap;
 
-/// What is known of one peer's view.
+/// The state of the exchange of views with one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum PeerView {
     /// No view has arrived yet.
     #[default]
     NotReceived,
-    /// The peer answers, but doesn't exchange views: an earlier version, or one without the flag.
+    /// The peer answers, but doesn't exchange views: it runs an earlier version, or without the flag.
     Unsupported,
-    /// The newest view.
+    /// A view was accepted.
     Known {
-        /// The view.
+        /// The newest accepted view.
         view: LinkView,
-        /// A moment at which it was surely still true: when the request that it answers was sent.
-        asked: Moment,
-        /// Until when it may be used.
+        /// Time at which the answered request was sent, so that the view is from this time or later. For a stored
+        /// view, the earliest time at which it can have been made.
+        requested_at: Moment,
+        /// Time at which the view expires.
         valid_until: Moment,
     },
 }
 
-/// How long views may be used, by the way in which they arrived.
+/// Lifetimes of views, by the way in which they arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewLifetimes {
-    /// Of views that a peer answered with. Must be shorter than the silence after which a worker counts as
-    /// unreachable: otherwise a view from before a network partition could speak for a peer beyond it.
+    /// Lifetime of views that a peer sent as an answer. Must be shorter than the silence after which a worker
+    /// counts as unreachable: otherwise a view from before a network partition could count in favor of a peer
+    /// that is beyond the partition.
     pub direct: Micros,
-    /// Of views from the key-value store. A peer writes them only once it doesn't reach the leader, so they are
-    /// never from before a partition; they are written and read every few seconds.
+    /// Lifetime of views from the key-value store, which are written and read every few seconds. A peer writes
+    /// them only while it doesn't reach the leader, so they are never from before a partition.
     pub stored: Micros,
 }
 
@@ -48,7 +51,7 @@
 }
 
 impl PeerViews {
-    /// No view has arrived from any of `peers`.
+    /// Creates the state before any view has arrived from `peers`.
     pub fn new(own_name: NodeName, peers: &[NodeName], lifetimes: ViewLifetimes) -> PeerViews {
         let peers = peers.iter().cloned();
         PeerViews {
@@ -59,21 +62,26 @@
         }
     }
 
-    /// Takes in the view in a peer's answer to a request that was sent at `asked`.
+    /// Stores the view in a peer's answer to a request that was sent at `requested_at`.
     ///
     /// # Errors
     ///
-    /// Why the view is rejected; then only the count of rejected views changes.
+    /// The reason why the view is rejected. In this case only the count of rejected views changes.
     pub fn accept(
         &mut self,
         peer: &NodeName,
         bytes: &[u8],
-        asked: Moment,
+        requested_at: Moment,
     ) -> Result<(), ViewError> {
-        self.accept_until(peer, bytes, asked, asked + self.lifetimes.direct)
+        self.accept_until(
+            peer,
+            bytes,
+            requested_at,
+            requested_at + self.lifetimes.direct,
+        )
     }
 
-    /// Takes in a view that a peer wrote to the key-value store, and that was true at `at`.
+    /// Stores a view that a peer wrote to the key-value store, and that was true at `at`.
     ///
     /// # Errors
     ///
@@ -91,7 +99,7 @@
         &mut self,
         peer: &NodeName,
         bytes: &[u8],
-        asked: Moment,
+        requested_at: Moment,
         valid_until: Moment,
     ) -> Result<(), ViewError> {
         let view = self
@@ -99,24 +107,24 @@
             .inspect_err(|_| self.rejected += 1)?;
         let known = PeerView::Known {
             view,
-            asked,
+            requested_at,
             valid_until,
         };
         self.peers.insert(peer.clone(), known);
         Ok(())
     }
 
-    /// The peer answers, but not with views.
+    /// Records that the peer answers, but doesn't exchange views.
     pub fn mark_unsupported(&mut self, peer: &NodeName) {
         self.peers.insert(peer.clone(), PeerView::Unsupported);
     }
 
-    /// What is known of each peer, by name.
+    /// The state of each peer, in order of their names.
     pub fn peers(&self) -> impl Iterator<Item = (&NodeName, &PeerView)> {
         self.peers.iter()
     }
 
-    /// The views that may be used now, by name of the peer.
+    /// The views that have not expired, in order of the peers' names.
     pub fn fresh(&self, now: Moment) -> Vec<&LinkView> {
         let fresh = self.peers.values().filter_map(|peer| match peer {
             PeerView::Known {
@@ -127,18 +135,18 @@
         fresh.collect()
     }
 
-    /// Whether some peer answers without exchanging views, so that its links can't be known.
+    /// Whether any peer answers without exchanging views, so that its link states can't be known.
     pub fn any_unsupported(&self) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| *peer == PeerView::Unsupported)
     }
 
-    /// Counts a view that was rejected elsewhere.
+    /// Counts a view that the caller has rejected.
     pub fn count_rejected(&mut self) {
         self.rejected += 1;
     }
 
-    /// The number of rejected views.
+    /// Number of rejected views.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
@@ -154,9 +162,9 @@
         let Some(PeerView::Known { view: known, .. }) = self.peers.get(peer) else {
             return Ok(view);
         };
-        // Views of different processes have no order: the time of day may step back between them.
+        // Views of different processes have no order, since the wall clock may step back between their starts.
         if known.process == view.process && known.sequence >= view.sequence {
-            return Err(ViewError::Late);
+            return Err(ViewError::Stale);
         }
         Ok(view)
     }
--- a/crates/link-health/src/permissions.rs
+++ b/crates/link-health/src/permissions.rs
@@ -1,19 +1,19 @@
-//! Which decisions a leader may make now. No other place decides that.
+//! The decisions that a leader may make now. This module is the only place that determines them.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::Serialize;
 
-/// Kinds of decisions that a leader makes.
+/// The kinds of decisions that a leader may make now.
 ///
-/// Each of them needs a record sooner or later. A leader that can't write makes none of them: what it
-/// decided before stands, since it is either on record or its effect hasn't left the leader.
+/// Each decision has to be recorded eventually, so a leader that can't write makes none. Its earlier decisions
+/// stay valid: each is either recorded, or has had no effect outside the leader yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct Permissions {
-    /// Place waiting tasks on machines.
+    /// Placing waiting tasks on machines.
     pub assign: bool,
-    /// Write start watermarks, done sets and terminal states.
+    /// Writing start watermarks, done sets and terminal states.
     pub record: bool,
-    /// Tell workers to forget outcomes that are on record.
+    /// Commanding workers to discard outcomes that are recorded.
     pub release: bool,
 }
 
@@ -25,17 +25,17 @@
         release: true,
     };
 
-    /// No decision that needs a record is allowed.
+    /// No decision that has to be recorded is allowed.
     pub const NONE: Permissions = Permissions {
         assign: false,
         record: false,
         release: false,
     };
 
-    /// Allows everything, unless writes to the key-value store fail now.
+    /// Allows every decision, unless writes to the key-value store fail at present.
     ///
-    /// The damped state of the link doesn't matter here: a leader whose writes succeed from time to time, and
-    /// that has no better-placed successor, decides while they do.
+    /// The damped state of the link isn't used here: a leader whose writes succeed intermittently, and that has
+    /// no better-connected successor, may decide whenever they succeed.
     pub fn of(writes_fail: bool) -> Permissions {
         match writes_fail {
             true => Permissions::NONE,
--- a/crates/link-health/src/reachability.rs
+++ b/crates/link-health/src/reachability.rs
@@ -1,13 +1,14 @@
-//! How many of its workers a controller receives heartbeats from.
+//! The number of workers whose heartbeats a controller receives.
 
 use crate::monitor::LinkState;
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// With fewer workers than this, their silence says nothing about the network.
-const MIN_EXPECTED: u32 = 3;
+/// Minimum number of expected workers for conclusions about the network: a few workers can be silent for
+/// reasons of their own.
+const MIN_EXPECTED_WORKERS: u32 = 3;
 
-/// How many workers reach a controller with their heartbeats.
+/// How many workers reach a controller with their heartbeats, of how many that should.
 #[derive(
     Clone,
     Copy,
@@ -21,20 +22,20 @@
     BorshDeserialize,
 )]
 pub struct Reachability {
-    /// On a leader, workers with a heartbeat within the last few intervals; on another controller, workers
-    /// whose heartbeats it has refused lately.
+    /// On a leader: workers with a heartbeat within the last few heartbeat intervals. On any other controller:
+    /// workers whose heartbeats it has refused recently.
     #[serde(rename = "heard")]
     pub reachable: u32,
-    /// Workers that should send heartbeats; 0 on a controller that doesn't lead.
+    /// Number of workers that should send heartbeats to this leader; 0 on a controller that doesn't lead.
     #[serde(rename = "known")]
     pub expected: u32,
 }
 
 impl Reachability {
-    /// More than half of the expected workers are silent together. Then this controller is more likely to be
-    /// cut off than they are.
+    /// Whether more than half of the expected workers are silent at the same time. It is then more likely that
+    /// this controller is cut off than that all these workers are.
     pub fn most_are_unreachable(self) -> bool {
-        self.expected >= MIN_EXPECTED && 2 * self.reachable < self.expected
+        self.expected >= MIN_EXPECTED_WORKERS && 2 * self.reachable < self.expected
     }
 
     /// The state of a leader's link to its workers: suspect below three quarters of the expected ones, down
--- a/crates/link-health/src/refused_heartbeats.rs
+++ b/crates/link-health/src/refused_heartbeats.rs
@@ -1,12 +1,12 @@
-//! Which workers a controller that doesn't lead has refused lately.
+//! The workers whose heartbeats a controller that doesn't lead has refused recently.
 
 use aspenreel_time::{Micros, Moment};
 use std::collections::HashMap;
 
-/// The workers whose heartbeats a controller has refused within a window of time.
+/// The workers whose heartbeats a controller has refused within a time window.
 ///
-/// A worker tries another controller only when its own doesn't answer. So each entry shows a worker that
-/// can't reach the leader and can reach this controller.
+/// A worker tries another controller only if its current one doesn't answer. Each entry is therefore a worker
+/// that can't reach the leader and can reach this controller.
 #[derive(Debug)]
 pub struct RefusedHeartbeats {
     last_refused: HashMap<String, Moment>,
@@ -15,7 +15,7 @@
 }
 
 impl RefusedHeartbeats {
-    /// Remembers at most `capacity` workers, each for `window` after its last refused heartbeat.
+    /// Keeps at most `capacity` workers, each for `window` after its last refused heartbeat.
     pub fn new(capacity: usize, window: Micros) -> RefusedHeartbeats {
         RefusedHeartbeats {
             last_refused: HashMap::new(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A worker's heartbeat was refused. Without effect on a new worker while there is no capacity.
+    /// Records a refused heartbeat. A worker without an entry is ignored while the capacity is used up.
     pub fn record(&mut self, worker: &str, at: Moment) {
         if let Some(last_refused) = self.last_refused.get_mut(worker) {
             *last_refused = at;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The number of different workers within the window.
+    /// Number of distinct workers within the window.
     pub fn count(&mut self, now: Moment) -> u32 {
         self.remove_expired(now);
         self.last_refused.len() as u32
--- a/crates/link-health/src/report.rs
+++ b/crates/link-health/src/report.rs
@@ -1,4 +1,4 @@
-//! What a controller tells operators about its links.
+//! The report of a controller's links for operators.
 
 use crate::link::{Link, NodeName};
 use crate::monitor::LinkState;
@@ -8,91 +8,91 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::Serialize;
 
-/// The first byte of an encoded report.
+/// Version of the encoding: the first byte of an encoded report.
 const REPORT_VERSION: u8 = 1;
 
-/// One link as a controller sees it.
+/// The state of one link of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct LinkRow {
-    /// The link.
+    /// The link that the row describes.
     pub link: Link,
-    /// Its state.
+    /// The link's current state.
     pub state: LinkState,
-    /// How long it has been in this state, in milliseconds.
+    /// Time since the link entered this state, in milliseconds.
     pub for_ms: u64,
-    /// The age of the last answer in milliseconds, if there was one.
+    /// Time since the last answer in milliseconds, if there was one.
     pub answered_ms_ago: Option<u64>,
-    /// The age of the last message from the other end in milliseconds, if there was one.
+    /// Time since the last message from the other end in milliseconds, if there was one.
     #[serde(rename = "heard_ms_ago")]
     pub received_ms_ago: Option<u64>,
-    /// How often it went down lately.
+    /// Number of recent transitions to down.
     pub flaps: u32,
-    /// How its last failed call failed.
+    /// The failure of the last failed call, if any failed.
     pub last_failure: Option<CallFailure>,
 }
 
-/// What is known of a peer's view.
+/// The state of the exchange of views with one peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct PeerRow {
-    /// The peer.
+    /// The peer's name.
     pub peer: NodeName,
-    /// Whether it exchanges views.
+    /// Whether the peer exchanges views; also true if it hasn't answered yet.
     pub offers_views: bool,
-    /// The age of its last view in milliseconds, if there is one.
+    /// Age of the peer's last view in milliseconds, if there is one.
     pub view_ms_ago: Option<u64>,
-    /// The number of workers that reach it, according to that view.
+    /// Number of workers that reach the peer, according to its last view.
     #[serde(rename = "hears")]
     pub reachable_workers: Option<u32>,
 }
 
-/// What one controller concludes about its links.
+/// The link states of one controller, and the decisions that follow from them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, BorshSerialize, BorshDeserialize)]
 pub struct LinkReport {
-    /// The controller.
+    /// The controller's name.
     pub node: NodeName,
-    /// The newest term that it knows of.
+    /// The newest term that the controller knows of.
     pub term: u64,
-    /// The leader of that term, as far as it knows.
+    /// The leader of that term, if the controller knows it.
     pub leader: Option<NodeName>,
-    /// Whether it leads, with a lease that has surely not expired.
+    /// Whether the controller leads, with a lease that has certainly not expired.
     pub leads: bool,
-    /// How many workers reach it.
+    /// How many workers reach the controller.
     #[serde(rename = "hearing")]
     pub reachability: Reachability,
-    /// Which decisions it may make if it leads.
+    /// The decisions that the controller may make if it leads.
     pub permissions: Permissions,
-    /// Its links.
+    /// The controller's links.
     pub links: Vec<LinkRow>,
-    /// Its peers' views.
+    /// The peers of the controller, and the age of their views.
     pub peers: Vec<PeerRow>,
-    /// The number of views that were rejected.
+    /// Number of views that were rejected since the process started.
     pub rejected_views: u64,
-    /// The number of observations that were dropped because too many came at once.
+    /// Number of observations that were dropped because their queue was full, since the process started.
     #[serde(rename = "dropped_evidence")]
     pub dropped_observations: u64,
 }
 
-/// Why a report can't be read.
+/// Reasons why an encoded report can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// The version is unknown here.
-    #[error("its report has an unknown version")]
+    /// The first byte is not a version that this process knows.
+    #[error("unknown version of the report encoding")]
     Version,
-    /// The bytes are no report.
-    #[error("its report is malformed")]
+    /// The bytes don't encode a report.
+    #[error("malformed report")]
     Malformed,
 }
 
 impl LinkReport {
-    /// The report as it is sent.
+    /// Encodes the report for sending.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![REPORT_VERSION];
-        // Writing to memory doesn't fail.
+        // Writing to a vector can't fail.
         let _ = borsh::to_writer(&mut bytes, self);
         bytes
     }
 
-    /// Reads a report. Fields that a later version appended are ignored.
+    /// Decodes a report. Fields that a later version appended are ignored.
     ///
     /// # Errors
     ///
--- a/crates/link-health/src/settings.rs
+++ b/crates/link-health/src/settings.rs
@@ -1,21 +1,21 @@
-//! The limits and delays that an operator may set, and the check that they agree.
+//! The limits and delays that an operator may set, and the check that they don't contradict each other.
 
 use aspenreel_time::Micros;
 
-/// Limits and delays of link monitoring and handover.
+/// Limits and delays of link monitoring and leadership handover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// A link whose calls fail for this long, without an answer between, is down.
+    /// Time for which the calls of a link must fail, without an answer between them, before it is down.
     pub down_after: Micros,
-    /// A link that was down must answer for this long before it is up again.
+    /// Recovery time: how long a link that is down must answer before it is up again.
     pub up_after: Micros,
-    /// Each further loss of the link doubles `up_after`, up to this.
+    /// Upper bound of the recovery time, which doubles with each further flap of the link.
     pub up_after_max: Micros,
-    /// Some peer must have been better placed for this long before leadership is handed over to it.
+    /// Time for which some peer must have been better connected before leadership is handed over.
     pub handover_after: Micros,
-    /// The next handover is at least this long after the last one.
+    /// Minimum time between two handovers.
     pub handover_pause: Micros,
-    /// Each further handover doubles the pause, up to this.
+    /// Upper bound of the pause, which doubles with each further handover.
     pub handover_pause_max: Micros,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Two settings that contradict each other. The names are those of the flags.
+/// Two settings that contradict each other, by the names of their flags.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{smaller} must not exceed {larger}: {smaller_ms} ms is more than {larger_ms} ms")]
 pub struct SettingsConflict {
@@ -47,26 +47,26 @@
     ///
     /// # Errors
     ///
-    /// The first pair of settings that contradict each other.
+    /// [`SettingsConflict`] with the first pair of settings that contradict each other.
     pub fn check(&self) -> Result<(), SettingsConflict> {
-        let in_order = |smaller, low: Micros, larger, high: Micros| {
-            if low <= high {
+        let check_order = |smaller, lower_value: Micros, larger, upper_value: Micros| {
+            if lower_value <= upper_value {
                 return Ok(());
             }
             Err(SettingsConflict {
                 smaller,
                 larger,
-                smaller_ms: low.0 / 1000,
-                larger_ms: high.0 / 1000,
+                smaller_ms: lower_value.0 / 1000,
+                larger_ms: upper_value.0 / 1000,
             })
         };
-        in_order(
+        check_order(
             "--link-up-after-ms",
             self.up_after,
             "--link-up-after-max-ms",
             self.up_after_max,
         )?;
-        in_order(
+        check_order(
             "--handover-pause-ms",
             self.handover_pause,
             "--handover-pause-max-ms",
--- a/crates/link-health/src/tracker.rs
+++ b/crates/link-health/src/tracker.rs
@@ -10,16 +10,16 @@
 use aspenreel_time::{Micros, Moment};
 use std::collections::BTreeMap;
 
-/// A change of one link's state, for the log.
+/// A change of one link's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkChange {
-    /// The link.
+    /// The link whose state changed.
     pub link: Link,
-    /// The states before and after.
+    /// The previous and the new state.
     pub transition: Transition,
 }
 
-/// Keeps the states of all links of one controller.
+/// Tracks the states of all links of one controller.
 #[derive(Debug)]
 pub struct LinkTracker {
     settings: LinkSettings,
@@ -30,7 +30,7 @@
 }
 
 impl LinkTracker {
-    /// All links are unknown.
+    /// Creates a tracker in which all links are [`LinkState::Unknown`].
     pub fn new(settings: LinkSettings, peers: &[NodeName]) -> LinkTracker {
         let peers = peers.iter().cloned().map(Link::Peer);
         let links = [Link::StateReads, Link::StateWrites]
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes in an observation; one of a link that isn't watched has no effect.
+    /// Processes an observation. An observation of a link that isn't tracked has no effect.
     pub fn observe(&mut self, observation: Observation) -> Option<LinkChange> {
         let monitor = self.monitors.get_mut(&observation.link)?;
         let transition = monitor.observe(observation.outcome, observation.at, &self.settings)?;
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Takes in how many workers reach the controller now.
+    /// Sets how many workers reach the controller. Returns the change of [`Link::Workers`], if there is one.
     pub fn update_reachability(
         &mut self,
         reachability: Reachability,
@@ -72,7 +72,7 @@
             from,
             to,
             failure: None,
-            recovery: None,
+            recovery_time: None,
         };
         Some(LinkChange {
             link: Link::Workers,
@@ -80,14 +80,15 @@
         })
     }
 
-    /// Forgives each link a flap of long ago, where one is due.
-    pub fn forgive_old_flaps(&mut self, now: Moment) {
+    /// Decreases the flap count of each link that hasn't flapped for a minute. See
+    /// [`LinkMonitor::expire_old_flap`].
+    pub fn expire_old_flaps(&mut self, now: Moment) {
         for monitor in self.monitors.values_mut() {
-            monitor.forgive_old_flap(now);
+            monitor.expire_old_flap(now);
         }
     }
 
-    /// The state of a link.
+    /// The state of a link; [`LinkState::Unknown`] if the link isn't tracked.
     pub fn state(&self, link: &Link) -> LinkState {
         match link {
             Link::Workers => self.workers_state,
@@ -98,19 +99,19 @@
         }
     }
 
-    /// How many workers reach the controller, as last taken in.
+    /// How many workers reach the controller, as of the last [`LinkTracker::update_reachability`].
     pub fn reachability(&self) -> Reachability {
         self.reachability
     }
 
-    /// Which decisions a leader may make now.
+    /// The decisions that a leader may make now.
     pub fn permissions(&self) -> Permissions {
         let writes = self.monitors.get(&Link::StateWrites);
         Permissions::of(writes.is_some_and(LinkMonitor::is_failing))
     }
 
-    /// Whether only a probe can tell the state of the link: it isn't up, or has not answered for `silence`.
-    pub fn wants_probe(&self, link: &Link, silence: Micros, now: Moment) -> bool {
+    /// Whether the link needs a probe to update its state: it isn't up, or has not answered for `silence`.
+    pub fn needs_probe(&self, link: &Link, silence: Micros, now: Moment) -> bool {
         let Some(monitor) = self.monitors.get(link) else {
             return false;
         };
@@ -118,7 +119,7 @@
         !is_up || monitor.last_answer().is_none_or(|at| now - at >= silence)
     }
 
-    /// A row for each link, for an operator; that of the workers is the last.
+    /// The rows of the link report, one for each link. The last row is that of the workers.
     pub fn rows(&self, now: Moment) -> Vec<LinkRow> {
         let age = |at: Option<Moment>| at.map(|at| (now - at).0 / 1000);
         let mut rows: Vec<LinkRow> = self
--- a/crates/link-health/src/view.rs
+++ b/crates/link-health/src/view.rs
@@ -1,6 +1,6 @@
-//! What controllers tell each other about their links.
+//! Views: the link states that controllers send to each other.
 //!
-//! A view is advice about liveness only. [`crate::peer_views`] decides which views count.
+//! Views affect liveness only, not safety. [`crate::peer_views`] decides which views may be used.
 
 use crate::link::NodeName;
 use crate::monitor::LinkState;
@@ -8,69 +8,70 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of an encoded view. A version that only appends fields keeps it; one whose views an
-/// earlier version could misread changes it.
+/// Version of the encoding: the first byte of an encoded view. Appending fields doesn't change it. A change that
+/// an earlier version could misread requires a new value.
 const VIEW_VERSION: u8 = 1;
-/// An upper bound of the encoded size: two node names and a few numbers.
+/// Maximum size of an encoded view in bytes. A view holds two node names and a few numbers.
 pub const MAX_VIEW_BYTES: usize = 2048;
 
-/// One controller's view of its links.
+/// The states of one controller's links, as sent to one peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, BorshSerialize, BorshDeserialize)]
 pub struct LinkView {
-    /// The sender.
+    /// Name of the sender.
     pub from: NodeName,
-    /// The only controller that may use it.
+    /// Name of the receiver, the only controller that may use the view.
     pub to: NodeName,
-    /// When the sender's process began, its time of day in microseconds. Distinguishes its processes.
+    /// Wall-clock time at which the sender's process started, in microseconds since the Unix epoch. Distinguishes
+    /// the processes of one sender.
     pub process: u64,
-    /// Rises with each view of the process.
+    /// Sequence number, which increases with each view of the process.
     pub sequence: u64,
     /// The newest term that the sender knows of.
     pub term: u64,
     /// Whether the sender leads that term.
     pub leads: bool,
-    /// Its link for reads of the key-value store.
+    /// State of the sender's link for reads of the key-value store.
     pub state_reads: LinkState,
-    /// Its link for writes to the key-value store.
+    /// State of the sender's link for writes to the key-value store.
     pub state_writes: LinkState,
-    /// How many workers reach it.
+    /// How many workers reach the sender.
     #[serde(rename = "hearing")]
     pub reachability: Reachability,
 }
 
-/// Why a view is rejected.
+/// Reasons why a view is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ViewError {
-    /// Longer than [`MAX_VIEW_BYTES`].
-    #[error("it is too large")]
+    /// The encoded view is longer than [`MAX_VIEW_BYTES`].
+    #[error("view is larger than {MAX_VIEW_BYTES} bytes")]
     TooLarge,
-    /// The version is unknown here.
-    #[error("its version is unknown")]
+    /// The first byte is not a version that this process knows.
+    #[error("unknown version of the view encoding")]
     Version,
-    /// The bytes are no view.
-    #[error("it is malformed")]
+    /// The bytes don't encode a view.
+    #[error("malformed view")]
     Malformed,
-    /// It comes from another controller than the one that was asked.
-    #[error("it is of another controller")]
+    /// The sender is not the controller that was asked, or not a configured peer.
+    #[error("view is from an unexpected sender")]
     WrongSender,
-    /// It was made for another controller.
-    #[error("it is for another controller")]
+    /// The receiver is another controller.
+    #[error("view is addressed to another controller")]
     WrongReceiver,
-    /// It is no newer than the one already known.
-    #[error("it is late")]
-    Late,
+    /// The view is not newer than the known one of the same process.
+    #[error("view is not newer than the known one")]
+    Stale,
 }
 
 impl LinkView {
-    /// The view as it is sent.
+    /// Encodes the view for sending.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![VIEW_VERSION];
-        // Writing to memory doesn't fail.
+        // Writing to a vector can't fail.
         let _ = borsh::to_writer(&mut bytes, self);
         bytes
     }
 
-    /// Reads a view. Fields that a later version appended are ignored.
+    /// Decodes a view. Fields that a later version appended are ignored.
     ///
     /// # Errors
     ///
@@ -88,7 +89,7 @@
         }
     }
 
-    /// As far as the sender knows, it can read and write the key-value store.
+    /// Whether the sender can read and write the key-value store, as far as it knows.
     pub fn reaches_store(&self) -> bool {
         self.state_reads == LinkState::Up && self.state_writes == LinkState::Up
     }
--- a/crates/link-health/tests/decisions.rs
+++ b/crates/link-health/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 use aspenreel_link_health::election::{Candidate, MAX_CAMPAIGN_DELAY};
 use aspenreel_link_health::handover::{
-    Handover, HandoverPlanner, HandoverReason, HandoverRecord, Situation,
+    Handover, HandoverInput, HandoverPlanner, HandoverReason, HandoverRecord,
 };
 use aspenreel_link_health::link::NodeName;
 use aspenreel_link_health::monitor::LinkState;
@@ -48,8 +48,8 @@
 }
 
 /// What a leader knows that so many of eight workers reach.
-fn situation<'a>(reachable: u32, views: &'a [&'a LinkView]) -> Situation<'a> {
-    Situation {
+fn input<'a>(reachable: u32, views: &'a [&'a LinkView]) -> HandoverInput<'a> {
+    HandoverInput {
         term: TERM,
         reachability: Reachability {
             reachable,
@@ -57,26 +57,26 @@
         },
         state_writes: LinkState::Up,
         views,
-        silent_near_unreached: &NOBODY,
+        silent_workers_by_unreachable_peer: &NOBODY,
     }
 }
 
-/// Decides about the same situation every 250 ms; when leadership was handed over, and to whom.
+/// Decides on the same input every 250 ms. Returns the time and the decision of the first handover.
 fn first_handover(
     planner: &mut HandoverPlanner,
-    situation: &Situation<'_>,
+    input: &HandoverInput<'_>,
     from_ms: u64,
     to_ms: u64,
 ) -> Option<(u64, Handover)> {
     let settings = LinkSettings::default();
     (from_ms..to_ms).step_by(250).find_map(|ms| {
-        let handover = planner.decide(situation, at(ms), wall(ms), &settings)?;
+        let handover = planner.decide(input, at(ms), wall(ms), &settings)?;
         Some((ms, handover))
     })
 }
 
-fn decided(situation: &Situation<'_>) -> Option<(u64, Handover)> {
-    first_handover(&mut HandoverPlanner::default(), situation, 0, 10_000)
+fn decided(input: &HandoverInput<'_>) -> Option<(u64, Handover)> {
+    first_handover(&mut HandoverPlanner::default(), input, 0, 10_000)
 }
 
 fn to(node: &str, reason: HandoverReason) -> Handover {
@@ -89,14 +89,14 @@
 #[test]
 fn a_leader_without_workers_hands_over_to_the_peer_with_most() {
     let (some, most) = (view("n-1", 3), view("n-2", 6));
-    let handover = decided(&situation(1, &[&some, &most]));
+    let handover = decided(&input(1, &[&some, &most]));
     assert_eq!(
         handover,
         Some((1000, to("n-2", HandoverReason::WorkersUnreachable)))
     );
     // Of equals, one is chosen, and always the same.
     let (one, other) = (view("n-2", 6), view("n-1", 6));
-    let handover = decided(&situation(1, &[&one, &other]));
+    let handover = decided(&input(1, &[&one, &other]));
     assert_eq!(
         handover,
         Some((1000, to("n-1", HandoverReason::WorkersUnreachable)))
@@ -106,24 +106,24 @@
 #[test]
 fn nothing_moves_when_nobody_is_better_placed() {
     let unreached = view("n-1", 0);
-    assert_eq!(decided(&situation(0, &[&unreached])), None);
-    assert_eq!(decided(&situation(0, &[])), None);
+    assert_eq!(decided(&input(0, &[&unreached])), None);
+    assert_eq!(decided(&input(0, &[])), None);
     // Hardly better is not better: the margin is a quarter of the workers.
     let hardly = view("n-1", 4);
-    assert_eq!(decided(&situation(3, &[&hardly])), None);
+    assert_eq!(decided(&input(3, &[&hardly])), None);
     // A leader that hears most of its workers stays, whoever hears more.
     let all = view("n-1", 8);
-    assert_eq!(decided(&situation(4, &[&all])), None);
+    assert_eq!(decided(&input(4, &[&all])), None);
     // Few workers may be silent for their own reasons.
-    let few = Situation {
+    let few = HandoverInput {
         reachability: Reachability {
             reachable: 0,
             expected: 2,
         },
-        ..situation(0, &[])
+        ..input(0, &[])
     };
     let both = view("n-1", 2);
-    let few = Situation {
+    let few = HandoverInput {
         views: &[&both],
         ..few
     };
@@ -150,19 +150,19 @@
         ..reaches_all()
     };
     for view in [cut, unproven, of_an_old_term, thinks_it_leads] {
-        assert_eq!(decided(&situation(0, &[&view])), None, "{view:?}");
+        assert_eq!(decided(&input(0, &[&view])), None, "{view:?}");
     }
 }
 
 #[test]
 fn a_leader_that_cannot_write_hands_over_to_one_that_can() {
     let able = view("n-1", 0);
-    let cannot_write = Situation {
+    let cannot_write = HandoverInput {
         state_writes: LinkState::Down,
-        ..situation(8, &[])
+        ..input(8, &[])
     };
     assert_eq!(decided(&cannot_write), None);
-    let peer_can = Situation {
+    let peer_can = HandoverInput {
         views: &[&able],
         ..cannot_write
     };
@@ -179,23 +179,23 @@
     let beyond = BTreeMap::from([(name("n-2"), 6)]);
     let (near, far) = (view("n-1", 1), view("n-2", 0));
     let both = [&near, &far];
-    let partitioned = Situation {
-        silent_near_unreached: &beyond,
-        ..situation(2, &both)
+    let partitioned = HandoverInput {
+        silent_workers_by_unreachable_peer: &beyond,
+        ..input(2, &both)
     };
     let handover = Some((1000, to("n-2", HandoverReason::WorkersUnreachable)));
     assert_eq!(decided(&partitioned), handover);
     // A peer that doesn't tell that it reaches the key-value store may as well be down.
-    let without_its_view = Situation {
+    let without_its_view = HandoverInput {
         views: &[&near],
         ..partitioned
     };
     assert_eq!(decided(&without_its_view), None);
     // A minority beyond the cut moves nothing.
     let few = BTreeMap::from([(name("n-2"), 2)]);
-    let minority = Situation {
-        silent_near_unreached: &few,
-        ..situation(6, &both)
+    let minority = HandoverInput {
+        silent_workers_by_unreachable_peer: &few,
+        ..input(6, &both)
     };
     assert_eq!(decided(&minority), None);
 }
@@ -209,7 +209,7 @@
     for round in 0..40 {
         let views = [if round % 4 < 3 { &able } else { &unreached }];
         let ms = round * 300;
-        let decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
+        let decided = planner.decide(&input(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided, None, "at {ms} ms");
     }
 }
@@ -224,7 +224,7 @@
     for round in 0..4 {
         let views = [if round % 2 == 0 { &one } else { &other }];
         let ms = round * 400;
-        decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
+        decided = planner.decide(&input(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided.is_some(), ms >= 1000, "at {ms} ms");
     }
     assert_eq!(decided, Some(to("n-2", HandoverReason::WorkersUnreachable)));
@@ -240,7 +240,7 @@
     let mut ms = 0;
     let reaches_all = view("n-1", 8);
     let views = [&reaches_all];
-    let cut_off = situation(0, &views);
+    let cut_off = input(0, &views);
     for _ in 0..6 {
         // Each term begins with the record, as the next leader reads it.
         let mut planner = HandoverPlanner::new(record.clone());
@@ -278,7 +278,7 @@
     let reaches_all = view("n-1", 8);
     let views = [&reaches_all];
     for ms in (0..20_000).step_by(250) {
-        let decided = planner.decide(&situation(0, &views), at(ms), wall(ms), &settings);
+        let decided = planner.decide(&input(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided, None);
     }
 }
@@ -364,8 +364,8 @@
         ..view("n-1", 3)
     };
     assert_eq!(accept(&at_sequence(1, 5), 0), Ok(()));
-    assert_eq!(accept(&at_sequence(1, 5), 100), Err(ViewError::Late));
-    assert_eq!(accept(&at_sequence(1, 4), 100), Err(ViewError::Late));
+    assert_eq!(accept(&at_sequence(1, 5), 100), Err(ViewError::Stale));
+    assert_eq!(accept(&at_sequence(1, 4), 100), Err(ViewError::Stale));
     // Another process of the peer begins anew.
     assert_eq!(accept(&at_sequence(2, 0), 200), Ok(()));
     assert_eq!(accept(&view("n-2", 8), 300), Err(ViewError::WrongSender));
--- a/crates/link-health/tests/states.rs
+++ b/crates/link-health/tests/states.rs
@@ -41,7 +41,7 @@
         let Some(LinkChange { link, transition }) = change else {
             return;
         };
-        let recovery = transition.recovery;
+        let recovery = transition.recovery_time;
         let recovery = recovery.map(|t| format!(", must answer for {} ms", t.0 / 1000));
         self.lines.push(format!(
             "{:>7.1} s  {link} is {}{}",
@@ -116,7 +116,7 @@
     }
     // Long calm: the losses are forgiven one by one.
     for minute in 1..=9 {
-        trace.tracker.forgive_old_flaps(at(ms + minute * 60_000));
+        trace.tracker.expire_old_flaps(at(ms + minute * 60_000));
     }
     ms += 9 * 60_000;
     for _ in 0..4 {
@@ -141,7 +141,7 @@
             let before = trace.tracker.state(&writes);
             let outcome = if cut { FAILED } else { CallOutcome::Answered };
             trace.see(&writes, outcome, ms);
-            trace.tracker.forgive_old_flaps(at(ms));
+            trace.tracker.expire_old_flaps(at(ms));
             let after = trace.tracker.state(&writes);
             losses += u32::from(before != LinkState::Down && after == LinkState::Down);
             up += u32::from(after != LinkState::Down);
@@ -206,7 +206,7 @@
     let mut trace = Trace::new();
     let writes = Link::StateWrites;
     let silence = Micros::from_secs(4);
-    let wanted = |trace: &mut Trace, ms| trace.tracker.wants_probe(&writes, silence, at(ms));
+    let wanted = |trace: &mut Trace, ms| trace.tracker.needs_probe(&writes, silence, at(ms));
     assert!(wanted(&mut trace, 0));
     trace.see(&Link::StateWrites, CallOutcome::Answered, 0);
     assert!(!wanted(&mut trace, 3999));
--- a/src/link_health/command.rs
+++ b/src/link_health/command.rs
@@ -1,4 +1,4 @@
-//! `aspenreel links`: what each controller concludes about its links, for a person or a script.
+//! The command `aspenreel links`: prints the link report of each controller as tables or as JSON.
 
 use crate::peer::{PeerReply, PeerRequest, PeerTransport, TcpTransport};
 use crate::settings::Settings;
@@ -12,31 +12,33 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// The exit code if some controllers answered and some didn't.
-const EXIT_SOME_SILENT: u8 = 3;
-/// The exit code if no controller answered.
-const EXIT_ALL_SILENT: u8 = 4;
+/// Exit code if some controllers answered and some didn't.
+const EXIT_SOME_UNANSWERED: u8 = 3;
+/// Exit code if no controller answered.
+const EXIT_NONE_ANSWERED: u8 = 4;
 
-/// Why there is no report of a controller.
+/// Reasons why the report of a controller isn't available.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum NoReport {
-    /// Nothing listens there.
+pub enum ReportRequestError {
+    /// The connection was refused.
     #[error("refuses connections: it is down, or has no free sockets")]
     Refused,
-    /// It didn't answer in time.
+    /// The controller didn't answer within the timeout.
     #[error("no answer in time: it is down, busy, or cut off from here")]
     Silent,
-    /// It closed the connection on the request.
+    /// The connection was closed before a reply arrived.
     #[error("closes the connection: an earlier version, or not a controller")]
     Closed,
-    /// Its answer is none that a controller would give.
+    /// The reply isn't one that a controller sends to this request.
+    #[serde(rename = "foreign")]
     #[error("answers in another protocol: not a controller")]
-    Foreign,
-    /// It doesn't watch its links.
+    UnexpectedReply,
+    /// The controller doesn't monitor its links.
+    #[serde(rename = "not-watching")]
     #[error("doesn't watch its links: it runs without --half-cut-links")]
-    NotWatching,
-    /// Its report can't be read here.
+    MonitoringDisabled,
+    /// The report can't be decoded.
     #[error("its report can't be read: {0}")]
     Unreadable(String),
     /// Any other failure.
@@ -44,85 +46,90 @@
     Other(String),
 }
 
-/// What one controller answered.
+/// The result of the request to one controller.
 #[derive(Debug)]
-pub struct Answer {
-    /// The controller, as the settings name it.
+pub struct ControllerAnswer {
+    /// Name of the controller in the settings.
     pub node: NodeName,
-    /// Where it was asked.
+    /// Peer address to which the request was sent.
     pub addr: SocketAddr,
-    /// Its report, or why there is none.
-    pub report: Result<LinkReport, NoReport>,
+    /// The controller's report, or the reason why it isn't available.
+    pub report: Result<LinkReport, ReportRequestError>,
 }
 
-/// Asks all controllers that the settings name at the same time; their answers by name. Never takes much longer
-/// than twice `timeout`, whatever the other ends do.
-pub fn ask_for_links(settings: &Settings, timeout: Duration) -> Vec<Answer> {
-    let own = (settings.node.clone(), settings.peer_listen);
+/// Requests the link reports of all configured controllers in parallel. Returns the results ordered by name, after
+/// little more than twice `timeout` at the latest, whatever the other ends do.
+pub fn request_link_reports(settings: &Settings, timeout: Duration) -> Vec<ControllerAnswer> {
+    let own_node = (settings.node.clone(), settings.peer_listen);
     let members = settings.members.iter();
     let mut nodes: Vec<_> = members.map(|m| (m.node.clone(), m.peer_addr)).collect();
-    nodes.push(own);
+    nodes.push(own_node);
     nodes.sort();
-    let asked: Vec<_> = nodes
+    let requests: Vec<_> = nodes
         .into_iter()
         .map(|(node, addr)| {
             let (sender, receiver) = mpsc::channel();
-            // An answer that arrives byte by byte delays this thread, but not the command.
+            // A reply that arrives byte by byte delays this thread, but not the command.
             std::thread::spawn(move || {
-                let _ = sender.send(ask(addr, timeout));
+                let _ = sender.send(request_link_report(addr, timeout));
             });
             (NodeName(node), addr, receiver)
         })
         .collect();
-    asked
+    requests
         .into_iter()
         .map(|(node, addr, receiver)| {
             let report = receiver.recv_timeout(2 * timeout);
-            Answer {
+            ControllerAnswer {
                 node,
                 addr,
-                report: report.unwrap_or(Err(NoReport::Silent)),
+                report: report.unwrap_or(Err(ReportRequestError::Silent)),
             }
         })
         .collect()
 }
 
-fn ask(addr: SocketAddr, timeout: Duration) -> Result<LinkReport, NoReport> {
+fn request_link_report(
+    addr: SocketAddr,
+    timeout: Duration,
+) -> Result<LinkReport, ReportRequestError> {
     let reply = TcpTransport::new(addr).call(&PeerRequest::LinkReport, timeout);
     match reply {
         Ok(PeerReply::LinkReport { report }) => LinkReport::decode(&report)
-            .map_err(|e: ReportError| NoReport::Unreadable(e.to_string())),
-        Ok(PeerReply::Busy) => Err(NoReport::NotWatching),
-        Ok(_) => Err(NoReport::Foreign),
-        Err(e) => Err(no_report(&e)),
+            .map_err(|e: ReportError| ReportRequestError::Unreadable(e.to_string())),
+        Ok(PeerReply::Busy) => Err(ReportRequestError::MonitoringDisabled),
+        Ok(_) => Err(ReportRequestError::UnexpectedReply),
+        Err(e) => Err(request_error(&e)),
     }
 }
 
-fn no_report(error: &Error) -> NoReport {
+fn request_error(error: &Error) -> ReportRequestError {
     match error.kind() {
-        ErrorKind::ConnectionRefused => NoReport::Refused,
-        ErrorKind::TimedOut | ErrorKind::WouldBlock => NoReport::Silent,
+        ErrorKind::ConnectionRefused => ReportRequestError::Refused,
+        ErrorKind::TimedOut | ErrorKind::WouldBlock => ReportRequestError::Silent,
         ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => {
-            NoReport::Closed
+            ReportRequestError::Closed
         }
-        // A frame that is too large, or that holds no reply.
-        ErrorKind::Other | ErrorKind::InvalidData | ErrorKind::InvalidInput => NoReport::Foreign,
-        _ => NoReport::Other(error.to_string()),
+        // A frame that is too large, or that doesn't contain a reply.
+        ErrorKind::Other | ErrorKind::InvalidData | ErrorKind::InvalidInput => {
+            ReportRequestError::UnexpectedReply
+        }
+        _ => ReportRequestError::Other(error.to_string()),
     }
 }
 
-/// 0 if all controllers answered, 3 if some did, 4 if none did.
-pub fn exit_code(answers: &[Answer]) -> ExitCode {
-    let silent = answers.iter().filter(|a| a.report.is_err()).count();
-    match silent {
+/// Exit code of the command: 0 if all controllers answered, 3 if some did, 4 if none did.
+pub fn exit_code(answers: &[ControllerAnswer]) -> ExitCode {
+    let unanswered = answers.iter().filter(|a| a.report.is_err()).count();
+    match unanswered {
         0 => ExitCode::SUCCESS,
-        n if n == answers.len() => ExitCode::from(EXIT_ALL_SILENT),
-        _ => ExitCode::from(EXIT_SOME_SILENT),
+        count if count == answers.len() => ExitCode::from(EXIT_NONE_ANSWERED),
+        _ => ExitCode::from(EXIT_SOME_UNANSWERED),
     }
 }
 
-/// All answers as one JSON document.
-pub fn links_json(answers: &[Answer]) -> String {
+/// Formats all results as one JSON document.
+pub fn links_json(answers: &[ControllerAnswer]) -> String {
     #[derive(Serialize)]
     struct AnswerJson<'a> {
         node: &'a NodeName,
@@ -130,7 +137,7 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         report: Option<&'a LinkReport>,
         #[serde(skip_serializing_if = "Option::is_none")]
-        problem: Option<&'a NoReport>,
+        problem: Option<&'a ReportRequestError>,
     }
     let answers: Vec<AnswerJson> = answers
         .iter()
@@ -144,11 +151,11 @@
     serde_json::to_string_pretty(&answers).unwrap_or_default()
 }
 
-/// All answers as tables.
-pub fn links_table(answers: &[Answer]) -> String {
+/// Formats all results as tables.
+pub fn links_table(answers: &[ControllerAnswer]) -> String {
     let mut out = String::new();
     for answer in answers {
-        // Writing to a string doesn't fail.
+        // Writing to a string can't fail.
         let _ = match &answer.report {
             Ok(report) => write_report(&mut out, report),
             Err(problem) => writeln!(out, "{} ({}): {problem}\n", answer.node, answer.addr),
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -1,4 +1,4 @@
-//! Handing leadership over: the record, the transaction, and what candidates read of it.
+//! Execution of a leadership handover, and the campaign delay that candidates derive from its record.
 
 use crate::controller::Controller;
 use crate::leadership::{LEADER_KEY, LeaderLease, PREFERRED_ZONE_KEY};
@@ -11,13 +11,13 @@
 
 /// The key of the last [`HandoverRecord`].
 pub const HANDOVER_KEY: &str = "handover";
-/// The longest wait for direct calls that are under way: longer than any of them takes.
+/// Maximum wait for direct calls that are in flight. Longer than the timeout of any of them.
 const MAX_CALL_WAIT: Micros = Micros::from_millis(1600);
-/// How often it is checked whether they have ended.
+/// Time between two checks whether direct calls are in flight.
 const CALL_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Controller {
-    /// The last handover on record; `None` also if it can't be read.
+    /// The last recorded handover. `None` if there is none, or if it can't be read.
     fn last_handover(&self) -> Option<HandoverRecord> {
         let row = self
             .store
@@ -26,12 +26,12 @@
         from_value(&row.data)
     }
 
-    /// A planner for a term that begins, where links are watched.
+    /// Creates a planner for a new term. `None` if links aren't monitored.
     pub fn new_handover_planner(&self) -> Option<HandoverPlanner> {
         self.link_health.as_ref()?;
         let last = match self.store.get(HANDOVER_KEY, StorePriority::Leadership) {
             Ok(row) => row.and_then(|row| from_value(&row.data)),
-            // Assume that the last one was just now, so that the pause is surely kept.
+            // The last handover is unknown. Assume that it happened just now, so that the pause is kept in any case.
             Err(_) => Some(HandoverRecord {
                 term: 0,
                 preferred: NodeName(self.settings.node.clone()),
@@ -43,11 +43,11 @@
         Some(HandoverPlanner::new(last))
     }
 
-    /// How long this controller waits before it campaigns, where links are watched.
+    /// Time that this controller waits before it campaigns. `None` if links aren't monitored.
     pub fn campaign_delay(&self, in_silent_zone: bool) -> Option<Micros> {
         let link_health = self.link_health.as_ref()?;
         let newest_term = self.state().newest_term;
-        // Only a handover that ended the newest term still states a preference.
+        // The preference of a handover applies only to the election right after the term that it ended.
         let last = self.last_handover();
         let handover = last.filter(|record| record.term == newest_term);
         let candidate = Candidate {
@@ -60,11 +60,11 @@
         Some(candidate.campaign_delay())
     }
 
-    /// Gives leadership up for the preferred peer. This controller has stopped acting already.
+    /// Gives up leadership in favor of the preferred peer. This controller must have stopped acting as the leader.
     ///
-    /// One transaction records the handover and removes the leader, on the precondition that this controller
-    /// still leads. If it gets no answer nothing is lost: the caller ends the lease next, and a transaction that
-    /// is applied late fails its precondition once another controller leads.
+    /// One transaction records the handover and deletes the leader's record, with the precondition that this
+    /// controller still leads. A transaction without an answer does no harm: the caller ends the lease next, and if
+    /// the transaction is applied after another controller has become the leader, its precondition fails.
     pub fn hand_over(
         &self,
         lease: &LeaderLease,
@@ -76,29 +76,39 @@
             Change::write(HANDOVER_KEY, to_value(record)),
             Change::delete(LEADER_KEY),
         ];
-        // Controllers that don't watch their links read only the preferred zone.
+        // Controllers that don't monitor their links read only the preferred zone.
         changes.extend(silent_zone.map(|zone| Change::write(PREFERRED_ZONE_KEY, to_value(&zone))));
         match self
             .store
             .transact(&[lease.precondition()], &changes, StorePriority::Leadership)
         {
-            Ok(_) => log::info!(term = lease.term; "handover recorded"),
-            Err(error) => log::info!(term = lease.term, error:%; "handover not recorded"),
+            Ok(_) => {
+                log::info!(
+                    term = lease.term, preferred:% = record.preferred;
+                    "leadership handover recorded"
+                )
+            }
+            Err(error) => {
+                log::info!(
+                    term = lease.term, preferred:% = record.preferred, error:%;
+                    "recording leadership handover failed"
+                )
+            }
         }
     }
 
-    /// Waits until commands that are under way have arrived or been given up, so that none arrives under the next
-    /// leader.
+    /// Waits until all direct calls in flight have ended, so that none of their commands arrives at a worker after
+    /// the next leader has been elected.
     fn await_direct_calls(&self) {
-        let began = self.now();
-        let under_way = || {
+        let started_at = self.now();
+        let calls_in_flight = || {
             let state = self.state();
             state
                 .scheduler
                 .as_ref()
-                .is_some_and(|c| !c.commands.calls_in_flight.is_empty())
+                .is_some_and(|scheduler| !scheduler.commands.calls_in_flight.is_empty())
         };
-        while under_way() && self.now() - began < MAX_CALL_WAIT {
+        while calls_in_flight() && self.now() - started_at < MAX_CALL_WAIT {
             self.os.sleep(CALL_CHECK_INTERVAL);
         }
     }
--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -1,9 +1,9 @@
-//! The thread that keeps the states of the links, publishes them and acts on them.
+//! The thread that updates the states of the links, publishes them, and begins handovers.
 
 use super::{LinkHealth, PublishedHealth, lock};
 use crate::controller::{Controller, ControllerState};
 use crate::time::{Micros, Moment};
-use aspenreel_link_health::handover::{HandoverRecord, Situation};
+use aspenreel_link_health::handover::{HandoverInput, HandoverRecord};
 use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::monitor::LinkState;
 use aspenreel_link_health::peer_views::PeerView;
@@ -13,17 +13,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The time between two drains of the observations.
-const INTERVAL: Micros = Micros::from_millis(250);
+/// Time between two updates of the link states.
+const UPDATE_INTERVAL: Micros = Micros::from_millis(250);
 
 impl Controller {
-    /// Keeps the states of the links and acts on them for as long as the process lives.
+    /// Updates the link states periodically until the process ends. Returns at once if links aren't monitored.
     pub fn link_state_loop(&self) {
         let Some(link_health) = self.link_health.clone() else {
             return;
         };
         loop {
-            self.os.sleep(INTERVAL.duration());
+            self.os.sleep(UPDATE_INTERVAL.duration());
             self.update_link_states(&link_health);
         }
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Makes this leader step down if a peer has been better placed for long enough.
+    /// Makes this leader step down if a peer has been better connected for long enough.
     fn begin_handover_if_due(
         &self,
         link_health: &LinkHealth,
@@ -67,13 +67,13 @@
             term = record.term,
             preferred:% = record.preferred,
             reason:? = record.reason;
-            "handover begins"
+            "leadership handover started"
         );
         state.handover = Some(record);
         state.step_down_for_others(now);
     }
 
-    /// The record of the handover that is due now, if this controller leads and one is.
+    /// The record of the handover that is due now. `None` if no handover is due or this controller doesn't lead.
     fn decide_handover(
         &self,
         link_health: &LinkHealth,
@@ -83,31 +83,31 @@
     ) -> Option<HandoverRecord> {
         let (lease, scheduler) = state.acting_leader(now)?;
         let (term, wall) = (lease.term, self.os.wall());
-        let silent_near_unreached =
-            link_health.silent_near_unreached(&scheduler.silent_by_zone(now));
-        // A new or overloaded leader can't tell that workers are silent.
+        let silent_workers_by_unreachable_peer =
+            link_health.silent_workers_by_unreachable_peer(&scheduler.silent_by_zone(now));
+        // A new or overloaded leader can't determine which workers are silent.
         let reachability = match scheduler.reachability_is_settled(now) {
             true => reachability,
             false => Reachability::default(),
         };
         let state_writes = link_health.state(&Link::StateWrites);
         let peer_views = lock(&link_health.peer_views);
-        let situation = Situation {
+        let input = HandoverInput {
             term,
             reachability,
             state_writes,
             views: &peer_views.fresh(now),
-            silent_near_unreached: &silent_near_unreached,
+            silent_workers_by_unreachable_peer: &silent_workers_by_unreachable_peer,
         };
         let settings = &link_health.settings;
         let planner = state.handover_planner.as_mut()?;
-        let handover = planner.decide(&situation, now, wall, settings)?;
+        let handover = planner.decide(&input, now, wall, settings)?;
         Some(planner.record(&handover, term, wall, settings))
     }
 }
 
-/// How many workers reach this controller: as a leader by their heartbeats, otherwise by the heartbeats that it
-/// refused.
+/// How many workers reach this controller: on a leader, according to the received heartbeats; on any other
+/// controller, according to the refused ones.
 fn worker_reachability(
     state: &mut ControllerState,
     refused_workers: u32,
@@ -123,7 +123,7 @@
 }
 
 impl LinkHealth {
-    /// Takes in all observations; the changes of state that follow.
+    /// Processes all queued observations and the present reachability. Returns the resulting changes of state.
     fn drain_observations(&self, reachability: Reachability, now: Moment) -> Vec<LinkChange> {
         let mut tracker = lock(&self.tracker);
         let mut changes = Vec::new();
@@ -131,24 +131,24 @@
             changes.extend(tracker.observe(observation));
         }
         changes.extend(tracker.update_reachability(reachability, now));
-        tracker.forgive_old_flaps(now);
+        tracker.expire_old_flaps(now);
         changes
     }
 
-    /// For each peer that isn't reached, the number of silent machines in its zone.
-    fn silent_near_unreached(
+    /// For each peer that this controller doesn't reach, the number of silent workers in the peer's zone.
+    fn silent_workers_by_unreachable_peer(
         &self,
         silent_by_zone: &BTreeMap<&str, u32>,
     ) -> BTreeMap<NodeName, u32> {
         let tracker = lock(&self.tracker);
-        let mut silent_near_unreached = BTreeMap::new();
+        let mut silent_workers_by_unreachable_peer = BTreeMap::new();
         for (peer, zone) in &self.peer_zones {
             let is_reached = tracker.state(&Link::Peer(peer.clone())) == LinkState::Up;
             if let Some(count) = silent_by_zone.get(zone.as_str()).filter(|_| !is_reached) {
-                silent_near_unreached.insert(peer.clone(), *count);
+                silent_workers_by_unreachable_peer.insert(peer.clone(), *count);
             }
         }
-        silent_near_unreached
+        silent_workers_by_unreachable_peer
     }
 
     fn report(&self, state: &mut ControllerState, now: Moment) -> LinkReport {
@@ -191,29 +191,33 @@
     let (offers_views, known) = match view {
         PeerView::NotReceived => (true, None),
         PeerView::Unsupported => (false, None),
-        PeerView::Known { view, asked, .. } => (true, Some((view, *asked))),
+        PeerView::Known {
+            view, requested_at, ..
+        } => (true, Some((view, *requested_at))),
     };
     PeerRow {
         peer: peer.clone(),
         offers_views,
-        view_ms_ago: known.map(|(_, asked)| (now - asked).0 / 1000),
+        view_ms_ago: known.map(|(_, requested_at)| (now - requested_at).0 / 1000),
         reachable_workers: known.map(|(view, _)| view.reachability.reachable),
     }
 }
 
-/// Logs a change of state at the level of its importance to an operator.
+/// Logs a change of state, at a level that depends on its importance to operators.
 fn log_change(change: &LinkChange) {
-    const EVENT: &str = "link changed";
+    const EVENT: &str = "link state changed";
     let LinkChange { link, transition } = change;
     let (state, previous) = (transition.to, transition.from);
     let reason = transition.failure.map(|failure| failure.to_string());
     let reason = reason.as_deref().unwrap_or("unknown");
-    let recovery_s = transition.recovery.map_or(0.0, |time| time.as_secs_f64());
+    let recovery_s = transition
+        .recovery_time
+        .map_or(0.0, |time| time.as_secs_f64());
     match (previous, state) {
         (_, LinkState::Down) => {
             log::warn!(link:%, state:%, previous:%, reason, recovery_s; "{EVENT}");
         }
-        // Single failures are frequent and mostly without consequence.
+        // Single failures are frequent and mostly have no effect.
         (_, LinkState::Suspect) => {
             log::debug!(link:%, state:%, previous:%, reason; "{EVENT}");
         }
--- a/src/link_health/mod.rs
+++ b/src/link_health/mod.rs
@@ -1,12 +1,12 @@
-//! Link health: what this controller concludes about its links, and what follows from it.
+//! Monitoring of this controller's network links, and leadership handover.
 //!
-//! The package [`aspenreel_link_health`] makes the decisions; this slice supplies its input and carries out
-//! its decisions. All threads that call another process record what their calls showed in a lock-free queue
-//! ([`ObservationQueue`]). One thread (`link_state_loop`) drains it, keeps the states of the links and
-//! publishes them; another (`view_exchange_loop`) asks peers for their views and probes links that are
-//! silent. Readers of the published states take no lock.
+//! The crate [`aspenreel_link_health`] makes the decisions; this module supplies its inputs and carries out
+//! its decisions. All threads that call another process record the outcomes of their calls in a lock-free
+//! queue ([`ObservationQueue`]). One thread (`link_state_loop`) drains the queue, updates the states of the links
+//! and publishes them. Another thread (`view_exchange_loop`) asks peers for their views and probes links without
+//! recent answers. Readers of the published states take no lock.
 //!
-//! All of this exists only with `--half-cut-links`.
+//! Links are monitored only with `--half-cut-links`.
 
 pub mod command;
 mod handover;
@@ -38,32 +38,32 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The lifetime of a direct view in heartbeat intervals: less than the silence after which a worker counts as
+/// Lifetime of a direct view in heartbeat intervals. Shorter than the silence after which a worker counts as
 /// unreachable.
 const DIRECT_VIEW_INTERVALS: f64 = 4.0 / 3.0;
-/// The shortest lifetime of a direct view: peers are asked about once a second.
+/// Minimum lifetime of a direct view: peers are asked for views about once per second.
 const MIN_DIRECT_VIEW_LIFETIME: Micros = Micros::from_millis(1500);
-/// The lifetime of a stored view: it is written every 2 to 3 s, and read as often.
+/// Lifetime of a stored view. Stored views are written every 2 to 3 s, and read as often.
 const STORED_VIEW_LIFETIME: Micros = Micros::from_secs(8);
-/// How long a worker takes to try the next controller: 4 s until it gives one up, and a pause of 1 s, rounded
-/// up.
-const WORKER_RETRY: Micros = Micros::from_secs(6);
+/// Time that a worker needs to try the next controller, rounded up: it gives a controller up after 4 s, then pauses
+/// for 1 s.
+const WORKER_FAILOVER_TIME: Micros = Micros::from_secs(6);
 
-/// The states of the links that other threads read without a lock.
+/// The link states that other threads read without a lock.
 #[derive(Clone, Debug)]
 struct PublishedHealth {
     /// The report for operators.
     report: LinkReport,
-    /// The link for reads of the key-value store.
+    /// State of the link for reads of the key-value store.
     state_reads: LinkState,
-    /// The link for writes to the key-value store.
+    /// State of the link for writes to the key-value store.
     state_writes: LinkState,
 }
 
-/// Everything that this process keeps about its links.
+/// The state of link monitoring in this process, shared by all threads.
 pub struct LinkHealth {
     settings: LinkSettings,
-    /// Where all threads record what their calls showed.
+    /// Queue in which all threads record the outcomes of their calls.
     pub observations: Arc<ObservationQueue>,
     own_name: NodeName,
     peers: Vec<NodeName>,
@@ -72,16 +72,16 @@
     peer_views: Mutex<PeerViews>,
     refused_heartbeats: Mutex<RefusedHeartbeats>,
     published: ArcSwap<PublishedHealth>,
-    /// The time of day at which this process began, in microseconds.
-    process: u64,
-    /// The sequence number of the next view.
+    /// Wall-clock time at which this process started, in microseconds since the Unix epoch.
+    process_started_at: u64,
+    /// Sequence number of the next view.
     next_sequence: AtomicU64,
-    /// A rejected view has been logged. Only the first one is; all are counted.
+    /// Whether a rejected view has been logged. Only the first one is logged; all are counted.
     rejection_logged: AtomicBool,
 }
 
 impl LinkHealth {
-    /// The state of a process that began at the time of day `wall`: nothing is known of any link yet.
+    /// Creates the state of a process that started at the wall-clock time `wall`. All links are unknown.
     pub fn new(settings: &Settings, link_settings: LinkSettings, wall: WallTime) -> LinkHealth {
         let own_name = NodeName(settings.node.clone());
         let peer_zones: BTreeMap<NodeName, String> = settings
@@ -92,7 +92,7 @@
         let members = settings.members.iter();
         let peers: Vec<NodeName> = members.map(|m| NodeName(m.node.clone())).collect();
         let site = &settings.settings;
-        let window = site.workers.heartbeat_interval().scaled(2.0) + WORKER_RETRY;
+        let window = site.workers.heartbeat_interval().scaled(2.0) + WORKER_FAILOVER_TIME;
         let refused_heartbeats = RefusedHeartbeats::new(site.quota.max_machines(), window);
         let peer_views = PeerViews::new(own_name.clone(), &peers, view_lifetimes(site));
         LinkHealth {
@@ -101,7 +101,7 @@
             refused_heartbeats: Mutex::new(refused_heartbeats),
             published: ArcSwap::from_pointee(PublishedHealth::unknown(own_name.clone())),
             observations: Arc::default(),
-            process: wall.0,
+            process_started_at: wall.0,
             next_sequence: AtomicU64::new(0),
             rejection_logged: AtomicBool::new(false),
             settings: link_settings,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Records that a worker's heartbeat was refused, since this controller doesn't lead.
+    /// Records that a worker's heartbeat was refused because this controller doesn't lead.
     pub fn record_refused_heartbeat(&self, worker: &str, now: Moment) {
         lock(&self.refused_heartbeats).record(worker, now);
     }
 
-    /// Whether some peer answers without exchanging views, so that the best-placed controller can't be known.
+    /// Whether any peer answers without exchanging views, so that the best-connected controller can't be known.
     pub fn any_peer_without_views(&self) -> bool {
         lock(&self.peer_views).any_unsupported()
     }
@@ -138,18 +138,18 @@
     }
 
     fn log_rejected_view(&self, sender: &str, error: ViewError) {
-        if error != ViewError::Late && !self.rejection_logged.swap(true, Ordering::Relaxed) {
+        if error != ViewError::Stale && !self.rejection_logged.swap(true, Ordering::Relaxed) {
             log::warn!(peer = sender, reason:% = error; "link view rejected");
         }
     }
 
-    /// A new view of this controller's links for one peer.
+    /// A new view of this controller's links, addressed to one peer.
     fn view_for(&self, peer: &NodeName) -> LinkView {
         let published = self.published();
         LinkView {
             from: self.own_name.clone(),
             to: peer.clone(),
-            process: self.process,
+            process: self.process_started_at,
             sequence: self.next_sequence.fetch_add(1, Ordering::Relaxed),
             term: published.report.term,
             leads: published.report.leads,
@@ -161,7 +161,7 @@
 }
 
 impl PublishedHealth {
-    /// Before anything is known.
+    /// The state before the first update: all links are unknown.
     fn unknown(node: NodeName) -> PublishedHealth {
         let report = LinkReport {
             node,
@@ -194,7 +194,7 @@
     }
 }
 
-/// Locks a mutex also after a thread panicked while it held it: each change under these locks is whole in itself.
+/// Locks a mutex, even if it is poisoned: no change under these locks can be left half done by a panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/src/link_health/observation_queue.rs
+++ b/src/link_health/observation_queue.rs
@@ -1,4 +1,4 @@
-//! The queue through which all threads report what their calls showed.
+//! The queue in which all threads record the outcomes of their calls.
 
 use crate::time::Moment;
 use aspenreel_link_health::link::Link;
@@ -6,11 +6,11 @@
 use crossbeam_queue::ArrayQueue;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Far more observations than all threads together make between two drains of the queue.
+/// Capacity of the queue: far more observations than all threads together make between two drains of it.
 const CAPACITY: usize = 1024;
 
-/// A bounded lock-free queue of observations. When it is full the oldest one is dropped, since newer ones
-/// say more about the present.
+/// A bounded lock-free queue of observations. If it is full, the oldest observation is dropped, since newer ones
+/// are more relevant to the present state of the links.
 #[derive(Debug)]
 pub struct ObservationQueue {
     queue: ArrayQueue<Observation>,
@@ -27,7 +27,7 @@
 }
 
 impl ObservationQueue {
-    /// Adds an observation; never blocks.
+    /// Adds an observation. Never blocks.
     pub fn record(&self, link: Link, outcome: CallOutcome, at: Moment) {
         let observation = Observation { link, outcome, at };
         if self.queue.force_push(observation).is_some() {
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Removes the oldest observation.
+    /// Removes and returns the oldest observation.
     pub(super) fn pop(&self) -> Option<Observation> {
         self.queue.pop()
     }
 
-    /// The number of observations that were dropped.
+    /// Number of observations that were dropped since the process started.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
--- a/src/link_health/view_exchange_loop.rs
+++ b/src/link_health/view_exchange_loop.rs
@@ -1,4 +1,4 @@
-//! The thread that exchanges views with peers and probes links that are silent.
+//! The thread that exchanges views with peers and probes links without recent answers.
 
 use super::{LinkHealth, lock};
 use crate::controller::Controller;
@@ -12,49 +12,49 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A round begins this long after the last one ended, drawn between half of it and all of it.
+/// Maximum pause between two rounds in milliseconds. Each pause is random, from half of this to all of it.
 const MAX_PAUSE_MS: u64 = 1200;
-/// The time limit of a request for a view.
+/// Timeout of a request for a view.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// A peer that doesn't exchange views is asked again after this, since it may have been replaced.
+/// Time until a peer that doesn't exchange views is asked again, since it may have been upgraded meanwhile.
 const UNSUPPORTED_RETRY: Micros = Micros::from_secs(30);
-/// A peer that didn't answer is asked again after this, so that the others don't wait for it in each round.
+/// Time until a peer that didn't answer is asked again, so that it doesn't delay the others in each round.
 const UNANSWERED_RETRY: Micros = Micros::from_millis(1500);
-/// A link that has not answered for this long is probed.
+/// Time without an answer after which a link is probed.
 const PROBE_AFTER: Micros = Micros::from_secs(4);
-/// A key that is never written: a transaction that only compares it makes no change.
+/// The key of probes. It is never written: a transaction whose only part is a precondition on it changes nothing.
 const PROBE_KEY: &str = "links-probe";
-/// The keys of views that go through the store, since their sender doesn't reach the leader.
+/// Prefix of the keys of views in the key-value store, whose senders don't reach the leader directly.
 const VIEWS_PREFIX: &str = "views/";
-/// A view is written there at most this often.
+/// Minimum time between two writes of this controller's view to the key-value store.
 const PUBLISH_INTERVAL: Micros = Micros::from_secs(2);
-/// How many views are read from the store at once: more than there are controllers.
-const PAGE: usize = 100;
-/// `skew_ms` bounds the difference of one clock from true time, in milliseconds; two clocks differ by twice as
-/// much, in seconds.
+/// Maximum number of views that are read from the key-value store: more than there are controllers.
+const PAGE_SIZE: usize = 100;
+/// Divisor that turns `skew_ms` into the maximum difference of two clocks in seconds. `skew_ms` is the maximum
+/// deviation of one clock from true time in milliseconds, and two clocks can differ by twice as much.
 const SKEW_MS_TO_PAIR_SECS: f64 = 500.0;
 
 /// A view in the key-value store.
 #[derive(Serialize, Deserialize)]
 struct StoredView {
-    /// The time of day at which it was true, in microseconds.
+    /// Wall-clock time of the sender at which the view was true, in microseconds since the Unix epoch.
     at: u64,
     view: LinkView,
 }
 
-/// What the thread remembers between its rounds.
+/// The state that the thread keeps between its rounds.
 #[derive(Default)]
 struct ExchangeState {
-    /// Peers that don't exchange views, and when they were last asked.
+    /// Peers that don't exchange views, with the time of the last request.
     unsupported: BTreeMap<NodeName, Moment>,
-    /// Peers that didn't answer, and when they were last asked.
+    /// Peers that didn't answer, with the time of the last request.
     unanswered: BTreeMap<NodeName, Moment>,
     published_at: Option<Moment>,
 }
 
 impl ExchangeState {
-    /// Whether the peer was asked so lately without success that it is left alone.
-    fn is_too_early(&self, peer: &NodeName, now: Moment) -> bool {
+    /// Whether the last request to the peer failed so recently that the peer isn't asked again yet.
+    fn is_in_backoff(&self, peer: &NodeName, now: Moment) -> bool {
         let within = |at: Option<&Moment>, pause| at.is_some_and(|at| now - *at < pause);
         within(self.unsupported.get(peer), UNSUPPORTED_RETRY)
             || within(self.unanswered.get(peer), UNANSWERED_RETRY)
@@ -62,7 +62,8 @@
 }
 
 impl Controller {
-    /// Exchanges views with peers and probes silent links for as long as the process lives.
+    /// Exchanges views with peers and probes the key-value store periodically until the process ends. Returns at
+    /// once if links aren't monitored.
     pub fn view_exchange_loop(&self) {
         let Some(link_health) = self.link_health.clone() else {
             return;
@@ -79,29 +80,29 @@
         }
     }
 
-    /// Probes reads and writes of the key-value store where nothing else shows their state.
+    /// Probes reads and writes of the key-value store if no other calls show the state of these links.
     fn probe_store(&self, link_health: &LinkHealth) {
         let now = self.now();
-        let wants_probe = |link| lock(&link_health.tracker).wants_probe(&link, PROBE_AFTER, now);
-        // The results don't matter here: the store's client records the outcome of every call.
-        if wants_probe(Link::StateReads) {
+        let needs_probe = |link| lock(&link_health.tracker).needs_probe(&link, PROBE_AFTER, now);
+        // The results can be ignored: the store's client records the outcome of every call.
+        if needs_probe(Link::StateReads) {
             let _ = self.store.get(PROBE_KEY, StorePriority::Background);
         }
-        if wants_probe(Link::StateWrites) {
-            let guard = Precondition::new(PROBE_KEY, 0);
+        if needs_probe(Link::StateWrites) {
+            let precondition = Precondition::new(PROBE_KEY, 0);
             let _ = self
                 .store
-                .transact(&[guard], &[], StorePriority::Background);
+                .transact(&[precondition], &[], StorePriority::Background);
         }
     }
 
-    /// Sends a peer this controller's view and takes in its own, unless it was asked too lately.
+    /// Sends this controller's view to a peer and stores the peer's view, unless the peer is in backoff.
     fn exchange_views(&self, link_health: &LinkHealth, peer: &NodeName, state: &mut ExchangeState) {
         let Some(client) = self.peers.get(&peer.0) else {
             return;
         };
-        let asked = self.now();
-        if state.is_too_early(peer, asked) {
+        let requested_at = self.now();
+        if state.is_in_backoff(peer, requested_at) {
             return;
         }
         state.unanswered.remove(peer);
@@ -109,23 +110,23 @@
         match client.exchange_views(view, REQUEST_TIMEOUT) {
             ViewExchange::View(bytes) => {
                 state.unsupported.remove(peer);
-                let accepted = lock(&link_health.peer_views).accept(peer, &bytes, asked);
+                let accepted = lock(&link_health.peer_views).accept(peer, &bytes, requested_at);
                 if let Err(error) = accepted {
                     link_health.log_rejected_view(&peer.0, error);
                 }
             }
             ViewExchange::NotOffered => {
-                state.unsupported.insert(peer.clone(), asked);
+                state.unsupported.insert(peer.clone(), requested_at);
                 lock(&link_health.peer_views).mark_unsupported(peer);
             }
             ViewExchange::Failed => {
-                state.unanswered.insert(peer.clone(), asked);
+                state.unanswered.insert(peer.clone(), requested_at);
             }
         }
     }
 
-    /// Writes this controller's view to the key-value store while it doesn't reach the leader, which then may
-    /// not hear its workers either.
+    /// Writes this controller's view to the key-value store while it doesn't reach the leader. The same network
+    /// fault may cut the leader off from workers, and the leader can then read the view.
     fn publish_view(&self, link_health: &LinkHealth, state: &mut ExchangeState) {
         let now = self.now();
         let published = link_health.published();
@@ -145,11 +146,12 @@
         };
         let key = format!("{VIEWS_PREFIX}{}", link_health.own_name);
         let change = Change::write(key, to_value(&stored));
-        // A view that isn't written is followed by the next one.
+        // A failed write needs no retry: the next view is written soon after.
         let _ = self.store.transact(&[], &[change], StorePriority::Normal);
     }
 
-    /// A leader that few workers reach looks for views of peers that it doesn't reach.
+    /// Reads the views in the key-value store, if this controller leads, most workers don't reach it, and it doesn't
+    /// reach all peers.
     fn read_published_views(&self, link_health: &LinkHealth) {
         let published = link_health.published();
         let report = &published.report;
@@ -162,7 +164,7 @@
         }
         let Ok(page) = self
             .store
-            .range(VIEWS_PREFIX, None, PAGE, StorePriority::Normal)
+            .range(VIEWS_PREFIX, None, PAGE_SIZE, StorePriority::Normal)
         else {
             return;
         };
@@ -176,12 +178,12 @@
             let true_at = Moment(now.0.saturating_sub(age.0));
             let peer = stored.view.from.clone();
             let view = stored.view.encode();
-            // Most were read before and are rejected as late.
+            // Most of these views were read before and are rejected as stale.
             let _ = lock(&link_health.peer_views).accept_stored(&peer, &view, true_at);
         }
     }
 
-    /// Answers a peer that sent its view with this controller's.
+    /// Answers a peer's view with the view of this controller.
     pub fn answer_view(&self, bytes: &[u8]) -> PeerReply {
         let Some(link_health) = &self.link_health else {
             return PeerReply::Busy;
@@ -194,7 +196,7 @@
                 return PeerReply::Busy;
             }
         };
-        // The view may have been under way for long: only its arrival proves anything.
+        // The view may have been delayed in the network, so only its arrival is an observation.
         let peer = Link::Peer(view.from.clone());
         let received = CallOutcome::MessageReceived;
         link_health.observations.record(peer, received, self.now());
@@ -215,7 +217,7 @@
 }
 
 impl LinkHealth {
-    /// Reads a view that a peer sent to this controller.
+    /// Decodes a view that was received, and checks its sender and receiver.
     fn decode_addressed_view(&self, bytes: &[u8]) -> Result<LinkView, ViewError> {
         let view = LinkView::decode(bytes)?;
         if view.to != self.own_name {
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
 use aspenreel::controller::{Controller, StartError};
 use aspenreel::leadership::version_rollback::{RollbackError, allow_earlier_versions};
-use aspenreel::link_health::command::{ask_for_links, exit_code, links_json, links_table};
+use aspenreel::link_health::command::{exit_code, links_json, links_table, request_link_reports};
 use aspenreel::logging::{self, LoggingError};
 use aspenreel::os::System;
 use aspenreel::settings::{Settings, SettingsError};
@@ -59,7 +59,7 @@
 /// Prints what the controllers say about their links.
 fn show_links(options: &LinksOptions) -> Result<ExitCode, CommandError> {
     let settings = Settings::load(&options.config)?;
-    let answers = ask_for_links(&settings, Duration::from_millis(options.timeout_ms));
+    let answers = request_link_reports(&settings, Duration::from_millis(options.timeout_ms));
     if options.json {
         println!("{}", links_json(&answers));
     } else {
