--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,54 +1,55 @@
-//! Whole-microsecond time: points on the steady clock, spans between them and the time of day.
+//! Time in whole microseconds: durations, monotonic time and wall-clock time.
 //!
-//! Wire units (seconds, milliseconds) are converted at the edges only.
+//! Other units (seconds and milliseconds in messages and settings) are converted on input and output only.
 
 use std::ops::{Add, Sub};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A span of time in whole microseconds.
+/// A duration in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: Micros = Micros(0);
 
-    /// So many seconds.
-    pub const fn from_secs(s: u64) -> Self {
-        Micros(s * 1_000_000)
+    /// Creates a duration from whole seconds.
+    pub const fn from_secs(seconds: u64) -> Self {
+        Micros(seconds * 1_000_000)
     }
 
-    /// So many milliseconds.
-    pub const fn from_millis(ms: u64) -> Self {
-        Micros(ms * 1_000)
+    /// Creates a duration from whole milliseconds.
+    pub const fn from_millis(millis: u64) -> Self {
+        Micros(millis * 1_000)
     }
 
-    /// Converts seconds from the wire; negative, absurd or undefined amounts are clamped.
-    pub fn from_secs_f64(s: f64) -> Self {
-        if s.is_nan() || s <= 0.0 {
+    /// Creates a duration from seconds, rounded to microseconds. NaN and negative values become zero, and values
+    /// above 1e12 seconds become 1e12 seconds.
+    pub fn from_secs_f64(seconds: f64) -> Self {
+        if seconds.is_nan() || seconds <= 0.0 {
             return Micros(0);
         }
-        Micros((s.min(1e12) * 1e6).round() as u64)
+        Micros((seconds.min(1e12) * 1e6).round() as u64)
     }
 
-    /// In seconds, for the wire and for people.
+    /// The duration in seconds, for messages and output.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// As the standard library's span.
+    /// The duration as a [`Duration`] of the standard library.
     pub fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// The difference, zero if `other` is longer.
+    /// The difference of two durations; zero if `other` is longer.
     pub fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// This span scaled, for safety margins and weights.
-    pub fn scaled(self, by: f64) -> Micros {
-        Micros::from_secs_f64(self.as_secs_f64() * by)
+    /// The duration multiplied by `factor`, for safety margins and weights.
+    pub fn scaled(self, factor: f64) -> Micros {
+        Micros::from_secs_f64(self.as_secs_f64() * factor)
     }
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// A point on this process's steady clock.
+/// A time of this process's monotonic clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(pub u64);
 
@@ -72,18 +73,18 @@
 
 impl Sub<Moment> for Moment {
     type Output = Micros;
-    /// Saturates at zero: "how long since" is never negative.
+    /// The duration from `rhs` to this time. Zero if `rhs` is later.
     fn sub(self, rhs: Moment) -> Micros {
         Micros(self.0.saturating_sub(rhs.0))
     }
 }
 
-/// A point on the time of day, in microseconds since the Unix epoch.
+/// A wall-clock time in microseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WallTime(pub u64);
 
-/// How far back before a process's start its moments reach.
-const LONG_BEFORE: Micros = Micros::from_secs(365 * 24 * 3600);
+/// The monotonic time at which a process starts: events up to this long before the start have a valid [`Moment`].
+const CLOCK_START: Micros = Micros::from_secs(365 * 24 * 3600);
 
 /// The clocks of one process.
 #[derive(Debug)]
@@ -100,15 +101,15 @@
 }
 
 impl Clock {
-    /// The steady clock.
+    /// The current time of the monotonic clock.
     ///
-    /// It starts late enough that what happened long before the process can be expressed: jobs and
-    /// machines are older than a controller that was just restarted, and keep their age.
+    /// The clock doesn't start at zero, so that times long before the start of the process can be represented: jobs
+    /// and machines can be older than a controller that has just been restarted, and must keep their age.
     pub fn now(&self) -> Moment {
-        Moment(LONG_BEFORE.0 + self.origin.elapsed().as_micros() as u64)
+        Moment(CLOCK_START.0 + self.origin.elapsed().as_micros() as u64)
     }
 
-    /// The time of day; the epoch if the system's clock stands before it.
+    /// The current wall-clock time; the Unix epoch if the system clock is set to an earlier time.
     pub fn wall(&self) -> WallTime {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -117,15 +118,15 @@
     }
 }
 
-/// Spans measured on different machines' steady clocks disagree by at most this share.
-pub const DRIFT: f64 = 0.001;
+/// Maximum relative difference between durations that the monotonic clocks of different machines measure.
+pub const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-/// What `span` measured on another machine lasts at most on this one.
-pub fn max_with_drift(span: Micros) -> Micros {
-    span.scaled(1.0 + DRIFT)
+/// The maximum duration on this machine's clock of `duration` as measured by another machine.
+pub fn max_with_drift(duration: Micros) -> Micros {
+    duration.scaled(1.0 + MAX_CLOCK_DRIFT)
 }
 
-/// What `span` measured on another machine lasts at least on this one.
-pub fn min_with_drift(span: Micros) -> Micros {
-    span.scaled(1.0 - DRIFT)
+/// The minimum duration on this machine's clock of `duration` as measured by another machine.
+pub fn min_with_drift(duration: Micros) -> Micros {
+    duration.scaled(1.0 - MAX_CLOCK_DRIFT)
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,8 @@
-//! The command line: `aspenreel serve --config FILE`, with every flag also an environment variable, and the
-//! operators' commands.
+//! The command line: `aspenreel serve --config FILE`, whose tuning flags can also be set as environment variables,
+//! and the commands for operators.
 //!
-//! Flags and variables that were renamed go on working under their earlier names, which the help doesn't show.
+//! Renamed flags and environment variables are still accepted under their earlier names, which the help doesn't
+//! show.
 
 #![warn(missing_docs)]
 
@@ -9,12 +10,12 @@
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A variable that had other names in earlier versions.
+/// An environment variable that had other names in earlier versions.
 struct RenamedVariable {
-    /// The option's field in [`ServeOptions`].
+    /// Name of the option's field in [`ServeOptions`].
     option: &'static str,
     variable: &'static str,
-    /// The newest first.
+    /// Earlier names, the newest first.
     earlier: &'static [&'static str],
 }
 
@@ -59,7 +60,7 @@
     },
 ];
 
-/// What the process is asked to do.
+/// The parsed command line.
 #[derive(Debug, Parser)]
 #[command(
     name = "aspenreel",
@@ -73,14 +74,15 @@
 }
 
 impl Cli {
-    /// Reads the command line and the variables, those with earlier names as well. Ends the process with a
-    /// message where they are wrong.
+    /// Parses the command line and the environment variables, including those with earlier names. Prints an error
+    /// message and ends the process if they are invalid.
     pub fn from_process() -> Cli {
         let matches = Cli::with_earlier_variables().get_matches();
         Cli::from_arg_matches(&matches).unwrap_or_else(|e| e.exit())
     }
 
-    /// The commands, with each variable's earlier name in place of the present one where only that is set.
+    /// The command-line definition. If only an earlier name of an environment variable is set, that name replaces the
+    /// present one.
     fn with_earlier_variables() -> clap::Command {
         let is_set = |name: &str| std::env::var_os(name).is_some();
         Cli::command().mut_subcommand("serve", |mut serve| {
@@ -102,10 +104,10 @@
 pub enum Command {
     /// Run one controller until it is killed
     Serve(ServeOptions),
-    /// Before going back to an earlier version, with all controllers stopped: let it take the lead
-    /// again. Refused while standing jobs are on record
+    /// Allow controllers of earlier versions to lead again; run before a downgrade, while all controllers
+    /// are stopped. Refused while standing jobs are recorded
     AllowEarlierVersions(RollbackOptions),
-    /// Print what each controller believes about its links; changes nothing
+    /// Print each controller's view of its network links; changes nothing
     Links(LinksOptions),
 }
 
@@ -120,10 +122,10 @@
 /// Options of `links`.
 #[derive(Clone, Debug, Args)]
 pub struct LinksOptions {
-    /// Print one JSON document in place of tables
+    /// Print one JSON document instead of tables
     #[arg(long)]
     pub json: bool,
-    /// How long to wait for each controller, in milliseconds
+    /// Timeout of the request to each controller, in milliseconds
     #[arg(long, default_value_t = 1500, value_parser = clap::value_parser!(u64).range(50..=60_000))]
     pub timeout_ms: u64,
     /// The platform's settings file (TOML) of any controller
@@ -131,49 +133,49 @@
     pub config: PathBuf,
 }
 
-/// Options of `serve`: what an operator may tune.
+/// Options of `serve`.
 #[derive(Clone, Debug, Args)]
 pub struct ServeOptions {
-    /// Options of the link health checks.
+    /// Options of link monitoring and handover.
     #[command(flatten)]
     pub links: LinkOptions,
-    /// Time between two rounds in which done sets are recorded, in milliseconds
+    /// Time between two rounds of recording done sets, in milliseconds
     #[arg(long, alias = "round-ms", env = "ASPENREEL_RECORD_ROUND_MS", default_value_t = 2000,
           value_parser = clap::value_parser!(u64).range(50..=60_000))]
     pub record_round_ms: u64,
-    /// Machines drawn for a task before all are looked at; one in 16 of those with free capacity, where
-    /// that is more
+    /// Number of machines sampled at random for a task before all machines are considered; one in 16 of
+    /// those with free capacity, if that is more
     #[arg(long, alias = "sample", env = "ASPENREEL_CANDIDATE_SAMPLE", default_value_t = 3,
           value_parser = clap::value_parser!(u64).range(1..=1000))]
     pub candidate_sample: u64,
-    /// Changes that the leader may write, as a share of the key-value store's limit, in percent;
-    /// the rest is for submissions
+    /// Share of the key-value store's write limit that the leader may use, in percent; the rest is
+    /// reserved for submissions
     #[arg(long, env = "ASPENREEL_WRITE_BUDGET", default_value_t = 60,
           value_parser = clap::value_parser!(u64).range(1..=90))]
     pub write_budget: u64,
-    /// Length of the leader's lease in the key-value store, in milliseconds; with the workers'
-    /// lease it must fit into the time for a cancellation [default: 8000, or less where that needs it]
+    /// Duration of the leader's lease in the key-value store, in milliseconds; together with the workers'
+    /// lease it must not exceed the time allowed for a cancellation [default: 8000, or less if necessary]
     #[arg(long, alias = "hold-ms", env = "ASPENREEL_LEADER_LEASE_MS",
           value_parser = clap::value_parser!(u64).range(1000..=60_000))]
     pub leader_lease_ms: Option<u64>,
-    /// A spot machine without work is returned after this long, in milliseconds; an on-demand one
-    /// after a quarter of it
+    /// Time after which an idle spot machine is returned, in milliseconds; an idle on-demand machine is
+    /// returned after a quarter of it
     #[arg(long, alias = "idle-ms", env = "ASPENREEL_MAX_IDLE_MS", default_value_t = 20_000,
           value_parser = clap::value_parser!(u64).range(1000..=86_400_000))]
     pub max_idle_ms: u64,
-    /// Work that may use spot machines gets an on-demand one only if that saves it this long a
-    /// wait, in milliseconds
+    /// Minimum waiting time that an on-demand machine must save before it is used for work that may run on
+    /// spot machines, in milliseconds
     #[arg(long, aliases = ["on-demand-patience-ms", "dear-patience-ms"],
           env = "ASPENREEL_ON_DEMAND_MAX_WAIT_MS", default_value_t = 120_000,
           value_parser = clap::value_parser!(u64).range(0..=86_400_000))]
     pub on_demand_max_wait_ms: u64,
-    /// A job of which nothing has started for this long goes before all others with its first
-    /// tasks, in milliseconds
+    /// Queue time after which the first tasks of a job take precedence over all other jobs, if none of its
+    /// tasks has started, in milliseconds
     #[arg(long, alias = "patience-ms", env = "ASPENREEL_MAX_QUEUE_WAIT_MS", default_value_t = 90_000,
           value_parser = clap::value_parser!(u64).range(1000..=86_400_000))]
     pub max_queue_wait_ms: u64,
-    /// Free capacity kept ready where objectives ask for waiting times shorter than a boot takes, in
-    /// percent of the CPUs in use
+    /// Free capacity that is kept available if objectives require waiting times shorter than the boot time
+    /// of a machine, in percent of the CPUs in use
     #[arg(long, alias = "reserve", env = "ASPENREEL_HEADROOM", default_value_t = 50,
           value_parser = clap::value_parser!(u64).range(0..=1000))]
     pub headroom: u64,
--- a/src/http/cbor.rs
+++ b/src/http/cbor.rs
@@ -1,28 +1,27 @@
-//! CBOR bodies: decoding with bounds for outside data, encoding, and the size limit's measure.
+//! CBOR encoding, decoding with limits for untrusted data, and the size by which the key-value store limits values.
 
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
 
-/// The deepest accepted nesting: decoding recurses, and threads have small stacks.
+/// Maximum nesting depth of a decoded value: decoding is recursive, and threads have small stacks.
 const MAX_DEPTH: usize = 16;
-/// Capacity in bytes with which the buffer of an encoded message begins: most fit.
+/// Initial capacity of an encoded message's buffer in bytes: sufficient for most messages.
 const MESSAGE_CAPACITY: usize = 128;
 
-/// Why bytes are not a message of the expected type.
+/// Reasons why bytes can't be decoded as a message of the expected type.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// Malformed CBOR, nested too deeply, or a value of another type.
+    /// The CBOR is malformed or nested too deeply, or the value has another type.
     #[error("not valid CBOR for this message: {0}")]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
-    /// The value ends before the bytes do.
+    /// There are further bytes after the value.
     #[error("not valid CBOR for this message: bytes after the end")]
     TrailingBytes,
 }
 
-/// Decodes one value, which must take up all of `bytes`. Fields that `T` doesn't know are ignored unless
-/// it says otherwise.
+/// Decodes one value, which must occupy all of `bytes`. Unknown fields are ignored unless `T` denies them.
 ///
 /// # Errors
 ///
@@ -36,30 +35,31 @@
     Ok(value)
 }
 
-/// Encodes a message. `T` must be serializable without errors, as all derived types are; if it isn't, the
-/// failure is logged and nothing is returned, which no peer can decode.
+/// Encodes a message. Serialization of `T` must not fail, which holds for all derived implementations. If it
+/// fails, the error is logged and an empty vector is returned, which no peer can decode.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MESSAGE_CAPACITY);
     if let Err(error) = ciborium::into_writer(value, &mut bytes) {
-        log::error!(error:%; "message not encoded");
+        log::error!(error:%; "encoding message as CBOR failed");
         bytes.clear();
     }
     bytes
 }
 
-/// The length in bytes of each of JSON's three words, at most.
-const JSON_WORD_LEN: usize = 5;
-/// The length in bytes of a floating-point number in JSON, at most.
+/// Maximum length of the JSON literals `true`, `false` and `null` in bytes.
+const JSON_LITERAL_LEN: usize = 5;
+/// Maximum length of a floating-point number in JSON, in bytes.
 const JSON_FLOAT_LEN: usize = 24;
-/// For values that JSON doesn't have: beyond all limits, and sums of a few don't overflow.
-const NOT_JSON_LEN: usize = usize::MAX / 4;
+/// Length that stands for a value that JSON can't represent: above all limits, and small enough that the sum of a
+/// few of them doesn't overflow.
+const UNREPRESENTABLE_LEN: usize = usize::MAX / 4;
 
-/// An upper bound of a value's length in bytes as compact JSON, the form in which size limits of the key-value
-/// store count.
+/// An upper bound of the length in bytes of a value in compact JSON. The size limits of the key-value store apply to
+/// this length.
 pub fn json_len(value: &ciborium::Value) -> usize {
     use ciborium::Value;
     match value {
-        Value::Null | Value::Bool(_) => JSON_WORD_LEN,
+        Value::Null | Value::Bool(_) => JSON_LITERAL_LEN,
         Value::Integer(number) => i128::from(*number).to_string().len(),
         Value::Float(_) => JSON_FLOAT_LEN,
         Value::Text(text) => 2 + text.chars().map(json_char_len).sum::<usize>(),
@@ -69,11 +69,11 @@
                 .iter()
                 .map(|(key, value)| json_len(key) + 1 + json_len(value)),
         ),
-        _ => NOT_JSON_LEN,
+        _ => UNREPRESENTABLE_LEN,
     }
 }
 
-/// Two brackets, and a comma for each item.
+/// Upper bound for an array or an object: two brackets, and a comma for each item.
 fn json_list_len(item_lens: impl Iterator<Item = usize>) -> usize {
     2 + item_lens.map(|len| len + 1).sum::<usize>()
 }
@@ -86,12 +86,12 @@
     }
 }
 
-/// A number of a message, sent as a float and accepted as an integer or a float: peers encode whole
-/// amounts either way.
+/// A number in a message. It is encoded as a float, and decoded from an integer or a float, since peers use either
+/// for whole numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Number(
-    /// The value; integers beyond 2^53 are rounded.
+    /// The value. Integers above 2^53 are rounded.
     pub f64,
 );
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: a connection pool for one peer, and calls with a deadline.
+//! The HTTP client: a connection pool for one server, and blocking calls with a timeout.
 
 use super::request_parser::parse_content_length;
 use super::{MAX_HEAD_BYTES, MAX_HEADER_FIELDS};
@@ -8,45 +8,46 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The largest accepted body of a response, in bytes.
+/// Maximum size of a response body in bytes.
 const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Idle connections that a client keeps for further calls.
+/// Maximum number of idle connections that a client keeps for further calls.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// Bytes read from a connection in one system call.
+/// Maximum number of bytes read from a connection in one system call.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Capacity with which the buffer of a response begins: most fit.
+/// Initial capacity of a response's buffer in bytes: sufficient for most responses.
 const RESPONSE_CAPACITY: usize = 1024;
 
-/// Why a call has no response. The variants tell whether the peer may have executed the request.
+/// Reasons why a call has no response. The variants distinguish whether the peer may have executed the request.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Not executed: for a local reason, such as no free file descriptor, no connection was tried.
+    /// The request was not executed: opening a connection failed for a local reason, such as a lack of file
+    /// descriptors.
     #[error("request to {peer} not sent: {source}")]
     NotSent {
         /// The address that was called.
         peer: SocketAddr,
-        /// What was missing.
+        /// The local error.
         source: io::Error,
     },
-    /// Not executed: the peer refused the connection or can't be reached.
+    /// The request was not executed: the peer refused the connection or can't be reached.
     #[error("{peer} unreachable: {source}")]
     Unreachable {
         /// The address that was called.
         peer: SocketAddr,
-        /// Why there is no connection.
+        /// The error of the attempt to connect.
         source: io::Error,
     },
-    /// The request may have been executed, or may still be.
+    /// The request may have been executed, or may still be executed later.
     #[error("no response from {peer}: {source}")]
     OutcomeUnknown {
         /// The address that was called.
         peer: SocketAddr,
-        /// What went wrong after the connection was made.
+        /// The error after the connection was opened.
         source: ResponseError,
     },
 }
 
-/// Why no response could be read from a connection.
+/// Reasons why no response could be read from a connection.
 #[derive(Debug, Error)]
 pub enum ResponseError {
     /// The deadline passed.
@@ -73,15 +74,15 @@
     /// The body has a transfer encoding; only bodies with `Content-Length` are read.
     #[error("transfer encoding not supported")]
     TransferEncoding,
-    /// The body is larger than responses may be.
+    /// The body is larger than the maximum size of a response body.
     #[error("body of {length} bytes, larger than {MAX_RESPONSE_BODY_BYTES}")]
     BodyTooLarge {
-        /// The body's length in bytes, as announced.
+        /// Value of `Content-Length`.
         length: usize,
     },
 }
 
-/// A response, as a client received it.
+/// A response that a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientResponse {
     /// The status code.
@@ -90,8 +91,8 @@
     pub body: Vec<u8>,
 }
 
-/// A client of one peer, which keeps a few idle connections for further calls. It may be used by several
-/// threads at the same time; each call has a connection of its own.
+/// An HTTP client of one peer, which keeps a few idle connections for further calls. Several threads may use it at
+/// the same time; concurrent calls use different connections.
 #[derive(Debug)]
 pub struct Client {
     peer: SocketAddr,
@@ -99,7 +100,7 @@
 }
 
 impl Client {
-    /// A client without connections; the first call makes one.
+    /// Creates a client without connections. The first call opens one.
     pub fn new(peer: SocketAddr) -> Self {
         Client {
             peer,
@@ -107,13 +108,13 @@
         }
     }
 
-    /// Sends a request and blocks until its response has arrived, or `timeout` is over. A call is not
-    /// repeated: if the peer has closed the idle connection meanwhile, it fails.
+    /// Sends a request and blocks until its response has arrived, or `timeout` has passed. A failed call is not
+    /// repeated, also if it failed because the peer had closed the idle connection.
     ///
     /// # Errors
     ///
-    /// [`CallError`] tells whether the request may have been executed. A response with an error
-    /// status is a success here.
+    /// [`CallError`] if there is no response; it distinguishes whether the request may have been executed. A
+    /// response with an error status is returned as `Ok`.
     pub fn call(
         &self,
         method: &str,
@@ -127,12 +128,12 @@
         let (response, close) = exchange(&mut stream, &request, timeout, deadline)
             .map_err(|source| self.outcome_unknown(source))?;
         if !close {
-            self.keep(stream);
+            self.return_to_pool(stream);
         }
         Ok(response)
     }
 
-    /// An idle connection, or else a new one.
+    /// Takes an idle connection from the pool, or opens a new one.
     fn connection(&self, timeout: Duration) -> Result<TcpStream, CallError> {
         let idle = self.idle_connections().pop();
         if let Some(stream) = idle {
@@ -144,8 +145,8 @@
         Ok(stream)
     }
 
-    /// Keeps a connection for further calls, unless enough are kept.
-    fn keep(&self, stream: TcpStream) {
+    /// Returns a connection to the pool for further calls, or closes it if the pool is full.
+    fn return_to_pool(&self, stream: TcpStream) {
         let mut idle_connections = self.idle_connections();
         if idle_connections.len() < MAX_IDLE_CONNECTIONS {
             idle_connections.push(stream);
@@ -169,7 +170,7 @@
         request
     }
 
-    /// Tells a peer that can't be reached from a local failure.
+    /// Classifies a failed attempt to connect: the peer is unreachable, or the cause is local.
     fn connect_error(&self, source: io::Error) -> CallError {
         use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable};
         let peer = self.peer;
@@ -191,7 +192,7 @@
     }
 }
 
-/// Sends a request and reads its response; also tells whether the peer closes the connection.
+/// Sends a request and reads its response. Also returns whether the peer closes the connection after it.
 fn exchange(
     stream: &mut TcpStream,
     request: &[u8],
@@ -209,21 +210,21 @@
     reader.read()
 }
 
-/// What the head of a response says.
+/// The parsed head of a response.
 struct ResponseHead {
     status: u16,
-    /// Where the body begins in the buffer.
+    /// Offset of the body in the buffer.
     body_start: usize,
     content_length: usize,
-    /// The peer closes the connection after the response.
+    /// Whether the peer closes the connection after the response.
     close: bool,
 }
 
-/// Reads one response from a connection until a deadline.
+/// Reads one response from a connection, up to a deadline.
 struct ResponseReader<'a> {
     stream: &'a mut TcpStream,
     deadline: Instant,
-    /// What has arrived.
+    /// All bytes of the response that have been received.
     buffer: Vec<u8>,
     chunk: [u8; READ_CHUNK_BYTES],
 }
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Waits for bytes and appends them to the buffer.
+    /// Blocks until bytes arrive, and appends them to the buffer.
     fn receive(&mut self) -> Result<(), ResponseError> {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
@@ -271,7 +272,7 @@
     }
 }
 
-/// Parses the head of a response; `None` if it is incomplete.
+/// Parses the head of a response. `None` if the head is incomplete.
 fn parse_head(buffer: &[u8]) -> Result<Option<ResponseHead>, ResponseError> {
     let mut header_fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut header_fields);
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -6,7 +6,7 @@
 /// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, in capitals as it was sent.
+    /// The method in capitals, as it was sent.
     pub method: String,
     /// The request target as it was sent: path and query.
     pub path: String,
@@ -23,13 +23,13 @@
     pub body: Vec<u8>,
     /// Seconds after which the client may repeat the request, as header field `Retry-After`.
     pub retry_after_s: Option<u32>,
-    /// The response must not be sent from this moment on, because another leader may act by then.
-    /// Status 503 is sent in its place.
+    /// Time from which the response must not be sent any more, because another leader may act by then. Status 503
+    /// is sent instead.
     pub valid_until: Option<Moment>,
 }
 
 impl Response {
-    /// A response that is valid without limit.
+    /// Creates a response without a time limit.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response {
             status,
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Status 503 (service unavailable): the client shall repeat its request after so many seconds.
+    /// Creates a response with status 503 (service unavailable), which asks the client to repeat its request after
+    /// `retry_after_s` seconds.
     pub fn busy(retry_after_s: u32) -> Self {
         Response {
             status: SERVICE_UNAVAILABLE,
--- a/src/http/request_parser.rs
+++ b/src/http/request_parser.rs
@@ -1,4 +1,4 @@
-//! The request parser: takes requests from the bytes that a connection has received.
+//! The request parser: extracts requests from the bytes that a connection has received.
 
 use super::message::Request;
 use super::status::{
@@ -7,24 +7,24 @@
 use super::{MAX_HEAD_BYTES, MAX_HEADER_FIELDS, MAX_REQUEST_BODY_BYTES};
 use thiserror::Error;
 
-/// What the read buffer of a connection begins with.
+/// Result of parsing the start of a connection's read buffer.
 pub(super) enum ParseOutcome {
-    /// A request, which was removed from the buffer.
+    /// A complete request, which was removed from the buffer.
     Complete(ParsedRequest),
-    /// The beginning of a request, or nothing.
+    /// The buffer is empty or contains the start of a request.
     Incomplete,
-    /// Something that is not served.
+    /// The buffer starts with a request that is invalid or not supported.
     Rejected(RequestError),
 }
 
-/// A complete request, and what its head says of the connection.
+/// A complete request, and whether its connection stays open.
 pub(super) struct ParsedRequest {
     pub(super) request: Request,
-    /// The client wants the connection closed after the response.
+    /// Whether the client wants the connection to be closed after the response.
     pub(super) close: bool,
 }
 
-/// Why a request is rejected before a handler sees it.
+/// Reasons why a request is rejected before it is passed to a handler.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
     #[error("malformed head: {0}")]
@@ -42,7 +42,7 @@
 }
 
 impl RequestError {
-    /// The status code of the response.
+    /// Status code of the response to the rejected request.
     pub(super) fn status(&self) -> u16 {
         match self {
             RequestError::MalformedHead(_) | RequestError::InvalidContentLength => BAD_REQUEST,
@@ -55,13 +55,13 @@
     }
 }
 
-/// What the header fields say of the body's length and of the connection.
+/// The length of the body and whether the connection is closed, according to the header fields.
 struct Framing {
     content_length: usize,
     close: bool,
 }
 
-/// Takes the next request from `read_buffer`, if it is complete.
+/// Removes the next request from `read_buffer` if it is complete.
 pub(super) fn next_request(read_buffer: &mut Vec<u8>) -> ParseOutcome {
     if read_buffer.is_empty() {
         return ParseOutcome::Incomplete;
@@ -100,7 +100,7 @@
     }))
 }
 
-/// Parses a head; where the body begins, or `None` if the head is incomplete.
+/// Parses a head. Returns the offset of the body, or `None` if the head is incomplete.
 fn parse_head<'buffer>(
     head: &mut httparse::Request<'_, 'buffer>,
     read_buffer: &'buffer [u8],
@@ -116,7 +116,7 @@
     }
 }
 
-/// Reads the header fields that decide where the request ends and whether the connection does.
+/// Evaluates the header fields for the length of the request and for the end of the connection.
 fn read_framing(head: &httparse::Request<'_, '_>) -> Result<Framing, RequestError> {
     let mut content_length = None;
     // HTTP/1.0 closes the connection after each response.
@@ -141,7 +141,7 @@
     })
 }
 
-/// The number in a `Content-Length` field; `None` if it isn't one.
+/// The value of a `Content-Length` field; `None` if it is not a number.
 pub(super) fn parse_content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?;
     text.trim().parse().ok()
--- a/src/http/server/connection.rs
+++ b/src/http/server/connection.rs
@@ -1,7 +1,7 @@
 //! The state of one connection.
 //!
-//! At any time a connection's state has one owner: the [connection table](super::connection_table) while
-//! the connection is parked, or the thread that works on it, as an [`ActiveConnection`].
+//! A connection's state always has exactly one owner: the [connection table](super::connection_table) while the
+//! connection is parked, otherwise the thread that serves it, as an [`ActiveConnection`].
 
 use super::poll_sets::{ConnectionId, Interest};
 use crate::http::handler::RequestPriority;
@@ -12,18 +12,18 @@
 /// Buffers and deadlines of a connection.
 #[derive(Default)]
 pub(super) struct ConnectionState {
-    /// Bytes that were received and belong to no answered request.
+    /// Received bytes that are not part of an answered request.
     pub(super) read_buffer: Vec<u8>,
-    /// Bytes of a response that the socket has not accepted.
+    /// Bytes of a response that the socket has not accepted yet.
     pub(super) write_buffer: Vec<u8>,
-    /// The connection is closed once the response is sent.
+    /// Whether the connection is closed after the response has been sent.
     pub(super) close_after_response: bool,
-    /// The request was rejected: what the client still sends is discarded until it closes. If the
-    /// socket were closed with unread bytes, the connection would be reset and the response lost.
+    /// Whether the request was rejected. Further bytes from the client are then discarded until the client closes
+    /// the connection: closing the socket with unread bytes would reset the connection and lose the response.
     pub(super) lingering_close: bool,
-    /// When the last response was sent, or the connection accepted.
+    /// Time at which the last response was sent, or the connection was accepted.
     pub(super) idle_since: Option<Instant>,
-    /// When the first byte of an incomplete request arrived, or the rest of a response was buffered.
+    /// Time at which the first bytes of an incomplete request arrived, or the rest of a response was buffered.
     pub(super) incomplete_since: Option<Instant>,
 }
 
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The bytes that both buffers hold.
+    /// Number of bytes in both buffers.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.read_buffer.len() + self.write_buffer.len()
     }
 
-    /// What has to happen before work on the connection can go on.
+    /// The event that the connection has to wait for.
     pub(super) fn interest(&self) -> Interest {
         if self.write_buffer.is_empty() {
             Interest::Readable
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Prepares the state for parking: frees empty buffers, since thousands of connections are parked,
-    /// and starts the timeout of an incomplete request or response.
+    /// Prepares the state for parking: frees the memory of empty buffers, since thousands of connections may be
+    /// parked, and starts the timeout of an incomplete request or response.
     pub(super) fn prepare_to_park(&mut self) {
         let is_empty = self.buffered_bytes() == 0;
         if is_empty {
@@ -65,18 +65,18 @@
     }
 }
 
-/// An open connection, as the connection table knows it.
+/// An entry of the connection table: an open connection.
 pub(super) struct Connection {
     pub(super) stream: Arc<TcpStream>,
-    /// The priority of its latest request, which decides in which poll set it is.
+    /// Priority of the latest request. It determines the poll set of the connection.
     pub(super) priority: RequestPriority,
-    /// What its poll set waits for; `None` while it is in no poll set.
+    /// The event that the poll set waits for; `None` while the connection is in no poll set.
     pub(super) registered: Option<Interest>,
-    /// Its state; `None` while a thread works on the connection.
+    /// The state of a parked connection; `None` while a thread serves the connection.
     pub(super) parked: Option<ConnectionState>,
 }
 
-/// A connection that a thread works on, with its state.
+/// A connection that is served by a thread, with its state.
 pub(super) struct ActiveConnection {
     pub(super) id: ConnectionId,
     pub(super) stream: Arc<TcpStream>,
--- a/src/http/server/connection_table.rs
+++ b/src/http/server/connection_table.rs
@@ -1,4 +1,4 @@
-//! All open connections of a server: which are parked, what they buffer, and when they expire.
+//! The table of a server's open connections: parking, limits of buffered bytes, and timeouts.
 
 use super::connection::{ActiveConnection, Connection, ConnectionState};
 use super::limits::ServerLimits;
@@ -12,16 +12,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A request must be complete, and a response sent, this long after it began.
+/// Maximum time between the first byte and the end of a request, and for sending the rest of a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without a request is closed after this time.
+/// Time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The idle timeout while most of the allowed connections are open, so that idle ones are closed before
-/// new ones are refused. Longer than workers and users are silent between two requests.
-const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle timeout while more than three quarters of the allowed connections are open, so that idle connections are
+/// closed before new ones are rejected. Longer than the time between two requests of a worker or user.
+const NEAR_LIMIT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The open connections. Invariant: `open_connections` equals the number of entries, and `buffered_bytes`
-/// the sum over the parked ones, whenever no thread is inside a method.
+/// The open connections of a server. Invariant, whenever no thread is inside a method: `open_connections` is the
+/// number of entries, and `buffered_bytes` is the number of bytes that the parked connections buffer.
 pub(super) struct ConnectionTable {
     pub(super) poll_sets: PollSets,
     limits: ServerLimits,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Whether as many connections are open as are allowed.
+    /// Whether the maximum number of connections is open.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections.load(Ordering::Relaxed) >= self.limits.max_connections
     }
 
-    /// Parks a new connection. It is closed if it can't be polled.
+    /// Adds and parks a new connection. Closes it if it can't be added to a poll set.
     pub(super) fn insert(&self, id: ConnectionId, stream: TcpStream) {
         self.open_connections.fetch_add(1, Ordering::Relaxed);
         let mut connection = Connection {
@@ -60,19 +60,19 @@
             parked: Some(ConnectionState::accepted(Instant::now())),
         };
         let mut connections = lock(&self.connections);
-        // Under the lock: an event of this connection must find its entry.
+        // The registration happens under the lock, so that the first event of the connection finds its entry.
         match self.register(id, &mut connection, Interest::Readable) {
             Ok(()) => drop(connections.insert(id, connection)),
             Err(error) => {
-                log_poll_failure(error);
+                log_poll_failure(id, error);
                 self.open_connections.fetch_sub(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// Hands a parked connection, on which something happened, to the calling thread. `None` if it is
-    /// closed, or if another thread works on it: then it leaves its poll set until it is parked again.
-    /// That happens when a client pipelines requests or closes before it has its response.
+    /// Passes a parked connection that has an event to the calling thread. `None` if the connection is closed, or if
+    /// another thread serves it. In the latter case it is removed from its poll set until it is parked again. This
+    /// happens if a client pipelines requests, or closes the connection before it has received its response.
     pub(super) fn activate(&self, id: ConnectionId) -> Option<ActiveConnection> {
         let active = {
             let mut connections = lock(&self.connections);
@@ -93,8 +93,8 @@
         Some(active)
     }
 
-    /// Parks a connection until its socket is ready again. It is closed instead if its buffers would
-    /// exceed the limit of all connections together, or if it can't be polled.
+    /// Parks a connection until its socket is ready again. Closes it instead if the buffers of all parked connections
+    /// together would exceed their limit, or if the poll set can't be updated.
     pub(super) fn park(&self, active: ActiveConnection) {
         let ActiveConnection { id, mut state, .. } = active;
         state.prepare_to_park();
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Closes a connection. Its socket is closed when `active` is dropped.
+    /// Removes a connection from the table. Its socket is closed when `active` is dropped.
     pub(super) fn close(&self, active: &ActiveConnection) {
         if lock(&self.connections).remove(&active.id).is_some() {
             self.open_connections.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
-    /// Moves a connection to the poll set of `priority`, from when it is parked.
+    /// Moves a connection to the poll set of `priority`. It is added there when it is parked next.
     pub(super) fn set_priority(&self, id: ConnectionId, priority: RequestPriority) {
         let mut connections = lock(&self.connections);
         let Some(connection) = connections.get_mut(&id) else {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Closes the parked connections whose request, response or idle time has timed out at `now`.
+    /// Closes the parked connections whose request, response or idle timeout has expired at `now`.
     pub(super) fn close_expired(&self, now: Instant) {
         let idle_timeout = self.idle_timeout();
         let mut connections = lock(&self.connections);
@@ -154,18 +154,18 @@
         self.open_connections.fetch_sub(closed, Ordering::Relaxed);
     }
 
-    /// Connections are scarce once more than three quarters of those allowed are open.
+    /// The present idle timeout, which is shorter while more than three quarters of the allowed connections are open.
     fn idle_timeout(&self) -> Duration {
         let open = self.open_connections.load(Ordering::Relaxed);
         if open * 4 > self.limits.max_connections * 3 {
-            SCARCE_IDLE_TIMEOUT
+            NEAR_LIMIT_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
         }
     }
 
-    /// Has the poll set wait for `interest`; false if that fails. The usual case, a connection that
-    /// waits for requests before and after, needs no system call.
+    /// Makes the poll set wait for `interest`. Returns false if that fails. No system call is needed in the usual
+    /// case, in which the connection was and is registered for requests.
     fn await_interest(
         &self,
         id: ConnectionId,
@@ -177,10 +177,12 @@
             return true;
         }
         let registration = self.register(id, connection, interest);
-        registration.inspect_err(|e| log_poll_failure(*e)).is_ok()
+        registration
+            .inspect_err(|e| log_poll_failure(id, *e))
+            .is_ok()
     }
 
-    /// Adds a connection to its poll set, or changes what it waits for there.
+    /// Adds a connection to its poll set, or changes the event that the set waits for.
     fn register(
         &self,
         id: ConnectionId,
@@ -205,12 +207,12 @@
 
 fn is_expired(state: &ConnectionState, idle_timeout: Duration, now: Instant) -> bool {
     match (state.incomplete_since, state.idle_since) {
-        (Some(began), _) => now - began >= REQUEST_TIMEOUT,
+        (Some(started), _) => now - started >= REQUEST_TIMEOUT,
         (None, Some(since)) => now - since >= idle_timeout,
         (None, None) => true,
     }
 }
 
-fn log_poll_failure(error: Errno) {
-    log::info!(error:%; "connection not pollable");
+fn log_poll_failure(id: ConnectionId, error: Errno) {
+    log::info!(connection = id.0, error:%; "updating the epoll set failed; connection closed");
 }
--- a/src/http/server/event_loop.rs
+++ b/src/http/server/event_loop.rs
@@ -10,11 +10,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often expired connections are closed; also the longest wait for events.
+/// Time between two checks for expired connections; also the maximum wait for events.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Events of either priority that one turn serves. Each priority is served in bounded time, whatever the
-/// load of the other.
+/// Maximum number of normal-priority events that one turn serves. With both limits, each priority is served within
+/// bounded time, whatever the load of the other one is.
 const MAX_NORMAL_EVENTS_PER_TURN: usize = 32;
+/// Maximum number of low-priority events that one turn serves.
 const MAX_LOW_PRIORITY_EVENTS_PER_TURN: usize = 8;
 
 const NO_WAIT: Timespec = Timespec {
@@ -26,19 +27,19 @@
     tv_nsec: EXPIRY_CHECK_INTERVAL.subsec_nanos() as i64,
 };
 
-/// The event loop and what only its thread uses.
+/// The event loop, with the state that only its thread uses.
 pub(super) struct EventLoop {
     server: Arc<Server>,
     acceptor: Acceptor,
     normal_events: Vec<epoll::Event>,
     low_priority_events: Vec<epoll::Event>,
-    /// The last turn took as many low-priority events as it may: more are probably ready.
+    /// Whether the last turn reached its limit of low-priority events, so that more are probably ready.
     has_low_priority_backlog: bool,
     last_expiry_check: Instant,
 }
 
 impl EventLoop {
-    /// `listener` must be non-blocking, and in the server's poll sets.
+    /// Creates an event loop. `listener` must be non-blocking, and be registered in the server's poll sets.
     pub(super) fn new(server: Arc<Server>, listener: TcpListener) -> Self {
         EventLoop {
             server,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Runs until polling fails.
+    /// Runs the event loop until polling fails.
     pub(super) fn run(mut self) -> std::io::Result<()> {
         loop {
             self.serve_normal_events()?;
@@ -70,7 +71,7 @@
         for event in self.normal_events.drain(..) {
             match EventSource::of(&event) {
                 EventSource::Listener => self.acceptor.accept_waiting(&self.server.connections),
-                // It only ends the wait: the low-priority set is polled in each turn.
+                // This event only ends the wait: the low-priority set is polled in every turn.
                 EventSource::LowPrioritySet => {}
                 EventSource::Connection(id) => self.server.serve_ready(id),
             }
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    /// Serves low-priority events that are ready, without a wait.
+    /// Serves the low-priority events that are ready, without waiting.
     fn serve_low_priority_events(&mut self) -> std::io::Result<()> {
         let poll_sets = &self.server.connections.poll_sets;
         poll_sets.wait(
--- a/src/http/server/exchange.rs
+++ b/src/http/server/exchange.rs
@@ -1,7 +1,7 @@
 //! Requests and responses on one connection: reading, dispatching and writing.
 //!
-//! Methods that return an `Option<ActiveConnection>` return the connection if the caller goes on with it,
-//! and `None` if it was parked, closed or passed to the thread pool.
+//! Methods that return `Option<ActiveConnection>` return the connection if the caller continues to serve it, and
+//! `None` if it was parked, closed or passed to the thread pool.
 
 use super::connection::ActiveConnection;
 use super::connection_table::ConnectionTable;
@@ -18,23 +18,23 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes read from a connection in one turn.
+/// Maximum number of bytes read from a connection in one turn.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// `Retry-After` of responses that the server itself gives.
+/// Value of `Retry-After` in responses that the server itself generates.
 const RETRY_AFTER_S: u32 = 1;
 
-/// Runs a handler; `None` if it panicked. A fault in the code of one request must not end a thread that
-/// serves all connections.
+/// Runs a handler. `None` if it panicked: a bug in the code for one request must not end a thread that serves all
+/// connections.
 fn catch_panic<T>(handle: impl FnOnce() -> T) -> Option<T> {
     std::panic::catch_unwind(AssertUnwindSafe(handle)).ok()
 }
 
-/// The response where the server can't give the handler's.
+/// The response if there is no valid response of the handler.
 fn unavailable() -> Response {
     Response::busy(RETRY_AFTER_S)
 }
 
-/// What the event loop and the thread pool share.
+/// The server state that the event loop and the thread pool share.
 pub(super) struct Server {
     pub(super) handler: Arc<dyn Handler>,
     pub(super) os: Arc<System>,
@@ -43,7 +43,7 @@
 }
 
 impl Server {
-    /// Goes on with a connection whose socket is ready.
+    /// Continues to serve a connection whose socket is ready.
     pub(super) fn serve_ready(self: &Arc<Self>, id: ConnectionId) {
         let Some(connection) = self.connections.activate(id) else {
             return;
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Sends the rest of a response, then goes on with requests that are already buffered.
+    /// Sends the rest of a response, then processes the requests that are already buffered.
     fn continue_response(self: &Arc<Self>, connection: ActiveConnection) {
         if let Some(connection) = self.flush(connection) {
             self.process_requests(connection);
         }
     }
 
-    /// Answers the complete requests of the read buffer, one after the other, and parks the connection.
+    /// Answers the complete requests in the read buffer one after the other, then parks the connection.
     fn process_requests(self: &Arc<Self>, mut connection: ActiveConnection) {
         loop {
             let processed = match next_request(&mut connection.state.read_buffer) {
@@ -92,15 +92,15 @@
         }
     }
 
-    /// Answers a request that can't be read. The connection ends with it: where the next request would
-    /// begin is unknown.
+    /// Answers an invalid request, and ends the connection: the position of the next request in the buffer is
+    /// unknown.
     fn reject(&self, mut connection: ActiveConnection, status: u16) -> Option<ActiveConnection> {
         connection.state.lingering_close = true;
         connection.state.read_buffer = Vec::new();
         self.send_response(connection, Response::new(status, Vec::new()), true)
     }
 
-    /// Answers a request, or passes it to the thread pool if that may block.
+    /// Answers a request, or passes it to the thread pool if answering it may block.
     fn dispatch(
         self: &Arc<Self>,
         mut connection: ActiveConnection,
@@ -126,7 +126,7 @@
         self.send_response(connection, response, close)
     }
 
-    /// Answers queued requests until the thread was idle for long enough.
+    /// Runs a pool thread: answers queued requests until the thread's idle timeout.
     fn run_pool_thread(self: &Arc<Self>) {
         while let Some(queued) = self.pool.next_request() {
             let QueuedRequest {
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Encodes a response and sends as much of it as the socket accepts. A response that is not valid any
-    /// more is replaced by status 503.
+    /// Encodes a response and sends as much of it as the socket accepts. A response that is no longer valid is
+    /// replaced by status 503.
     fn send_response(
         &self,
         mut connection: ActiveConnection,
@@ -168,7 +168,7 @@
         self.flush(connection)
     }
 
-    /// Sends what the socket accepts of the write buffer. The connection is parked if some is left.
+    /// Sends as much of the write buffer as the socket accepts. Parks the connection if bytes are left.
     fn flush(&self, mut connection: ActiveConnection) -> Option<ActiveConnection> {
         let mut sent = 0;
         while sent < connection.state.write_buffer.len() {
@@ -189,7 +189,7 @@
         self.finish_response(connection)
     }
 
-    /// Ends the exchange once its response is sent: the connection stays open or is closed.
+    /// Resets the state after a response has been sent completely. The connection then stays open or is closed.
     fn finish_response(&self, mut connection: ActiveConnection) -> Option<ActiveConnection> {
         let state = &mut connection.state;
         state.write_buffer = Vec::new();
@@ -208,7 +208,7 @@
     }
 }
 
-/// Whether a read failed only for now.
+/// Whether a failed read can succeed later.
 fn is_transient(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/http/server/limits.rs
+++ b/src/http/server/limits.rs
@@ -1,13 +1,13 @@
-//! The limits of a server.
+//! The resource limits of a server.
 
-/// Bounds on what a server holds at the same time.
+/// Limits of the resources that a server uses at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Open connections. Further ones get status 503 and are closed.
+    /// Maximum number of open connections. Further ones get status 503 and are closed.
     pub max_connections: usize,
-    /// Threads of the thread pool, which may block in place of the event loop.
+    /// Maximum number of threads in the thread pool, which runs the handlers that may block.
     pub max_pool_threads: usize,
-    /// Bytes of incomplete requests and of unsent responses; separately, of the bodies of requests
-    /// that wait for a pool thread.
+    /// Maximum number of bytes of incomplete requests and unsent responses. Also, separately, the maximum number of
+    /// bytes in the bodies of requests that wait for a pool thread.
     pub max_buffered_bytes: usize,
 }
--- a/src/http/server/mod.rs
+++ b/src/http/server/mod.rs
@@ -1,28 +1,27 @@
 //! The HTTP server: one event loop and a small thread pool serve any number of connections.
 //!
-//! Each worker of the fleet and each user keeps a connection open. A thread for each connection would
-//! exceed the number of threads that a process may have, so idle connections are *parked*: they wait
-//! in an epoll set without a thread. The event loop reads what arrives and answers requests that
-//! need no blocking call. Requests that may block go to the thread pool, which grows by
-//! need up to a bound. A slow or silent client occupies its connection for a bounded time, and never a
-//! thread.
+//! Each worker and each user keeps a connection open. One thread per connection would exceed the number of
+//! threads that a process may have, so idle connections are *parked*: they wait in an epoll set without a
+//! thread. The event loop reads the bytes that arrive and answers requests that need no blocking call. Requests
+//! that may block are passed to the thread pool, which grows on demand up to a limit. A slow or silent client
+//! occupies its connection for a bounded time, and never occupies a thread.
 //!
-//! Hundreds of low-priority requests may be due at the same moment, for example heartbeats after a
-//! network partition has healed. On a small share of a processor each costs milliseconds, and any
-//! other request would wait for all of them. Connections that carry low-priority requests are therefore
-//! polled in a set of their own, and a few of them are served between two polls of the other set.
+//! Hundreds of low-priority requests can arrive at the same time, for example heartbeats after a network
+//! partition has healed. With a small CPU share each of them takes milliseconds, and any other request would
+//! wait for all of them. Connections with low-priority requests are therefore polled in a separate set, and only
+//! a few of them are served between two polls of the other set.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `event_loop` | polls, dispatches events, triggers the search for expired connections |
-//! | `acceptor` | takes new connections from the listening socket's backlog |
+//! | `event_loop` | polls, dispatches events, triggers the closing of expired connections |
+//! | `acceptor` | accepts new connections |
 //! | `connection` | the state of one connection |
-//! | `connection_table` | all open connections: parking, closing, expiry |
+//! | `connection_table` | all open connections: parking, closing, timeouts |
 //! | `poll_sets` | the two epoll sets |
 //! | `exchange` | reads requests and writes responses on one connection |
-//! | `response_encoder` | the bytes of a response |
+//! | `response_encoder` | encodes responses |
 //! | `thread_pool` | threads for requests that may block, and their queue |
-//! | `limits`, `mutex` | what the others share |
+//! | `limits`, `mutex` | limits and locking, shared by the other modules |
 
 #![warn(missing_docs)]
 
@@ -51,16 +50,16 @@
 use std::sync::atomic::AtomicUsize;
 use thread_pool::ThreadPool;
 
-/// Serves `listener` until polling fails; otherwise it never returns.
+/// Serves the connections of `listener`. Returns only if polling fails.
 ///
-/// The calling thread becomes the event loop. Connections beyond the limit get status 503 with a
-/// `Retry-After` header. `open_connections` is kept equal to the number of open connections, for other
-/// parts of the process that share its file descriptors.
+/// The calling thread runs the event loop. Connections above the limit get status 503 with a `Retry-After`
+/// header. `open_connections` always holds the number of open connections, for other modules that need file
+/// descriptors of the same process.
 ///
 /// # Errors
 ///
-/// An I/O error if the listening socket can't be made non-blocking, or if the epoll sets can't be
-/// created or polled.
+/// An I/O error if the listening socket can't be made non-blocking, or if the epoll sets can't be created or
+/// polled.
 pub fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
--- a/src/http/server/mutex.rs
+++ b/src/http/server/mutex.rs
@@ -1,9 +1,9 @@
-//! Locking that survives a panic.
+//! Locking of mutexes that may be poisoned.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks `mutex`, also after another thread panicked while holding it: no holder leaves the guarded
-/// value half changed.
+/// Locks `mutex`, even if another thread panicked while holding it: no code leaves the guarded value in an
+/// inconsistent state.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/src/http/server/poll_sets.rs
+++ b/src/http/server/poll_sets.rs
@@ -1,4 +1,4 @@
-//! The two epoll sets of a server: one for connections of normal priority, one for low priority.
+//! The two epoll sets of a server: one for connections of normal priority, one for those of low priority.
 
 use crate::http::handler::RequestPriority;
 use rustix::event::Timespec;
@@ -11,19 +11,19 @@
 const LISTENER_KEY: u64 = 0;
 /// Event data of the low-priority set, which is itself a member of the normal set.
 const LOW_PRIORITY_SET_KEY: u64 = 1;
-/// Event data from here on are ids of connections.
+/// The id of the first connection. Event data from this value on are connection ids.
 pub(super) const FIRST_CONNECTION_ID: ConnectionId = ConnectionId(2);
 
-/// Identifies a connection for as long as the server runs; ids are not used again.
+/// Identifies a connection. Ids are not reused while the server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ConnectionId(pub(super) u64);
 
-/// What a connection waits for in its poll set.
+/// The event that a connection waits for in its poll set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interest {
-    /// Bytes of a request, or the end of the stream.
+    /// The socket has bytes of a request, or the end of the stream.
     Readable,
-    /// Space in the socket's send buffer for the rest of a response.
+    /// The socket's send buffer has space for the rest of a response.
     Writable,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What an event of the normal set is about.
+/// The source of an event of the normal set.
 pub(super) enum EventSource {
     Listener,
     LowPrioritySet,
@@ -53,20 +53,20 @@
     }
 }
 
-/// The id of the connection that an event of the low-priority set is about.
+/// The id of the connection to which an event of the low-priority set belongs.
 pub(super) fn connection_of(event: &epoll::Event) -> ConnectionId {
     ConnectionId(event.data.u64())
 }
 
-/// The epoll sets. The normal set also holds the listening socket and the low-priority set, so that
-/// waiting for the normal set waits for everything.
+/// Both epoll sets. The normal set also contains the listening socket and the low-priority set, so that waiting for
+/// the normal set waits for all events.
 pub(super) struct PollSets {
     normal: OwnedFd,
     low_priority: OwnedFd,
 }
 
 impl PollSets {
-    /// Creates both sets, with `listener` in the normal one.
+    /// Creates both sets, and adds `listener` to the normal one.
     pub(super) fn new(listener: &TcpListener) -> std::io::Result<Self> {
         let normal = epoll::create(CreateFlags::CLOEXEC)?;
         let low_priority = epoll::create(CreateFlags::CLOEXEC)?;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Adds a connection that is in neither set.
+    /// Adds a connection to the set of `priority`. It must be in neither set.
     pub(super) fn add(
         &self,
         priority: RequestPriority,
@@ -99,7 +99,7 @@
         epoll::add(self.set(priority), stream, key, interest.flags())
     }
 
-    /// Changes what a connection of the set waits for.
+    /// Changes the event that a connection in the set of `priority` waits for.
     pub(super) fn modify(
         &self,
         priority: RequestPriority,
@@ -111,13 +111,13 @@
         epoll::modify(self.set(priority), stream, key, interest.flags())
     }
 
-    /// Removes a connection from its set. A failure is ignored: closing the socket removes it as well.
+    /// Removes a connection from the set of `priority`. Errors are ignored, since closing the socket also removes it.
     pub(super) fn remove(&self, priority: RequestPriority, stream: &TcpStream) {
         let _ = epoll::delete(self.set(priority), stream);
     }
 
-    /// Waits until the set has events, for `timeout` at the longest, and appends as many as `events` has
-    /// spare capacity for. An interrupted wait yields none.
+    /// Waits until the set of `priority` has events, at most for `timeout`. Appends them to `events` up to its spare
+    /// capacity. An interrupted wait appends none.
     pub(super) fn wait(
         &self,
         priority: RequestPriority,
--- a/src/http/server/response_encoder.rs
+++ b/src/http/server/response_encoder.rs
@@ -1,9 +1,9 @@
-//! The bytes of a response.
+//! Encoding of HTTP responses.
 
 use crate::http::message::Response;
 use crate::http::status::reason_phrase;
 
-/// Encodes head and body. `close` announces that the connection is closed after the response.
+/// Encodes a response. If `close` is set, a header field announces that the connection is closed after it.
 pub(super) fn encode_response(response: &Response, close: bool) -> Vec<u8> {
     let retry_after = match response.retry_after_s {
         Some(seconds) => format!("Retry-After: {seconds}\r\n"),
--- a/src/http/server/thread_pool.rs
+++ b/src/http/server/thread_pool.rs
@@ -1,7 +1,7 @@
 //! The thread pool: threads for requests that may block.
 //!
-//! A thread is started when a request finds no idle one, up to the limit, and ends after it was idle for
-//! [`THREAD_IDLE_TIMEOUT`]. The queue is bounded in requests and in bytes.
+//! A thread is started if a request finds no idle one and the limit isn't reached. It ends after it has been idle
+//! for [`THREAD_IDLE_TIMEOUT`]. The number of queued requests and the size of their bodies are limited.
 
 use super::connection::ActiveConnection;
 use super::limits::ServerLimits;
@@ -12,27 +12,27 @@
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A pool thread without a request ends after this time.
+/// Time after which a pool thread without a request ends.
 const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Length of the queue for each thread that the pool may have. Further requests get status 503.
+/// Maximum length of the queue per thread that the pool may have. Further requests get status 503.
 const MAX_QUEUED_PER_THREAD: usize = 4;
-/// Name of the pool's threads.
+/// Name of all threads of the pool.
 const THREAD_NAME: &str = "http-pool";
 
-/// A request that waits for a thread, with the connection that it came on.
+/// A request that waits for a pool thread, with its connection.
 pub(super) struct QueuedRequest {
     pub(super) connection: ActiveConnection,
     pub(super) request: Request,
-    /// The connection is closed after the response.
+    /// Whether the connection is closed after the response.
     pub(super) close: bool,
 }
 
-/// What the pool's lock guards.
+/// The queue and the thread counts, guarded by the pool's lock.
 #[derive(Default)]
 struct PoolState {
     queue: VecDeque<QueuedRequest>,
-    /// Bytes of the bodies in the queue: bounded in requests alone, a few large ones could fill a
-    /// small memory.
+    /// Total size of the bodies in the queue, in bytes. It is limited as well as the number of requests, since a few
+    /// large requests could exhaust a small memory.
     queued_bytes: usize,
     threads: usize,
     idle_threads: usize,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Threads and the queue of requests for them.
+/// Threads that may block, and the queue of requests for them.
 pub(super) struct ThreadPool {
     limits: ServerLimits,
     state: Mutex<PoolState>,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Queues a request. A new thread that does `run_thread` is started if no idle one is there and the
-    /// limit allows it. Returns the connection if the queue is full or the pool has no thread.
+    /// Queues a request. Starts a new thread that executes `run_thread` if no thread is idle and the limit allows it.
+    /// Returns the connection if the queue is full or the pool has no thread.
     pub(super) fn enqueue(
         &self,
         queued: QueuedRequest,
@@ -91,8 +91,8 @@
         None
     }
 
-    /// Whether a request with a body of `body_bytes` may join the queue. The first one always fits in
-    /// bytes.
+    /// Whether the queue has space for a request with a body of `body_bytes`. The limit in bytes doesn't apply while
+    /// no bodies are queued.
     fn has_space(&self, state: &PoolState, body_bytes: usize) -> bool {
         let max_queued = self.limits.max_pool_threads * MAX_QUEUED_PER_THREAD;
         let max_bytes = self.limits.max_buffered_bytes;
@@ -100,13 +100,13 @@
         state.queue.len() < max_queued && fits
     }
 
-    /// Whether the next request would wait although another thread may be started.
+    /// Whether the next request would have to wait, and another thread may be started.
     fn needs_thread(&self, state: &PoolState) -> bool {
         state.queue.len() >= state.idle_threads && state.threads < self.limits.max_pool_threads
     }
 
-    /// Waits for a request. `None` if none came within the idle timeout: the thread, which is no longer
-    /// counted, must end.
+    /// Waits for a request. `None` if none arrived within the idle timeout. The calling thread must then end, since
+    /// it is no longer counted.
     pub(super) fn next_request(&self) -> Option<QueuedRequest> {
         let mut state = lock(&self.state);
         loop {
@@ -143,6 +143,6 @@
         .spawn(run_thread);
     match thread {
         Ok(_) => state.threads += 1,
-        Err(error) => log::info!(error:%; "pool thread not started"),
+        Err(error) => log::info!(error:%; "starting an HTTP pool thread failed"),
     }
 }
--- a/src/http/status.rs
+++ b/src/http/status.rs
@@ -1,4 +1,4 @@
-//! The status codes that this software sends.
+//! The HTTP status codes that are sent, and their reason phrases.
 
 pub(super) const BAD_REQUEST: u16 = 400;
 pub(super) const LENGTH_REQUIRED: u16 = 411;
@@ -6,7 +6,7 @@
 pub(super) const REQUEST_HEADER_FIELDS_TOO_LARGE: u16 = 431;
 pub(super) const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The reason phrase of a status code, for the status line.
+/// The reason phrase of a status code for the status line; `Other` if the code isn't in the list.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,24 @@
 //! aspenreel: a small cluster scheduler with durable outcomes.
 //!
-//! Several controllers run, and at most one of them leads. Workers send heartbeats to it; the replies carry commands.
-//! The leader takes the outcomes of tasks from heartbeats, settles each under its attempt number, and counts a task as
-//! done only once that is recorded in the key-value store.
+//! A cluster has several controllers, of which at most one leads. Workers send heartbeats to the leader, and the
+//! replies contain commands. The leader reads the outcomes of tasks from heartbeats, applies each outcome to the
+//! attempt with its attempt number, and counts a task as done only after this has been recorded in the key-value
+//! store.
 //!
-//! A request or a thread is found here:
+//! Modules:
 //!
-//! - [`controller`]: one process: its state, threads, routes of users, workers and peers;
-//! - [`leadership`]: elections, terms, failover; [`peer`]: messages between controllers;
-//! - [`scheduler`]: the leader's state; [`jobs`], [`workers`], [`placement`] and [`provisioning`]: its parts and the
-//!   decisions on them;
-//! - [`store`]: the key-value store's client; [`http`]: server, client and message encoding;
-//! - [`link_health`]: which links work, and handovers;
-//! - [`settings`] and [`cli`]; [`os`], [`logging`], [`invariants`].
+//! - [`controller`]: the controller process: its state, its threads, and the request handlers for users, workers and
+//!   peers;
+//! - [`leadership`]: elections, terms and failover; [`peer`]: messages between controllers;
+//! - [`scheduler`]: the leader's state; [`jobs`], [`workers`], [`placement`] and [`provisioning`]: the parts of this
+//!   state, and the decisions about them;
+//! - [`store`]: the client of the key-value store; [`http`]: server, client and message encoding;
+//! - [`link_health`]: monitoring of network links, and leadership handover;
+//! - [`settings`] and [`cli`]: settings file and command line; [`os`]: interface to the operating system; [`logging`];
+//!   [`invariants`]: checks at run time.
 //!
-//! `docs/architecture.md` shows how they work together, `docs/glossary.md` has the terms, `docs/design.md` the proofs.
+//! `docs/architecture.md` describes how the modules work together, `docs/glossary.md` defines the terms, and
+//! `docs/design.md` contains the proofs.
 
 pub mod cli;
 pub mod controller;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log, on standard error: one line for each event, `level module: event: key=value ...`.
+//! Logging to standard error, one line per event: `level module: event: key=value ...`.
 //!
 //! Fields come from the structured fields of the `log` macros: `log::info!(machine = name; "machine lost")`.
 
@@ -10,26 +10,26 @@
 use std::io::Write as _;
 use thiserror::Error;
 
-/// Why logging could not be started.
+/// Reasons why logging could not be initialized.
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// The variable `LOG_LEVEL` has an unknown value.
+    /// The environment variable `LOG_LEVEL` has an unknown value.
     #[error("LOG_LEVEL must be error, info or debug, not `{given}`")]
     UnknownLevel {
-        /// The variable's value.
+        /// Value of the environment variable.
         given: String,
     },
-    /// The process has a logger already.
+    /// The process already has a logger.
     #[error(transparent)]
-    AlreadyStarted(#[from] log::SetLoggerError),
+    AlreadyInitialized(#[from] log::SetLoggerError),
 }
 
-/// Starts logging for the whole process. `level` is the value of the variable `LOG_LEVEL`: `error`, `info`
-/// (the default, also if it is empty), or `debug`.
+/// Initializes logging for the whole process. `level` is the value of the environment variable `LOG_LEVEL`: `error`,
+/// `info` (the default, also if the value is empty), or `debug`.
 ///
 /// # Errors
 ///
-/// [`LoggingError`] if the level is unknown, or if the process has a logger already.
+/// [`LoggingError`] if the level is unknown, or if the process already has a logger.
 pub fn init(level: Option<&str>) -> Result<(), LoggingError> {
     log::set_max_level(parse_level(level)?);
     log::set_logger(&LOGGER)?;
@@ -64,15 +64,15 @@
             record.module_path().unwrap_or(""),
             Event(record)
         );
-        // The process goes on if its standard error is closed.
+        // A closed standard error must not end the process.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
 
     fn flush(&self) {}
 }
 
-/// Displays the event and the fields of a record: `event: key=value key=value`. A value with spaces,
-/// quotes or control characters is quoted and escaped.
+/// Displays the event and the fields of a record as `event: key=value key=value`. A value that is empty or contains
+/// whitespace, quotes or control characters is quoted and escaped.
 pub struct Event<'a>(
     /// The record to display.
     pub &'a Record<'a>,
@@ -94,7 +94,7 @@
 
 struct FieldWriter<'a, 'b> {
     formatter: &'a mut Formatter<'b>,
-    /// What the next field is set off with.
+    /// Text to write before the next field.
     separator: &'static str,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon `aspenreel`: a controller, and the commands for operators.
+//! The program `aspenreel`: runs a controller, or one of the commands for operators.
 
 use aspenreel::cli::{Cli, Command, LinksOptions, RollbackOptions, ServeOptions};
 use aspenreel::controller::{Controller, StartError};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The exit code of a command that failed.
+/// Exit code of a command that failed.
 const FAILURE: u8 = 2;
 
-/// Why a command failed.
+/// The error of a failed command.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -56,7 +56,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints what the controllers say about their links.
+/// Prints the link reports of all controllers.
 fn show_links(options: &LinksOptions) -> Result<ExitCode, CommandError> {
     let settings = Settings::load(&options.config)?;
     let answers = request_link_reports(&settings, Duration::from_millis(options.timeout_ms));
@@ -68,7 +68,7 @@
     Ok(exit_code(&answers))
 }
 
-/// Lets controllers of earlier versions lead again.
+/// Allows controllers of earlier versions to lead again.
 fn roll_back(options: &RollbackOptions) -> Result<ExitCode, CommandError> {
     let settings = Settings::load(&options.config)?;
     let rate = settings.settings.state.strictest().rps;
@@ -78,10 +78,10 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Makes all threads share one malloc arena. Each further arena would cost memory that small controllers don't have.
+/// Makes all threads share one malloc arena. Each further arena would need memory that small controllers don't have.
 #[allow(unsafe_code)]
 fn limit_malloc_arenas() {
-    // SAFETY: mallopt only sets a parameter of the allocator, before threads are started.
+    // SAFETY: mallopt only sets a parameter of the allocator, and no other threads have been started yet.
     unsafe {
         libc::mallopt(libc::M_ARENA_MAX, 1);
     }
--- a/src/os.rs
+++ b/src/os.rs
@@ -1,8 +1,8 @@
-//! What a controller's threads need from the operating system: clocks, sleeping, wake-ups and calls.
+//! Interface to the operating system for a controller's threads: clocks, sleeping, notifications and network calls.
 //!
-//! [`System`] is the operating system itself. The simulation of `crates/simulation` implements [`Os`] with
-//! simulated time and simulated calls, and puts several controllers and their peers into one process;
-//! everything above this interface is the code that runs in production.
+//! [`System`] implements the interface with the real operating system. The simulation in `crates/simulation`
+//! implements [`Os`] with simulated time and simulated calls, and runs several controllers and the processes that
+//! they call in one process. All code above this interface is the same in production and in the simulation.
 
 #![warn(missing_docs)]
 
@@ -13,35 +13,35 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The operating system, as seen by one controller.
+/// The operating system functions that one controller uses.
 pub trait Os: Send + Sync + 'static {
-    /// The time of the monotonic clock. It is comparable only within one process.
+    /// The time of the monotonic clock. Only times of the same process can be compared.
     fn now(&self) -> Moment;
 
-    /// The time of the wall clock, which may differ from that of other machines and may jump.
+    /// The time of the wall clock. It may differ from that of other machines, and may jump.
     fn wall(&self) -> WallTime;
 
     /// Blocks the calling thread for `time`.
     fn sleep(&self, time: Duration);
 
-    /// A new event count, on which no thread waits.
+    /// Creates an event count without waiting threads.
     fn event_count(&self) -> Arc<dyn EventCount>;
 
-    /// A new HTTP client of the server at `addr`.
+    /// Creates an HTTP client of the server at `addr`.
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
 
-    /// A new link to the controller whose peer address is `addr`.
+    /// Creates a transport to the controller whose peer address is `addr`.
     fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport>;
 }
 
 /// A client of one HTTP server.
 pub trait HttpClient: Send + Sync {
-    /// Sends a request and blocks until its response has arrived, or `timeout` is over.
+    /// Sends a request and blocks until its response has arrived, or `timeout` has passed.
     ///
     /// # Errors
     ///
-    /// [`CallError`] tells whether the request may have been executed. A response with an error
-    /// status is a success here.
+    /// [`CallError`] if there is no response; it distinguishes whether the request may have been executed. A
+    /// response with an error status is returned as `Ok`.
     fn call(
         &self,
         method: &str,
@@ -51,35 +51,35 @@
     ) -> Result<ClientResponse, CallError>;
 }
 
-/// How many notifications an [`EventCount`] has had, as a thread saw it before its wait.
+/// The number of notifications of an [`EventCount`] that a thread observed before waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedCount(
-    /// The number of notifications.
+    /// Number of notifications since the event count was created.
     pub u64,
 );
 
-/// An event count: wakes threads that wait for a change of something that a lock guards, without
-/// holding that lock while they wait.
+/// An event count: lets threads wait for a change of state that is guarded by a lock, without holding the lock while
+/// they wait.
 ///
-/// A thread that finds nothing to do calls [`prepare_wait`](EventCount::prepare_wait) under the lock,
-/// releases it, and then waits. A notification in between ends the wait at once, so that no change is
+/// A thread that finds nothing to do calls [`prepare_wait`](EventCount::prepare_wait) while it holds the lock,
+/// releases the lock, and then waits. A notification between these steps ends the wait at once, so no change is
 /// missed.
 pub trait EventCount: Send + Sync {
-    /// The present count. Called while the lock is held.
+    /// The current number of notifications. Must be called while the lock is held.
     fn prepare_wait(&self) -> ObservedCount;
 
-    /// Blocks until there was a notification since `observed`, for `timeout` at the longest. It may
-    /// return sooner without one.
+    /// Blocks until a notification after `observed`, at most for `timeout`. May return earlier without a
+    /// notification.
     fn wait(&self, observed: ObservedCount, timeout: Duration);
 
-    /// Counts a notification and wakes one of the waiting threads.
+    /// Increments the count and wakes one of the waiting threads.
     fn notify_one(&self);
 
-    /// Counts a notification and wakes all waiting threads.
+    /// Increments the count and wakes all waiting threads.
     fn notify_all(&self);
 }
 
-/// The operating system that the process runs on.
+/// The implementation of [`Os`] by the operating system on which the process runs.
 #[derive(Debug, Default)]
 pub struct System {
     clock: Clock,
@@ -123,7 +123,7 @@
     }
 }
 
-/// An event count on a condition variable.
+/// An event count that is implemented with a condition variable.
 #[derive(Default)]
 struct CondvarEventCount {
     notifications: Mutex<u64>,
@@ -161,13 +161,13 @@
     }
 }
 
-/// Sleeps for a random time between two bounds in milliseconds, so that controllers that repeat a
-/// step don't do it all at the same moment.
+/// Sleeps for a random time between two bounds in milliseconds, so that several controllers don't repeat an operation
+/// at the same time.
 pub fn random_pause(os: &dyn Os, low_ms: u64, high_ms: u64) {
     os.sleep(Duration::from_millis(fastrand::u64(low_ms..=high_ms)));
 }
 
-/// The time left until `deadline`; `None` if it has passed.
+/// The time left until `deadline`. `None` if the deadline has passed.
 pub fn time_left(os: &dyn Os, deadline: Moment) -> Option<Duration> {
     let left = deadline - os.now();
     (left > Micros::ZERO).then(|| left.duration())
