--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -74,7 +74,7 @@
         })
     }
 
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
+    fn peer_transport(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
         let IpAddr::V4(ip) = addr.ip() else {
             panic!("peers have IPv4 addresses");
         };
--- a/src/os.rs
+++ b/src/os.rs
@@ -31,7 +31,7 @@
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient>;
 
     /// Creates a transport to the controller whose peer address is `addr`.
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport>;
+    fn peer_transport(&self, addr: SocketAddr) -> Arc<dyn PeerTransport>;
 }
 
 /// A client of one HTTP server.
@@ -106,7 +106,7 @@
         Arc::new(Client::new(addr))
     }
 
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
+    fn peer_transport(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
         Arc::new(TcpTransport::new(addr))
     }
 }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -45,7 +45,7 @@
     /// A client that sends no requests for `backoff` after one that timed out.
     pub fn with_backoff(os: Arc<dyn Os>, addr: SocketAddr, backoff: Micros) -> Self {
         PeerClient {
-            transport: os.peer_link(addr),
+            transport: os.peer_transport(addr),
             os,
             timed_out_at: Mutex::new(None),
             backoff,
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -75,8 +75,8 @@
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         self.0.http_client(addr)
     }
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn aspenreel::peer::PeerTransport> {
-        self.0.peer_link(addr)
+    fn peer_transport(&self, addr: SocketAddr) -> Arc<dyn aspenreel::peer::PeerTransport> {
+        self.0.peer_transport(addr)
     }
 }
 
