--- a/crates/link-health/tests/decisions.rs
+++ b/crates/link-health/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! When leadership is handed over, who campaigns first, and which views count.
+//! Tests of handover decisions, campaign delays, accepted views, and the decoding of views and reports.
 
 use aspenreel_link_health::election::{Candidate, MAX_CAMPAIGN_DELAY};
 use aspenreel_link_health::handover::{
@@ -16,7 +16,7 @@
 
 const HOUR_MS: u64 = 3_600_000;
 const TERM: u64 = 7;
-static NOBODY: BTreeMap<NodeName, u32> = BTreeMap::new();
+static NO_WORKERS: BTreeMap<NodeName, u32> = BTreeMap::new();
 
 fn name(text: &str) -> NodeName {
     NodeName::from(text)
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a leader knows that so many of eight workers reach.
+/// The handover inputs of a leader that is reached by `reachable` of eight workers.
 fn input<'a>(reachable: u32, views: &'a [&'a LinkView]) -> HandoverInput<'a> {
     HandoverInput {
         term: TERM,
@@ -57,7 +57,7 @@
         },
         state_writes: LinkState::Up,
         views,
-        silent_workers_by_unreachable_peer: &NOBODY,
+        silent_workers_by_unreachable_peer: &NO_WORKERS,
     }
 }
 
@@ -87,16 +87,16 @@
 }
 
 #[test]
-fn a_leader_without_workers_hands_over_to_the_peer_with_most() {
+fn leader_with_few_workers_hands_over_to_the_peer_with_most_workers() {
     let (some, most) = (view("n-1", 3), view("n-2", 6));
     let handover = decided(&input(1, &[&some, &most]));
     assert_eq!(
         handover,
         Some((1000, to("n-2", HandoverReason::WorkersUnreachable)))
     );
-    // Of equals, one is chosen, and always the same.
-    let (one, other) = (view("n-2", 6), view("n-1", 6));
-    let handover = decided(&input(1, &[&one, &other]));
+    // Of peers with equally many workers, the first by name is chosen.
+    let (second, first) = (view("n-2", 6), view("n-1", 6));
+    let handover = decided(&input(1, &[&second, &first]));
     assert_eq!(
         handover,
         Some((1000, to("n-1", HandoverReason::WorkersUnreachable)))
@@ -104,17 +104,17 @@
 }
 
 #[test]
-fn nothing_moves_when_nobody_is_better_placed() {
+fn no_handover_without_a_better_connected_peer() {
     let unreached = view("n-1", 0);
     assert_eq!(decided(&input(0, &[&unreached])), None);
     assert_eq!(decided(&input(0, &[])), None);
-    // Hardly better is not better: the margin is a quarter of the workers.
-    let hardly = view("n-1", 4);
-    assert_eq!(decided(&input(3, &[&hardly])), None);
-    // A leader that hears most of its workers stays, whoever hears more.
-    let all = view("n-1", 8);
-    assert_eq!(decided(&input(4, &[&all])), None);
-    // Few workers may be silent for their own reasons.
+    // The peer must be reached by more workers than the leader by a margin: a quarter of the expected workers.
+    let below_margin = view("n-1", 4);
+    assert_eq!(decided(&input(3, &[&below_margin])), None);
+    // A leader that at least half of its workers reach keeps leading, even if more workers reach a peer.
+    let reaches_all = view("n-1", 8);
+    assert_eq!(decided(&input(4, &[&reaches_all])), None);
+    // With few expected workers, their silence doesn't count: they may be silent for reasons of their own.
     let few = HandoverInput {
         reachability: Reachability {
             reachable: 0,
@@ -131,13 +131,13 @@
 }
 
 #[test]
-fn a_peer_that_could_not_lead_is_not_preferred() {
+fn no_handover_to_a_peer_that_cannot_lead() {
     let reaches_all = || view("n-1", 8);
-    let cut = LinkView {
+    let cannot_write = LinkView {
         state_writes: LinkState::Down,
         ..reaches_all()
     };
-    let unproven = LinkView {
+    let reads_unknown = LinkView {
         state_reads: LinkState::Unknown,
         ..reaches_all()
     };
@@ -145,17 +145,17 @@
         term: TERM - 1,
         ..reaches_all()
     };
-    let thinks_it_leads = LinkView {
+    let already_leads = LinkView {
         leads: true,
         ..reaches_all()
     };
-    for view in [cut, unproven, of_an_old_term, thinks_it_leads] {
+    for view in [cannot_write, reads_unknown, of_an_old_term, already_leads] {
         assert_eq!(decided(&input(0, &[&view])), None, "{view:?}");
     }
 }
 
 #[test]
-fn a_leader_that_cannot_write_hands_over_to_one_that_can() {
+fn leader_that_cannot_write_hands_over_to_a_peer_that_can() {
     let able = view("n-1", 0);
     let cannot_write = HandoverInput {
         state_writes: LinkState::Down,
@@ -172,37 +172,37 @@
     );
 }
 
-/// A cut between zones: the peer and the silent workers of its zone are beyond it together. The peer's view
-/// came through the key-value store, and no worker has found the peer yet.
+/// A network partition separates the leader from a zone with a peer and workers. The leader receives no heartbeats from
+/// these workers. The peer's view arrived through the key-value store, and no worker has tried the peer yet.
 #[test]
-fn silent_workers_are_taken_to_reach_a_peer_beyond_the_same_cut() {
-    let beyond = BTreeMap::from([(name("n-2"), 6)]);
-    let (near, far) = (view("n-1", 1), view("n-2", 0));
-    let both = [&near, &far];
+fn silent_workers_count_for_an_unreachable_peer_in_their_zone() {
+    let silent_workers = BTreeMap::from([(name("n-2"), 6)]);
+    let (reachable_peer, unreachable_peer) = (view("n-1", 1), view("n-2", 0));
+    let both = [&reachable_peer, &unreachable_peer];
     let partitioned = HandoverInput {
-        silent_workers_by_unreachable_peer: &beyond,
+        silent_workers_by_unreachable_peer: &silent_workers,
         ..input(2, &both)
     };
     let handover = Some((1000, to("n-2", HandoverReason::WorkersUnreachable)));
     assert_eq!(decided(&partitioned), handover);
-    // A peer that doesn't tell that it reaches the key-value store may as well be down.
+    // Without a view of the peer it is unknown whether the peer reaches the key-value store, or is down.
     let without_its_view = HandoverInput {
-        views: &[&near],
+        views: &[&reachable_peer],
         ..partitioned
     };
     assert_eq!(decided(&without_its_view), None);
-    // A minority beyond the cut moves nothing.
-    let few = BTreeMap::from([(name("n-2"), 2)]);
+    // A minority of the workers on the peer's side of the partition doesn't cause a handover.
+    let few_silent_workers = BTreeMap::from([(name("n-2"), 2)]);
     let minority = HandoverInput {
-        silent_workers_by_unreachable_peer: &few,
+        silent_workers_by_unreachable_peer: &few_silent_workers,
         ..input(6, &both)
     };
     assert_eq!(decided(&minority), None);
 }
 
-/// Somebody must be better placed all the time: a moment in which nobody is begins the wait anew.
+/// Some peer must be better connected continuously for the required time: an interruption restarts this time.
 #[test]
-fn a_better_place_must_last() {
+fn no_handover_unless_a_peer_is_better_connected_continuously() {
     let mut planner = HandoverPlanner::default();
     let settings = LinkSettings::default();
     let (able, unreached) = (view("n-1", 6), view("n-1", 0));
@@ -214,15 +214,16 @@
     }
 }
 
-/// Views through the key-value store come in turn: which peer is best placed may change meanwhile.
+/// Views through the key-value store arrive at different times, so the best-connected peer may change before the
+/// handover.
 #[test]
-fn the_best_placed_peer_may_change() {
+fn best_connected_peer_may_change_before_the_handover() {
     let mut planner = HandoverPlanner::default();
     let settings = LinkSettings::default();
-    let (one, other) = (view("n-1", 6), view("n-2", 7));
+    let (first, second) = (view("n-1", 6), view("n-2", 7));
     let mut decided = None;
     for round in 0..4 {
-        let views = [if round % 2 == 0 { &one } else { &other }];
+        let views = [if round % 2 == 0 { &first } else { &second }];
         let ms = round * 400;
         decided = planner.decide(&input(0, &views), at(ms), wall(ms), &settings);
         assert_eq!(decided.is_some(), ms >= 1000, "at {ms} ms");
@@ -230,10 +231,10 @@
     assert_eq!(decided, Some(to("n-2", HandoverReason::WorkersUnreachable)));
 }
 
-/// However links flap, the time between handovers grows, for all controllers together: each reads the
-/// last handover from the record.
+/// While links keep flapping, the pause between handovers grows up to a bound, also if the leader changes: each
+/// leader reads the last handover from the key-value store. The pause is reset after a long time without a handover.
 #[test]
-fn handovers_are_bounded() {
+fn pause_between_handovers_grows_and_is_reset() {
     let settings = LinkSettings::default();
     let mut record: Option<HandoverRecord> = None;
     let mut lines = Vec::new();
@@ -242,7 +243,7 @@
     let views = [&reaches_all];
     let cut_off = input(0, &views);
     for _ in 0..6 {
-        // Each term begins with the record, as the next leader reads it.
+        // A new planner for each term, with the record that the next leader reads.
         let mut planner = HandoverPlanner::new(record.clone());
         let (when, handover) = first_handover(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
         let made = planner.record(&handover, TERM, wall(when), &settings);
@@ -254,7 +255,7 @@
         record = Some(made);
         ms = when;
     }
-    // After a calm the streak is over.
+    // The streak ends after a long time without a handover.
     ms += 600_000;
     let mut planner = HandoverPlanner::new(record);
     let (when, handover) = first_handover(&mut planner, &cut_off, ms, ms + 300_000).unwrap();
@@ -263,9 +264,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A time of day that steps back keeps the pause; it never lets handovers come sooner.
+/// The pause is kept if the wall clock steps back, so that the last handover seems to be in the future.
 #[test]
-fn clocks_that_step_back_keep_the_pause() {
+fn wall_clock_step_back_does_not_shorten_the_pause() {
     let settings = LinkSettings::default();
     let record = HandoverRecord {
         term: TERM - 1,
@@ -293,8 +294,8 @@
         at: 0,
         streak: 1,
     };
-    let (to_me, to_other) = (handover_to("n-1"), handover_to("n-2"));
-    let usual = Candidate {
+    let (to_own, to_other) = (handover_to("n-1"), handover_to("n-2"));
+    let default = Candidate {
         name: &own,
         refused_workers: 0,
         in_silent_zone: false,
@@ -309,42 +310,42 @@
             candidate.campaign_delay().0 / 1000
         ));
     };
-    case("nothing is known", usual.clone());
+    case("nothing is known", default.clone());
     let refusing = |refused_workers| Candidate {
         refused_workers,
-        ..usual.clone()
+        ..default.clone()
     };
     case("four workers came", refusing(4));
     case("4,000 workers came", refusing(4000));
     let in_silent_zone = Candidate {
         in_silent_zone: true,
-        ..usual.clone()
+        ..default.clone()
     };
     case("in the zone of the silent workers", in_silent_zone);
     let preferred = Candidate {
-        handover: Some(&to_me),
-        ..usual.clone()
+        handover: Some(&to_own),
+        ..default.clone()
     };
     case("preferred", preferred.clone());
     let other_preferred = Candidate {
         handover: Some(&to_other),
-        ..usual.clone()
+        ..default.clone()
     };
     case("another is preferred", other_preferred.clone());
-    let poor = |candidate| Candidate {
+    let with_failing_writes = |candidate| Candidate {
         state_writes: LinkState::Suspect,
         ..candidate
     };
-    case("writes fail", poor(usual));
-    case("preferred, and writes fail", poor(preferred));
+    case("writes fail", with_failing_writes(default));
+    case("preferred, and writes fail", with_failing_writes(preferred));
     case(
         "another is preferred, and writes fail",
-        poor(other_preferred),
+        with_failing_writes(other_preferred),
     );
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-fn book() -> PeerViews {
+fn peer_views() -> PeerViews {
     let peers = [name("n-1"), name("n-2")];
     let lifetimes = ViewLifetimes {
         direct: Micros::from_secs(4),
@@ -354,10 +355,10 @@
 }
 
 #[test]
-fn views_that_do_not_count_have_no_effect() {
-    let mut book = book();
+fn stale_and_misaddressed_views_are_rejected() {
+    let mut peer_views = peer_views();
     let peer = name("n-1");
-    let mut accept = |view: &LinkView, ms| book.accept(&peer, &view.encode(), at(ms));
+    let mut accept = |view: &LinkView, ms| peer_views.accept(&peer, &view.encode(), at(ms));
     let at_sequence = |process, sequence| LinkView {
         process,
         sequence,
@@ -366,7 +367,7 @@
     assert_eq!(accept(&at_sequence(1, 5), 0), Ok(()));
     assert_eq!(accept(&at_sequence(1, 5), 100), Err(ViewError::Stale));
     assert_eq!(accept(&at_sequence(1, 4), 100), Err(ViewError::Stale));
-    // Another process of the peer begins anew.
+    // The sequence numbers of another process of the peer start again.
     assert_eq!(accept(&at_sequence(2, 0), 200), Ok(()));
     assert_eq!(accept(&view("n-2", 8), 300), Err(ViewError::WrongSender));
     let elsewhere = LinkView {
@@ -374,22 +375,26 @@
         ..at_sequence(2, 9)
     };
     assert_eq!(accept(&elsewhere, 300), Err(ViewError::WrongReceiver));
-    assert_eq!(book.rejected(), 4);
-    let fresh: Vec<u64> = book.fresh(at(300)).iter().map(|v| v.process).collect();
+    assert_eq!(peer_views.rejected(), 4);
+    let fresh: Vec<u64> = peer_views
+        .fresh(at(300))
+        .iter()
+        .map(|v| v.process)
+        .collect();
     assert_eq!(fresh, [2]);
 }
 
 #[test]
-fn malformed_views_are_refused() {
-    let mut book = book();
-    let whole = view("n-1", 3).encode();
-    let mut accept = |bytes: &[u8]| book.accept(&name("n-1"), bytes, at(0));
+fn malformed_views_are_rejected() {
+    let mut peer_views = peer_views();
+    let encoded = view("n-1", 3).encode();
+    let mut accept = |bytes: &[u8]| peer_views.accept(&name("n-1"), bytes, at(0));
     assert_eq!(accept(&[]), Err(ViewError::Malformed));
-    for cut in 1..whole.len() {
+    for length in 1..encoded.len() {
         assert_eq!(
-            accept(&whole[..cut]),
+            accept(&encoded[..length]),
             Err(ViewError::Malformed),
-            "{cut} bytes"
+            "{length} bytes"
         );
     }
     assert_eq!(accept(&[9; 40]), Err(ViewError::Version));
@@ -399,67 +404,68 @@
     );
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..2000 {
-        // Whatever comes, it is an answer and not a panic.
-        let noise: Vec<u8> = (0..rng.usize(1..200)).map(|_| rng.u8(..)).collect();
-        let _ = accept(&noise);
+        // Random bytes must not cause a panic.
+        let random_bytes: Vec<u8> = (0..rng.usize(1..200)).map(|_| rng.u8(..)).collect();
+        let _ = accept(&random_bytes);
     }
     // A later version may append fields.
-    let mut longer = whole;
-    longer.extend([1, 2, 3]);
-    assert_eq!(accept(&longer), Ok(()));
+    let mut extended = encoded;
+    extended.extend([1, 2, 3]);
+    assert_eq!(accept(&extended), Ok(()));
 }
 
-/// A view is as old as the request that it answers, and counts only while it is young.
+/// The lifetime of a view starts when the request was sent that it answers. Stored views have a longer lifetime.
 #[test]
-fn old_views_do_not_count() {
-    let mut book = book();
+fn views_expire_after_their_lifetime() {
+    let mut peer_views = peer_views();
     let encoded = view("n-1", 3).encode();
-    book.accept(&name("n-1"), &encoded, at(1000)).unwrap();
-    assert_eq!(book.fresh(at(4999)).len(), 1);
-    assert_eq!(book.fresh(at(5000)).len(), 0);
-    // Those from the key-value store come seldom, and never from before a partition.
+    peer_views.accept(&name("n-1"), &encoded, at(1000)).unwrap();
+    assert_eq!(peer_views.fresh(at(4999)).len(), 1);
+    assert_eq!(peer_views.fresh(at(5000)).len(), 0);
+    // Views from the key-value store arrive less often, and are never from before a network partition.
     let newer = LinkView {
         sequence: 2,
         ..view("n-1", 3)
     };
-    let accepted = book.accept_stored(&name("n-1"), &newer.encode(), at(6000));
+    let accepted = peer_views.accept_stored(&name("n-1"), &newer.encode(), at(6000));
     assert_eq!(accepted, Ok(()));
-    assert_eq!(book.fresh(at(13_999)).len(), 1);
-    assert_eq!(book.fresh(at(14_000)).len(), 0);
+    assert_eq!(peer_views.fresh(at(13_999)).len(), 1);
+    assert_eq!(peer_views.fresh(at(14_000)).len(), 0);
 }
 
 #[test]
-fn peers_that_support_no_views_are_known() {
-    let mut book = book();
-    assert!(!book.any_unsupported());
-    book.mark_unsupported(&name("n-2"));
-    assert!(book.any_unsupported());
-    let views: Vec<&PeerView> = book.peers().map(|(_, view)| view).collect();
+fn peers_without_views_are_reported_as_unsupported() {
+    let mut peer_views = peer_views();
+    assert!(!peer_views.any_unsupported());
+    peer_views.mark_unsupported(&name("n-2"));
+    assert!(peer_views.any_unsupported());
+    let views: Vec<&PeerView> = peer_views.peers().map(|(_, view)| view).collect();
     assert_eq!(views, [&PeerView::NotReceived, &PeerView::Unsupported]);
-    // It was replaced by a version that exchanges views.
-    book.accept(&name("n-2"), &view("n-2", 0).encode(), at(0))
+    // The peer has been upgraded to a version that exchanges views.
+    peer_views
+        .accept(&name("n-2"), &view("n-2", 0).encode(), at(0))
         .unwrap();
-    assert!(!book.any_unsupported());
+    assert!(!peer_views.any_unsupported());
 }
 
 #[test]
-fn contradictory_settings_are_refused() {
-    let usual = LinkSettings::default();
-    assert_eq!(usual.check(), Ok(()));
+fn contradictory_settings_are_rejected() {
+    let default = LinkSettings::default();
+    assert_eq!(default.check(), Ok(()));
     let short_bound = LinkSettings {
         up_after_max: Micros::from_millis(999),
-        ..usual
+        ..default
     };
     let short_pause = LinkSettings {
         handover_pause_max: Micros::from_secs(19),
-        ..usual
+        ..default
     };
     let problems = [short_bound, short_pause].map(|s| s.check().unwrap_err().to_string());
     insta::assert_snapshot!(problems.join("\n"));
 }
 
 #[test]
-fn unreadable_reports_are_refused() {
+fn undecodable_reports_are_rejected() {
     assert_eq!(LinkReport::decode(&[]), Err(ReportError::Malformed));
     assert_eq!(LinkReport::decode(&[1, 0]), Err(ReportError::Malformed));
     assert_eq!(LinkReport::decode(&[2, 0]), Err(ReportError::Version));
--- a/crates/link-health/tests/formats.rs
+++ b/crates/link-health/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The forms in which other versions and scripts read what this package makes: they stay as they are.
+//! Compatibility tests: the encodings that other versions and scripts read must not change.
 
 use aspenreel_link_health::handover::{HandoverReason, HandoverRecord};
 use aspenreel_link_health::link::{Link, NodeName};
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn a_report_for_scripts_and_for_controllers() {
+fn link_report_encodings_are_stable() {
     let report = report();
     assert_eq!(LinkReport::decode(&report.encode()), Ok(report.clone()));
     insta::assert_snapshot!(json(&report) + "\n" + &hex(&report.encode()));
 }
 
 #[test]
-fn a_view_in_the_store_and_between_controllers() {
+fn link_view_encodings_are_stable() {
     let view = LinkView {
         from: NodeName::from("n-0"),
         to: NodeName::from("n-1"),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_handover_in_the_store() {
+fn handover_record_encoding_is_stable() {
     let record = |reason| HandoverRecord {
         term: 7,
         preferred: NodeName::from("n-1"),
--- a/crates/link-health/tests/states.rs
+++ b/crates/link-health/tests/states.rs
@@ -1,4 +1,4 @@
-//! What the states of links do: kept traces, one line for each observation that changed something.
+//! Tests of link states, permissions and refused heartbeats. Snapshots have one line for each change of a state.
 
 use aspenreel_link_health::link::{Link, NodeName};
 use aspenreel_link_health::monitor::LinkState;
@@ -12,7 +12,7 @@
 
 const FAILED: CallOutcome = CallOutcome::Failed(CallFailure::NoAnswer);
 
-/// A tracker and the trace of its changes.
+/// A tracker, and the log of its state changes.
 struct Trace {
     tracker: LinkTracker,
     lines: Vec<String>,
@@ -27,17 +27,17 @@
         }
     }
 
-    fn see(&mut self, link: &Link, outcome: CallOutcome, at_ms: u64) {
+    fn observe(&mut self, link: &Link, outcome: CallOutcome, at_ms: u64) {
         let observation = Observation {
             link: link.clone(),
             outcome,
             at: at(at_ms),
         };
         let change = self.tracker.observe(observation);
-        self.note(change, at_ms);
+        self.log_change(change, at_ms);
     }
 
-    fn note(&mut self, change: Option<LinkChange>, at_ms: u64) {
+    fn log_change(&mut self, change: Option<LinkChange>, at_ms: u64) {
         let Some(LinkChange { link, transition }) = change else {
             return;
         };
@@ -60,76 +60,77 @@
     Moment(3_600_000_000 + ms * 1000)
 }
 
-/// One failure is a suspicion; only failures without an answer between them, for long enough, are a loss.
+/// One failure makes a link suspect. Only failures over the required time, without an answer between them, take it
+/// down.
 #[test]
-fn hysteresis() {
+fn link_goes_down_after_repeated_failures_and_up_after_the_recovery_time() {
     let mut trace = Trace::new();
     let writes = Link::StateWrites;
-    trace.see(&writes, CallOutcome::Answered, 0);
-    trace.see(&writes, FAILED, 100);
-    trace.see(&writes, CallOutcome::Answered, 200);
-    // Many failures at once, as when requests that were under way together fail together.
+    trace.observe(&writes, CallOutcome::Answered, 0);
+    trace.observe(&writes, FAILED, 100);
+    trace.observe(&writes, CallOutcome::Answered, 200);
+    // Many failures at the same time, for example of concurrent requests, don't take the link down.
     for _ in 0..5 {
-        trace.see(&writes, FAILED, 1000);
+        trace.observe(&writes, FAILED, 1000);
     }
-    trace.see(&writes, FAILED, 2400);
-    trace.see(&writes, FAILED, 2600);
-    // One answer isn't enough, and a failure begins the wait anew.
-    trace.see(&writes, CallOutcome::Answered, 3000);
-    trace.see(&writes, FAILED, 3500);
-    trace.see(&writes, CallOutcome::Answered, 4000);
-    trace.see(&writes, CallOutcome::Answered, 4900);
-    trace.see(&writes, CallOutcome::Answered, 5000);
+    trace.observe(&writes, FAILED, 2400);
+    trace.observe(&writes, FAILED, 2600);
+    // One answer doesn't bring the link up, and a failure restarts the recovery time.
+    trace.observe(&writes, CallOutcome::Answered, 3000);
+    trace.observe(&writes, FAILED, 3500);
+    trace.observe(&writes, CallOutcome::Answered, 4000);
+    trace.observe(&writes, CallOutcome::Answered, 4900);
+    trace.observe(&writes, CallOutcome::Answered, 5000);
     insta::assert_snapshot!(trace.text());
 }
 
-/// Answers far apart don't show that the link answered in between.
+/// A long gap between two answers restarts the recovery time: it is unknown whether the link worked in between.
 #[test]
-fn answers_far_apart_do_not_bring_a_link_up() {
+fn answers_with_long_gaps_do_not_bring_a_link_up() {
     let mut trace = Trace::new();
     let reads = Link::StateReads;
     for ms in [0, 1000, 2000] {
-        trace.see(&reads, FAILED, ms);
+        trace.observe(&reads, FAILED, ms);
     }
-    trace.see(&reads, CallOutcome::Answered, 3000);
-    trace.see(&reads, CallOutcome::Answered, 9000);
+    trace.observe(&reads, CallOutcome::Answered, 3000);
+    trace.observe(&reads, CallOutcome::Answered, 9000);
     assert_eq!(trace.tracker.state(&reads), LinkState::Down);
-    trace.see(&reads, CallOutcome::Answered, 10_000);
+    trace.observe(&reads, CallOutcome::Answered, 10_000);
     assert_eq!(trace.tracker.state(&reads), LinkState::Up);
 }
 
-/// The more often a link is lost, the longer it must answer; up to a bound, and forgiven with time.
+/// The recovery time doubles with each flap up to a bound, and decreases with time without flaps.
 #[test]
-fn flaps_are_damped() {
+fn recovery_time_grows_with_flaps_and_shrinks_without() {
     let mut trace = Trace::new();
     let peer = Link::Peer(NodeName::from("n-1"));
     let mut ms = 0;
     for _ in 0..8 {
         while trace.tracker.state(&peer) != LinkState::Down {
-            trace.see(&peer, FAILED, ms);
+            trace.observe(&peer, FAILED, ms);
             ms += 800;
         }
         while trace.tracker.state(&peer) != LinkState::Up {
-            trace.see(&peer, CallOutcome::Answered, ms);
+            trace.observe(&peer, CallOutcome::Answered, ms);
             ms += 800;
         }
     }
-    // Long calm: the losses are forgiven one by one.
+    // Nine minutes without flaps: the flap count decreases by one per minute.
     for minute in 1..=9 {
         trace.tracker.expire_old_flaps(at(ms + minute * 60_000));
     }
     ms += 9 * 60_000;
     for _ in 0..4 {
-        trace.see(&peer, FAILED, ms);
+        trace.observe(&peer, FAILED, ms);
         ms += 800;
     }
     insta::assert_snapshot!(trace.text());
 }
 
-/// Flapping with every period from 0.5 to 10 s: how often does the state change in ten minutes, and
-/// for what share of the time does the link count as up?
+/// Links that flap with periods from 0.5 to 10 s: number of transitions to down within ten minutes, and share of the
+/// time in which the link isn't down.
 #[test]
-fn flapping_links_change_their_state_seldom() {
+fn flapping_links_change_their_state_rarely() {
     let mut lines = Vec::new();
     for period_ms in [500, 1000, 2000, 4000, 7000, 10_000] {
         let mut trace = Trace::new();
@@ -137,10 +138,10 @@
         let (mut losses, mut up) = (0, 0);
         for step in 0..6000 {
             let ms = step * 100;
-            let cut = (ms / (period_ms / 2)) % 2 == 1;
+            let fails = (ms / (period_ms / 2)) % 2 == 1;
             let before = trace.tracker.state(&writes);
-            let outcome = if cut { FAILED } else { CallOutcome::Answered };
-            trace.see(&writes, outcome, ms);
+            let outcome = if fails { FAILED } else { CallOutcome::Answered };
+            trace.observe(&writes, outcome, ms);
             trace.tracker.expire_old_flaps(at(ms));
             let after = trace.tracker.state(&writes);
             losses += u32::from(before != LinkState::Down && after == LinkState::Down);
@@ -154,14 +155,14 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A message that arrives proves one direction only.
+/// A received message proves that one direction works, but not that calls are answered.
 #[test]
-fn what_arrives_does_not_prove_that_answers_do() {
+fn received_messages_do_not_bring_a_link_up() {
     let mut trace = Trace::new();
     let peer = Link::Peer(NodeName::from("n-1"));
     for ms in [0, 800, 1600] {
-        trace.see(&peer, FAILED, ms);
-        trace.see(&peer, CallOutcome::MessageReceived, ms + 100);
+        trace.observe(&peer, FAILED, ms);
+        trace.observe(&peer, CallOutcome::MessageReceived, ms + 100);
     }
     assert_eq!(trace.tracker.state(&peer), LinkState::Down);
     let rows = trace.tracker.rows(at(2000));
@@ -170,54 +171,54 @@
     assert_eq!(row.answered_ms_ago, None);
 }
 
-/// An observation of a link that isn't watched has no effect.
+/// An observation of a link that isn't tracked has no effect.
 #[test]
-fn unknown_links_are_ignored() {
+fn observations_of_untracked_links_are_ignored() {
     let mut trace = Trace::new();
-    trace.see(&Link::Peer(NodeName::from("n-9")), FAILED, 0);
+    trace.observe(&Link::Peer(NodeName::from("n-9")), FAILED, 0);
     assert_eq!(trace.lines, Vec::<String>::new());
 }
 
-/// What may be decided follows from the link for writes alone.
+/// Permissions depend only on whether writes to the key-value store fail.
 #[test]
-fn nothing_is_decided_that_cannot_be_recorded() {
+fn failing_writes_revoke_all_permissions() {
     let mut trace = Trace::new();
     assert_eq!(trace.tracker.permissions(), Permissions::ALL);
     for ms in [0, 800, 1600] {
-        trace.see(&Link::StateReads, FAILED, ms);
+        trace.observe(&Link::StateReads, FAILED, ms);
     }
     assert_eq!(trace.tracker.permissions(), Permissions::ALL);
     for ms in [2000, 2800, 3600] {
-        trace.see(&Link::StateWrites, FAILED, ms);
+        trace.observe(&Link::StateWrites, FAILED, ms);
     }
     assert_eq!(trace.tracker.permissions(), Permissions::NONE);
-    // The first answer allows decisions again, though the link is still down for whoever would prefer
-    // this controller as a leader.
-    trace.see(&Link::StateWrites, CallOutcome::Answered, 4000);
+    // The first answer allows decisions again, although the damped state of the link, on which the preference for a
+    // leader depends, is still down.
+    trace.observe(&Link::StateWrites, CallOutcome::Answered, 4000);
     assert_eq!(trace.tracker.permissions(), Permissions::ALL);
     assert_eq!(trace.tracker.state(&Link::StateWrites), LinkState::Down);
-    trace.see(&Link::StateWrites, FAILED, 4100);
+    trace.observe(&Link::StateWrites, FAILED, 4100);
     assert_eq!(trace.tracker.permissions(), Permissions::NONE);
 }
 
-/// Silence asks for a probe; an answer lately doesn't.
+/// A link needs a probe if it isn't up, or has not answered recently.
 #[test]
-fn probes_are_for_silent_and_doubtful_links() {
+fn links_need_a_probe_unless_up_with_a_recent_answer() {
     let mut trace = Trace::new();
     let writes = Link::StateWrites;
     let silence = Micros::from_secs(4);
-    let wanted = |trace: &mut Trace, ms| trace.tracker.needs_probe(&writes, silence, at(ms));
-    assert!(wanted(&mut trace, 0));
-    trace.see(&Link::StateWrites, CallOutcome::Answered, 0);
-    assert!(!wanted(&mut trace, 3999));
-    assert!(wanted(&mut trace, 4000));
-    trace.see(&Link::StateWrites, FAILED, 4000);
-    assert!(wanted(&mut trace, 4001));
+    let needs_probe = |trace: &mut Trace, ms| trace.tracker.needs_probe(&writes, silence, at(ms));
+    assert!(needs_probe(&mut trace, 0));
+    trace.observe(&Link::StateWrites, CallOutcome::Answered, 0);
+    assert!(!needs_probe(&mut trace, 3999));
+    assert!(needs_probe(&mut trace, 4000));
+    trace.observe(&Link::StateWrites, FAILED, 4000);
+    assert!(needs_probe(&mut trace, 4001));
 }
 
-/// The workers' link goes by how many are heard.
+/// The state of the workers' link depends on the share of the expected workers that reach the controller.
 #[test]
-fn workers_are_watched_as_a_set() {
+fn workers_link_state_follows_the_share_of_reachable_workers() {
     let state = |reachable, expected| {
         Reachability {
             reachable,
@@ -226,16 +227,17 @@
         .state()
     };
     assert_eq!(state(0, 0), LinkState::Unknown);
-    // Two workers may well be silent for their own reasons.
+    // Two workers may be silent for reasons of their own, so the link isn't down.
     assert_eq!(state(0, 2), LinkState::Suspect);
     assert_eq!(state(4000, 4000), LinkState::Up);
     assert_eq!(state(2500, 4000), LinkState::Suspect);
     assert_eq!(state(1999, 4000), LinkState::Down);
 }
 
-/// A worker counts once however often it comes, and not for ever; their number is bounded.
+/// A worker with several refused heartbeats counts once, and no longer than the window. The number of counted workers
+/// is bounded by the capacity.
 #[test]
-fn refused_workers_are_counted_once() {
+fn refused_workers_are_counted_once_until_they_expire() {
     let mut refused = RefusedHeartbeats::new(3, Micros::from_secs(12));
     for ms in [0, 1000, 2000] {
         refused.record("m-1", at(ms));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,8 +14,8 @@
 //!   state, and the decisions about them;
 //! - [`store`]: the client of the key-value store; [`http`]: server, client and message encoding;
 //! - [`link_health`]: monitoring of network links, and leadership handover;
-//! - [`settings`] and [`cli`]: settings file and command line; [`os`]: interface to the operating system; [`logging`];
-//!   [`invariants`]: checks at run time.
+//! - [`settings`] and [`cli`]: settings file and command line; [`os`]: interface to the operating system;
+//!   [`logging`]; [`invariants`]: checks at run time.
 //!
 //! `docs/architecture.md` describes how the modules work together, `docs/glossary.md` defines the terms, and
 //! `docs/design.md` contains the proofs.
