--- a/crates/link-health/src/handover.rs
+++ b/crates/link-health/src/handover.rs
@@ -1,7 +1,7 @@
 //! The decision whether a leader hands leadership over, and to which peer.
 //!
 //! A leader that less than half of its workers reach, or that can't write, hands over only to a peer that has
-//! been better connected by a margin for some time, and only after a pause since the last handover. The last
+//! been clearly better connected for some time, and only after a pause since the last handover. The last
 //! handover is recorded in the key-value store, so the pause applies to all controllers together: however
 //! links flap, the number of handovers in any period of time is bounded.
 
