--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,6 +1,6 @@
 //! Whether the file's values make sense: the first that doesn't is named.
 
-use super::{QuotaSettings, Settings, SettingsError, Site, StateSettings, TeamSettings};
+use super::{QuotaSettings, Settings, SettingsError, Site, StoreSettings, TeamSettings};
 use std::collections::HashSet;
 
 /// Below this part of a core no fleet is served (at 0.002 two hundred machines get next to nothing done).
@@ -100,7 +100,7 @@
     )
 }
 
-fn check_store(state: &StateSettings) -> Checked {
+fn check_store(state: &StoreSettings) -> Checked {
     check_transaction("settings.state.txn_ops", Some(state.txn_ops))?;
     let Some(next) = &state.next else {
         return Ok(());
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,6 +1,6 @@
 //! The file as it stands: its fields under its own names.
 
-use super::{QuotaSettings, StateSettings};
+use super::{QuotaSettings, StoreSettings};
 use crate::time::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     /// Times of the workers.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
-    pub state: StateSettings,
+    pub state: StoreSettings,
     /// Limits of the cloud.
     pub cloud: CloudSettings,
     /// Limits of this process.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -18,4 +18,4 @@
     CloudSettings, Endpoints, Member, Objective, Settings, Site, TeamSettings, WorkerSettings,
 };
 pub use quota::QuotaSettings;
-pub use store_limits::{StateLimits, StateSettings};
+pub use store_limits::{StoreLimits, StoreSettings};
--- a/src/settings/store_limits.rs
+++ b/src/settings/store_limits.rs
@@ -7,7 +7,7 @@
 
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateSettings {
+pub struct StoreSettings {
     /// Requests a second.
     pub rps: f64,
     /// Changes a second.
@@ -18,12 +18,12 @@
     pub txn_ops: usize,
     /// Limits that will hold from some moment on, without notice.
     #[serde(default)]
-    pub next: Option<StateLimits>,
+    pub next: Option<StoreLimits>,
 }
 
 /// Limits that will change; those that are absent stay.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -38,12 +38,12 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateSettings {
+impl StoreSettings {
     /// The limits that are obeyed: the stricter ones of now and later. What is written today, and what
     /// grows by being written anew, must still be taken after a change that nobody tells of.
-    pub fn strictest(&self) -> StateSettings {
+    pub fn strictest(&self) -> StoreSettings {
         let next = self.next.clone().unwrap_or_default();
-        StateSettings {
+        StoreSettings {
             rps: self.rps.min(next.rps.unwrap_or(self.rps)),
             write_rps: self.write_rps.min(next.write_rps.unwrap_or(self.write_rps)),
             value_kb: self.value_kb.min(next.value_kb.unwrap_or(self.value_kb)),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use aspenreel::leadership::term_counter::TermCounter;
 use aspenreel::peer::{PeerReply, PeerRequest};
 use aspenreel::provisioning::wire::Catalog;
-use aspenreel::settings::{Settings, StateSettings};
+use aspenreel::settings::{Settings, StoreSettings};
 use aspenreel::store::paged_map::PagedMap;
 use aspenreel::store::{Change, KeyValue, Precondition, from_value, to_value};
 use ciborium::cbor;
@@ -269,11 +269,11 @@
 /// The stricter of the limits of now and later are obeyed, whichever that is, one by one.
 #[test]
 fn the_stricter_limits_hold() {
-    let with = |next: &str| -> StateSettings {
+    let with = |next: &str| -> StoreSettings {
         let text = format!("rps = 120.0\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 12\n{next}");
-        toml::from_str::<StateSettings>(&text).unwrap().strictest()
+        toml::from_str::<StoreSettings>(&text).unwrap().strictest()
     };
-    let told = |s: StateSettings| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
+    let told = |s: StoreSettings| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
     assert_eq!(told(with("")), (120.0, 20.0, 8.0, 12));
     assert_eq!(
         told(with(
