--- a/src/controller.rs
+++ b/src/controller.rs
@@ -175,7 +175,9 @@
             store: store.with_observations(observations),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
-                terminal_states: TerminalStates::new(settings.settings.quota.max_remembered()),
+                terminal_states: TerminalStates::new(
+                    settings.settings.quota.max_retained_entries(),
+                ),
                 ..ControllerState::default()
             }),
             state_changed: os.event_count(),
@@ -250,7 +252,7 @@
             headroom: self.options.headroom as f64 / 100.0,
             objectives: site.objectives.clone(),
             max_queue_wait: Micros::from_millis(self.options.max_queue_wait_ms),
-            max_gone_machines: site.quota.max_remembered(),
+            max_gone_machines: site.quota.max_retained_entries(),
             value_bytes: site.state.strictest().value_bytes(),
             job_bytes: site.quota.job_bytes(),
             max_machines: site.quota.max_machines(),
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -83,7 +83,7 @@
             threads.push(thread("link-state", Controller::link_state_loop));
             threads.push(thread("view-exchange", Controller::view_exchange_loop));
         }
-        for _ in 0..self.settings.settings.quota.direct_threads() {
+        for _ in 0..self.settings.settings.quota.command_sender_threads() {
             threads.push(thread("command-sender", Controller::command_sender_loop));
         }
         threads
@@ -109,9 +109,9 @@
         self.peer_server(peer_listener).start()?;
         let quota = &self.settings.settings.quota;
         let limits = ServerLimits {
-            max_connections: quota.connections(),
-            max_pool_threads: quota.pool_threads(),
-            max_buffered_bytes: quota.buffered(),
+            max_connections: quota.max_connections(),
+            max_pool_threads: quota.max_pool_threads(),
+            max_buffered_bytes: quota.max_buffered_bytes(),
         };
         let open_connections = self.open_connections.clone();
         serve(public_listener, self, system, limits, open_connections).map_err(StartError::Serve)
@@ -119,7 +119,7 @@
 
     /// The thread that accepts connections of peers.
     fn peer_server(self: &Arc<Self>, listener: TcpListener) -> ControllerThread {
-        let max_connections = self.settings.settings.quota.peer_connections();
+        let max_connections = self.settings.settings.quota.max_peer_connections();
         let controller = self.clone();
         let handler = Arc::new(move |request| controller.answer_peer(request));
         ControllerThread {
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -39,7 +39,7 @@
 impl QuotaSettings {
     /// Threads that wait for the network in place of users' requests: at most an eighth of the
     /// memory, and a socket each for the call that they wait for.
-    pub fn pool_threads(&self) -> usize {
+    pub fn max_pool_threads(&self) -> usize {
         let by_memory = self.memory_kb() / 8.0 / THREAD_KB;
         (self.sockets / 16)
             .min(by_memory as usize)
@@ -48,24 +48,25 @@
 
     /// Threads that send commands straight to workers. Silent machines hold one each for a while:
     /// with few threads, a cut of hundreds would keep commands from all the others.
-    pub fn direct_threads(&self) -> usize {
-        (self.pool_threads() / 4).clamp(4, 48)
+    pub fn command_sender_threads(&self) -> usize {
+        (self.max_pool_threads() / 4).clamp(4, 48)
     }
 
     /// Connections that all peers together may have open here.
-    pub fn peer_connections(&self) -> usize {
-        self.pool_threads().clamp(16, 192)
+    pub fn max_peer_connections(&self) -> usize {
+        self.max_pool_threads().clamp(16, 192)
     }
 
     /// Sockets that are left for users and workers.
     fn public_sockets(&self) -> usize {
-        let own = self.pool_threads() + self.direct_threads() + self.peer_connections();
+        let own =
+            self.max_pool_threads() + self.command_sender_threads() + self.max_peer_connections();
         self.sockets.saturating_sub(own + OTHER_SOCKETS)
     }
 
     /// How many connections of users and workers are served at once: of the sockets that are left
     /// all but a tenth, which is for kept connections to workers.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         let by_sockets = self.public_sockets() * 9 / 10;
         let by_memory = self.memory_kb() / 4.0 / CONNECTION_KB;
         by_sockets.min(by_memory as usize).max(16)
@@ -73,17 +74,17 @@
 
     /// How many connections to workers are kept open beside `open` ones of users and workers:
     /// those come first.
-    pub fn kept_clients(&self, open: usize) -> usize {
+    pub fn max_worker_connections(&self, open: usize) -> usize {
         self.public_sockets().saturating_sub(open)
     }
 
     /// Bytes of requests and answers under way that are held at once.
-    pub fn buffered(&self) -> usize {
+    pub fn max_buffered_bytes(&self) -> usize {
         (self.memory_kb() * 1024.0 / 8.0) as usize
     }
 
     /// So many machines that are gone, and final states, are remembered: some 100 bytes each.
-    pub fn max_remembered(&self) -> usize {
+    pub fn max_retained_entries(&self) -> usize {
         (self.memory_kb() / 8.0) as usize
     }
 
--- a/src/workers/command_sender.rs
+++ b/src/workers/command_sender.rs
@@ -70,7 +70,11 @@
             return DirectResult::NotSent;
         };
         let open_connections = self.open_connections.load(Ordering::Relaxed);
-        let max_clients = self.settings.settings.quota.kept_clients(open_connections);
+        let max_clients = self
+            .settings
+            .settings
+            .quota
+            .max_worker_connections(open_connections);
         let client = self.workers.get(&*self.os, addr, max_clients);
         let body = encode(&DirectCommands {
             fencing_token: call.fencing_token,
