--- a/src/link_health/options.rs
+++ b/src/link_health/options.rs
@@ -76,7 +76,7 @@
             ("--handover-pause-max-ms", self.handover_pause_max_ms),
         ];
         match tuning.into_iter().find(|(_, value)| value.is_some()) {
-            Some((flag, _)) => Err(SettingsError::WithoutLinks(flag)),
+            Some((flag, _)) => Err(SettingsError::RequiresLinkHealth(flag)),
             None => Ok(()),
         }
     }
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -16,7 +16,7 @@
 impl SchedulerState {
     /// Takes in a whole machine list that was asked for at `asked`.
     pub fn reconcile_machine_list(&mut self, list: &[ListedMachine], asked: Moment, now: Moment) {
-        self.provisioning.was_listed = true;
+        self.provisioning.has_machine_list = true;
         self.provisioning.last_listed_at = Some(now);
         for listed in list {
             if !self.provisioning.is_gone(&listed.name) {
--- a/src/provisioning/scale_out.rs
+++ b/src/provisioning/scale_out.rs
@@ -24,7 +24,7 @@
         let planned_lately = provisioning
             .last_planned_at
             .is_some_and(|t| now - t < spacing);
-        if !provisioning.was_listed || !provisioning.requests.is_empty() || planned_lately {
+        if !provisioning.has_machine_list || !provisioning.requests.is_empty() || planned_lately {
             return;
         }
         provisioning.last_planned_at = Some(now);
--- a/src/provisioning/state.rs
+++ b/src/provisioning/state.rs
@@ -35,7 +35,7 @@
     /// Missing from the last list, though old enough to be in it.
     pub(super) unlisted: BTreeSet<String>,
     /// A list was read under this term: before, nobody knows which machines there are already.
-    pub was_listed: bool,
+    pub has_machine_list: bool,
     /// When the last list was taken in.
     pub last_listed_at: Option<Moment>,
     /// When scale-out was last planned.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -8,10 +8,10 @@
 pub enum SettingsError {
     /// Flags of the link health checks contradict each other.
     #[error(transparent)]
-    Links(#[from] aspenreel_link_health::settings::SettingsConflict),
+    ConflictingLinkFlags(#[from] aspenreel_link_health::settings::SettingsConflict),
     /// This flag tunes link health checks, which are off.
     #[error("{0} has no meaning without --half-cut-links")]
-    WithoutLinks(&'static str),
+    RequiresLinkHealth(&'static str),
     /// The file can't be read.
     #[error("settings {}: {source}", path.display())]
     Read {
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -113,7 +113,7 @@
 fn booting_machines_are_not_waited_for() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| s.tasks = 1));
-    trace.scheduler.provisioning.was_listed = true;
+    trace.scheduler.provisioning.has_machine_list = true;
     trace.scheduler.plan_scale_out(at(1.0));
     let requests = trace.scheduler.provisioning.requests.clone();
     let rented = ProvisioningResult::Granted(vec!["small-east-7".to_string()]);
