--- a/src/placement/bin_packing.rs
+++ b/src/placement/bin_packing.rs
@@ -1,4 +1,4 @@
-//! Bin packing: the best machine for a task among those with free capacity.
+//! Bin packing: choice of the machine with the lowest cost for a task among those with free capacity.
 
 use super::pass_state::{CandidateMachine, PlacementPass};
 use super::zones::TasksByZone;
@@ -6,34 +6,35 @@
 use crate::scheduler::SchedulerState;
 use crate::workers::Machine;
 
-/// The cost, in seconds, of a CPU that is twice as expensive as the cheapest; in proportion.
+/// Cost, in seconds, of a CPU at twice the cheapest price; other prices cost in proportion to their premium.
 const PRICE_WEIGHT: f64 = 6.0;
 
-/// The most that a price counts, in seconds.
+/// Upper limit of the cost of a price, in seconds.
 const MAX_PRICE_COST: f64 = 10.0;
 
-/// The cost, in seconds, of a machine that would be left wholly free: fuller machines come first.
+/// Cost, in seconds, of a machine whose CPUs would all stay free, and in proportion for a part of them: fuller
+/// machines are preferred.
 const LEFTOVER_WEIGHT: f64 = 3.0;
 
-/// The cost, in seconds, of a machine on which a task of the job failed: it is the last resort.
+/// Cost, in seconds, of a machine on which a task of the job failed: such machines are chosen last.
 const FAILED_COST: f64 = 1000.0;
 
-/// The part of an image that is still to be fetched, on average, while a fetch is under way.
-const FETCH_LEFT: f64 = 0.5;
+/// Fraction of an image that remains to be fetched, on average, while a fetch is under way.
+const REMAINING_FETCH_FRACTION: f64 = 0.5;
 
-/// Of the machines with free capacity one in so many is drawn, where that is more than the configured sample:
-/// three of hundreds seldom meet a machine that has the image or is nearly full.
-const DRAWN_OF: usize = 16;
+/// One in this many of the machines with free capacity is drawn where that is more than the configured sample: a
+/// sample of three out of hundreds seldom includes a machine that has the image or is nearly full.
+const SAMPLE_DIVISOR: usize = 16;
 
-/// A candidate's index in the pass, with its cost in seconds.
+/// Index of a candidate in the pass, and its cost in seconds.
 struct ScoredCandidate {
     cost: f64,
     index: usize,
 }
 
 impl SchedulerState {
-    /// The best machine among a few drawn at random, or among all if none of those fits: its index among the
-    /// pass's candidates. None if no machine fits.
+    /// Index of the candidate with the lowest cost among a few drawn at random or, if none of those fits, among all;
+    /// `None` if no candidate fits.
     pub(super) fn choose_machine(
         &mut self,
         id: JobId,
@@ -55,7 +56,8 @@
         best.map(|best| best.index)
     }
 
-    /// The best of a few candidates drawn at random. Those that turn out to be full are drawn no more.
+    /// The candidate with the lowest cost of a few drawn at random. Drawn candidates without a free CPU are removed
+    /// from `with_capacity`.
     fn best_of_sample(
         &mut self,
         id: JobId,
@@ -67,7 +69,7 @@
         let sample = self
             .config
             .candidate_sample
-            .max(pass.with_capacity.len() / DRAWN_OF);
+            .max(pass.with_capacity.len() / SAMPLE_DIVISOR);
         for _ in 0..sample {
             if pass.with_capacity.is_empty() {
                 break;
@@ -84,7 +86,7 @@
         best
     }
 
-    /// The best of all candidates with free capacity.
+    /// The candidate with the lowest cost of all that have free capacity.
     fn best_of_all(
         &self,
         id: JobId,
@@ -100,35 +102,37 @@
         best
     }
 
-    /// What it costs to place the task there, in seconds, lower is better; None if it doesn't fit.
+    /// Cost of placing a task of the job on the candidate, in seconds; `None` if the task doesn't fit.
     fn cost(&self, job: &Job, candidate: &CandidateMachine, zones: &TasksByZone) -> Option<f64> {
         let demand = job.spec.demand;
-        if !demand.fits(candidate.free) || !demand.fits(candidate.promised) {
+        if !demand.fits(candidate.free) || !demand.fits(candidate.future_free) {
             return None;
         }
-        let m = self.machines.get(&candidate.name)?;
-        if !job.allows_machine(m, zones) {
+        let machine = self.machines.get(&candidate.name)?;
+        if !job.allows_machine(machine, zones) {
             return None;
         }
-        let left = (candidate.free.cpu - demand.cpu) as f64 / m.total.cpu.max(1) as f64;
-        let failed = match job.failed_on.contains(&m.name) {
+        let left = (candidate.free.cpu - demand.cpu) as f64 / machine.total.cpu.max(1) as f64;
+        let failed = match job.failed_on.contains(&machine.name) {
             true => FAILED_COST,
             false => 0.0,
         };
-        // Expensive machines are left to themselves, so that they become idle and are returned.
-        let premium = self.provisioning.price_premium(&m.type_name, m.spot);
+        // Expensive machines are avoided, so that they become idle and are returned to the cloud.
+        let premium = self
+            .provisioning
+            .price_premium(&machine.type_name, machine.spot);
         let price = (PRICE_WEIGHT * premium).min(MAX_PRICE_COST);
-        Some(self.fetch_time(job, m) + LEFTOVER_WEIGHT * left + price + failed)
+        Some(self.fetch_time(job, machine) + LEFTOVER_WEIGHT * left + price + failed)
     }
 
-    /// How long the machine takes to fetch the job's image, in seconds.
-    fn fetch_time(&self, job: &Job, m: &Machine) -> f64 {
-        let rate = self.provisioning.fetch_gb_per_s_of(&m.type_name);
-        match m.images.get(&job.spec.image) {
+    /// Estimated time until the machine has fetched the job's image, in seconds.
+    fn fetch_time(&self, job: &Job, machine: &Machine) -> f64 {
+        let rate = self.provisioning.fetch_gb_per_s_of(&machine.type_name);
+        match machine.images.get(&job.spec.image) {
             Some(image) if image.cached => 0.0,
-            Some(image) => image.gb / rate * FETCH_LEFT,
+            Some(image) => image.gb / rate * REMAINING_FETCH_FRACTION,
             None => {
-                let fetched = m.images.values().filter(|image| !image.cached);
+                let fetched = machine.images.values().filter(|image| !image.cached);
                 let queued: f64 = fetched.map(|image| image.gb).sum();
                 (job.spec.image_gb + queued) / rate
             }
@@ -136,7 +140,7 @@
     }
 }
 
-/// Keeps the candidate if it fits and costs less than the best so far.
+/// Replaces `best` with the candidate if it fits (has a cost) and costs less.
 fn keep_cheaper(best: &mut Option<ScoredCandidate>, index: usize, cost: Option<f64>) {
     if let Some(cost) = cost
         && best.as_ref().is_none_or(|best| cost < best.cost)
--- a/src/placement/binding.rs
+++ b/src/placement/binding.rs
@@ -1,4 +1,4 @@
-//! Binding a task to a machine, and keeping a machine for a job that has waited too long.
+//! Binding of tasks to machines, and reservation of machines for overdue jobs.
 
 use super::Resources;
 use super::pass_state::{CandidateMachine, PlacementPass};
@@ -10,9 +10,9 @@
 use std::cmp::Reverse;
 
 impl SchedulerState {
-    /// Decides a start: creates and numbers an attempt of the job's next task on the machine, and returns the
-    /// machine's zone; None if there is no such task. The attempt starts once a start watermark that covers the
-    /// task is on record. A `protected` attempt, the first of a job that waited too long, isn't preempted.
+    /// Binds the job's next waiting task to the candidate: creates an attempt with a new number there, and returns
+    /// the machine's zone; `None` if no task waits. The attempt starts once a start watermark that covers the task
+    /// is stored. A `protected` attempt (one of the first of an overdue job) isn't preempted.
     pub(super) fn bind_next_task(
         &mut self,
         id: JobId,
@@ -50,11 +50,12 @@
             .note_use(&job.spec.image, job.spec.image_gb, false, cache_gb, now);
         job.bind(task);
         candidate.free = candidate.free.minus(job.spec.demand);
-        candidate.promised = candidate.promised.minus(job.spec.demand);
+        candidate.future_free = candidate.future_free.minus(job.spec.demand);
         Some(machine.zone.clone())
     }
 
-    /// Asks for the start watermark that the job's bound tasks need; returns how many tasks still wait.
+    /// Requests the storing of the start watermark that the job's bound tasks need; returns the number of tasks that
+    /// still wait.
     pub(super) fn request_start_watermark(&mut self, id: JobId, now: Moment) -> u32 {
         let Some(job) = self.jobs.table.get_mut(&id) else {
             return 0;
@@ -78,8 +79,8 @@
         waiting
     }
 
-    /// Keeps the machine with the most capacity for a job that has waited too long: nothing else starts
-    /// there, so that a large task isn't kept out by small ones that take whatever gets free.
+    /// Reserves the suitable machine with the most capacity for an overdue job. Nothing else starts there, so that
+    /// small tasks can't keep a large one waiting by taking capacity as soon as it becomes free.
     pub(super) fn reserve_machine(&self, id: JobId, pass: &mut PlacementPass, zones: &TasksByZone) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
@@ -92,11 +93,11 @@
         let candidates = pass.candidates.iter_mut().enumerate();
         let largest = candidates
             .filter(|(_, candidate)| !candidate.reserved && could_run(candidate))
-            .max_by_key(|(index, c)| (c.promised.cpu, c.free.cpu, Reverse(*index)));
+            .max_by_key(|(index, c)| (c.future_free.cpu, c.free.cpu, Reverse(*index)));
         if let Some((_, candidate)) = largest {
             candidate.reserved = true;
             candidate.free = Resources::default();
-            candidate.promised = Resources::default();
+            candidate.future_free = Resources::default();
             pass.reserved += 1;
         }
     }
--- a/src/placement/machine_capacity.rs
+++ b/src/placement/machine_capacity.rs
@@ -1,4 +1,4 @@
-//! What machines have left beside the attempts on them.
+//! Capacity of machines that their attempts leave free.
 
 use super::{FreeCapacity, Resources};
 use crate::jobs::JobId;
@@ -7,44 +7,44 @@
 use crate::workers::{DesiredState, Machine};
 
 impl SchedulerState {
-    /// True if new tasks may be placed on the machine: it is reconciled, on record, healthy, stays, and its
-    /// heartbeats arrive.
-    pub(crate) fn usable(&self, m: &Machine, now: Moment) -> bool {
-        m.reconciled
-            && m.registered
-            && m.quarantine.is_none()
-            && !m.unreachable
-            && !m.draining
-            && !m.faulty
-            && !m.has_preemption_notice
-            && m.is_alive(self.config.heartbeat_interval, now)
+    /// True if new tasks may be placed on the machine: it is reconciled, registered, healthy and reachable, isn't
+    /// about to be returned or taken back, and its heartbeats arrive.
+    pub(crate) fn usable(&self, machine: &Machine, now: Moment) -> bool {
+        machine.reconciled
+            && machine.registered
+            && machine.quarantine.is_none()
+            && !machine.unreachable
+            && !machine.draining
+            && !machine.faulty
+            && !machine.has_preemption_notice
+            && machine.is_alive(self.config.heartbeat_interval, now)
     }
 
-    /// What is left on a machine beside everything that may be on it.
-    pub(crate) fn free_capacity(&self, m: &Machine) -> Resources {
-        self.capacity_left(m).free
+    /// Capacity of a machine that is free beside all attempts that may run on it.
+    pub(crate) fn free_capacity(&self, machine: &Machine) -> Resources {
+        self.capacity_left(machine).free
     }
 
-    /// What is left on a machine, and what is being stopped there. The machine keeps the result until an
-    /// attempt on it changes.
-    pub(super) fn capacity_left(&self, m: &Machine) -> FreeCapacity {
-        let left = m
+    /// Free capacity of a machine, and the capacity held by attempts that are being stopped. The result is cached in
+    /// the machine until one of its attempts changes.
+    pub(super) fn capacity_left(&self, machine: &Machine) -> FreeCapacity {
+        let left = machine
             .free_resources
             .get()
-            .unwrap_or_else(|| self.count_capacity_left(m));
-        m.free_resources.set(Some(left));
+            .unwrap_or_else(|| self.count_capacity_left(machine));
+        machine.free_resources.set(Some(left));
         left
     }
 
-    fn count_capacity_left(&self, m: &Machine) -> FreeCapacity {
-        if m.orphans.iter().any(|g| !g.exited) {
-            // Nobody knows what a job without a record takes.
+    fn count_capacity_left(&self, machine: &Machine) -> FreeCapacity {
+        if machine.orphans.iter().any(|orphan| !orphan.exited) {
+            // The demand of a job without a record is unknown: nothing counts as free.
             return FreeCapacity::default();
         }
-        let (mut free, mut stopping) = (m.total, Resources::default());
-        // Attempts of one job are neighbours: the job is looked up once.
+        let (mut free, mut stopping) = (machine.total, Resources::default());
+        // Attempts are sorted by job, so that one lookup serves all attempts of a job.
         let mut last: Option<(JobId, Resources)> = None;
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
+        for (key, attempt) in machine.attempts.iter().filter(|(_, a)| a.holds_resources()) {
             let demand = match last {
                 Some((id, demand)) if id == key.job => demand,
                 _ => match self.jobs.table.get(&key.job) {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Placement: which waiting task goes to which machine, and which attempts are preempted for it.
+//! Placement of waiting tasks on machines, and preemption of attempts for them.
 //!
-//! A [pass](crate::scheduler::SchedulerState::run_placement_pass) takes the waiting jobs in [queue order](QueueOrder), draws
-//! candidate machines for each task, binds the task to the best one, and preempts lower work where nothing
-//! fits. A pass runs when the [schedule](PlacementSchedule) says so.
+//! A [pass](crate::scheduler::SchedulerState::run_placement_pass) takes the waiting jobs in
+//! [queue order](QueueOrder), draws candidate machines for each task, binds the task to the best one, and preempts
+//! attempts of jobs that come later in that order where nothing fits. [`PlacementSchedule`] decides when a pass runs.
 
 #![warn(missing_docs)]
 
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -8,21 +8,21 @@
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
-/// A job that has waited too long gets this part of its tasks placed first, at least one.
-const FIRST_SHARE: u32 = 16;
+/// An overdue job has one in this many of its tasks, and at least one, placed before all other jobs.
+const OVERDUE_TASKS_DIVISOR: u32 = 16;
 
-/// One machine in this many, and one more, may be reserved for jobs that have waited too long.
-const RESERVABLE_ONE_IN: usize = 32;
+/// One machine in this many, and one more, may be reserved for overdue jobs.
+const MACHINES_PER_RESERVATION: usize = 32;
 
 impl SchedulerState {
-    /// Runs a pass if one is due, the last one was long enough ago, and tasks may be assigned now.
+    /// Runs a pass if tasks may be assigned now, a pass is due, and the spacing since the last one has elapsed.
     pub fn place_if_due(&mut self, now: Moment) {
         if self.permissions().assign && self.placement.may_run(self.machines.len(), now) {
             self.run_placement_pass(now);
         }
     }
 
-    /// One pass: binds waiting tasks to machines, and preempts attempts that must make way.
+    /// Runs one pass: binds waiting tasks to machines, and preempts attempts so that more of them can start.
     pub fn run_placement_pass(&mut self, now: Moment) {
         self.placement.begin_pass(now);
         let Queue {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Works out what all waiting jobs share.
+    /// Computes the state of a pass that all waiting jobs share.
     fn start_pass(
         &self,
         over_guarantee: BTreeSet<JobId>,
@@ -56,20 +56,20 @@
         let bound = self.jobs.table.values().filter(|j| j.is_bound());
         PlacementPass {
             with_capacity: indices_of(|c| c.free.cpu > 0),
-            freeing: indices_of(|c| c.promised != c.free),
+            with_stopping: indices_of(|c| c.future_free != c.free),
             reserved: 0,
             unplaceable: Vec::new(),
-            quota_left: self.quota_left_beside(&used),
+            quota_left: self.quota_left_after(&used),
             preemptable: None,
             borrowed_cpu: self.borrowed_cpu(&used),
             over_guarantee,
-            lowest_bound: bound.map(|j| j.spec.priority).min(),
+            lowest_bound_priority: bound.map(|j| j.spec.priority).min(),
             highest_waiting,
             candidates,
         }
     }
 
-    /// All usable machines, by name.
+    /// All usable machines, sorted by name.
     fn candidates(&self, now: Moment) -> Vec<CandidateMachine> {
         let usable = self.machines.values().filter(|m| self.usable(m, now));
         usable
@@ -78,14 +78,14 @@
                 CandidateMachine {
                     name: m.name.clone(),
                     free,
-                    promised: free.plus(stopping),
+                    future_free: free.plus(stopping),
                     reserved: false,
                 }
             })
             .collect()
     }
 
-    /// Places as many of a job's waiting tasks as there is capacity for, and preempts others for the rest.
+    /// Binds as many of a job's waiting tasks as there is capacity for, and preempts other attempts for the rest.
     fn place_job(&mut self, order: QueueOrder, id: JobId, pass: &mut PlacementPass, now: Moment) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
@@ -95,21 +95,21 @@
         let constrains_zones = job.spec.constrains_zones();
         let overdue = order.overdue.0;
         if overdue {
-            ready = ready.min((job.spec.tasks / FIRST_SHARE).max(1));
+            ready = ready.min((job.spec.tasks / OVERDUE_TASKS_DIVISOR).max(1));
         }
         let mut zones = self.tasks_by_zone(id);
         let mut lacks_machine = false;
         for _ in 0..ready {
             if !demand.fits(pass.quota_left[team]) {
                 if overdue {
-                    // What gets free of the team's limit is kept until it is enough.
+                    // Withholds the team's remaining quota from its later jobs until it is enough for this one.
                     pass.quota_left[team] = pass.quota_left[team].minus(demand);
                 }
                 break;
             }
             let Some(index) = self.choose_machine(id, pass, &zones) else {
                 lacks_machine = true;
-                if overdue && pass.reserved <= pass.candidates.len() / RESERVABLE_ONE_IN {
+                if overdue && pass.reserved <= pass.candidates.len() / MACHINES_PER_RESERVATION {
                     self.reserve_machine(id, pass, &zones);
                 }
                 break;
--- a/src/placement/pass_state.rs
+++ b/src/placement/pass_state.rs
@@ -1,26 +1,27 @@
-//! What one placement pass works on.
+//! State of one placement pass.
 
 use super::{QueueOrder, Resources};
 use crate::jobs::{JobId, Priority};
 use crate::workers::AttemptKey;
 use std::collections::BTreeSet;
 
-/// A usable machine as one pass sees it.
+/// A usable machine and its capacity during one pass.
 pub(super) struct CandidateMachine {
     pub(super) name: String,
-    /// What no attempt holds.
+    /// Capacity that no attempt holds.
     pub(super) free: Resources,
-    /// What will be free once the attempts that are being stopped have left, less what waits for it.
-    pub(super) promised: Resources,
-    /// Kept for a job that has waited too long: nothing else starts here.
+    /// Capacity that will be free once the attempts being stopped have exited, less what is already allocated to
+    /// tasks that wait for it.
+    pub(super) future_free: Resources,
+    /// Reserved for an overdue job: no other task is placed here.
     pub(super) reserved: bool,
 }
 
-/// The highest priority among waiting jobs; None if there are none.
+/// The highest priorities among waiting jobs; `None` if there are no such jobs.
 pub(super) struct HighestWaiting {
-    /// Of all waiting jobs.
+    /// Among all waiting jobs.
     pub(super) any: Option<Priority>,
-    /// Of those that fit into their team's guarantee.
+    /// Among waiting jobs that fit into their team's guarantee.
     pub(super) within_guarantee: Option<Priority>,
 }
 
@@ -35,42 +36,46 @@
     }
 }
 
-/// What one pass works on. Everything that looks at all machines or all tasks is worked out once
-/// for all jobs: with hundreds of machines and jobs their product would take all of a small
-/// controller's processor.
+/// State of one pass, shared by all jobs.
+///
+/// Everything that depends on all machines or all tasks is computed once for all jobs. Computing it for each job
+/// would take a time proportional to machines times jobs, and with hundreds of each use up a small controller's
+/// processor.
 pub(super) struct PlacementPass {
     pub(super) candidates: Vec<CandidateMachine>,
     /// Indices of candidates with free capacity.
     pub(super) with_capacity: Vec<usize>,
     /// Indices of candidates on which attempts are being stopped.
-    pub(super) freeing: Vec<usize>,
-    /// How many candidates are reserved for jobs that have waited too long.
+    pub(super) with_stopping: Vec<usize>,
+    /// Number of candidates reserved for overdue jobs.
     pub(super) reserved: usize,
-    /// Demands that no candidate had capacity for; capacity only shrinks in a pass.
+    /// Demands that no candidate had capacity for. They aren't tried again, since free capacity only shrinks during a
+    /// pass.
     pub(super) unplaceable: Vec<Resources>,
-    /// What each team may still add within its limit.
+    /// Resources that each team may still use within its limit, in the order of the configured teams.
     pub(super) quota_left: Vec<Resources>,
-    /// Worked out when a job looks for something to preempt for the first time.
+    /// Attempts that could be preempted; computed when the first job tries to preempt.
     pub(super) preemptable: Option<Vec<PreemptableAttempt>>,
-    /// Thousandths of a CPU that each team uses beyond its guarantee; negative where it uses less.
+    /// Thousandths of a CPU that each team uses beyond its guarantee; negative if it uses less.
     pub(super) borrowed_cpu: Vec<i64>,
-    /// Jobs that don't fit into their team's guarantee beside the team's earlier jobs.
+    /// Jobs that don't fit into their team's guarantee together with the team's older jobs.
     pub(super) over_guarantee: BTreeSet<JobId>,
-    /// The lowest priority of which any task is bound to a machine.
-    pub(super) lowest_bound: Option<Priority>,
+    /// The lowest priority among jobs with a task that is bound to a machine.
+    pub(super) lowest_bound_priority: Option<Priority>,
     pub(super) highest_waiting: HighestWaiting,
 }
 
 /// An attempt that could be preempted.
 pub(super) struct PreemptableAttempt {
-    /// What would be lost: the processor time used so far, in microseconds of a thousandth of a CPU.
-    pub(super) lost: u64,
-    /// The index of its machine among the pass's candidates.
+    /// Processor time that a preemption would lose: run time so far times demanded CPUs, in microseconds times
+    /// thousandths of a CPU.
+    pub(super) lost_cpu_time: u64,
+    /// Index of the attempt's machine among the pass's candidates.
     pub(super) candidate: usize,
     pub(super) key: AttemptKey,
     pub(super) demand: Resources,
     pub(super) team: usize,
     pub(super) priority: Priority,
-    /// This pass preempts it.
+    /// True once this pass has chosen the attempt for preemption.
     pub(super) preempted: bool,
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which attempts are stopped so that more important work gets their capacity.
+//! Preemption: choice of the attempts that are stopped so that jobs earlier in the queue get their capacity.
 
 use super::pass_state::{PlacementPass, PreemptableAttempt};
 use super::zones::TasksByZone;
@@ -10,37 +10,38 @@
 use crate::workers::{Attempt, AttemptKey, DesiredState};
 use std::collections::BTreeMap;
 
-/// Added to the time that a task takes to save a checkpoint.
-const SAVE_MARGIN: Micros = Micros::from_secs(2);
+/// Margin in the grace period of a preempted attempt, added to the time that a task takes to save a checkpoint.
+const CHECKPOINT_MARGIN: Micros = Micros::from_secs(2);
 
-/// A job that looks for capacity.
+/// A job that needs capacity held by attempts of other jobs.
 struct Preemptor<'a> {
     job: &'a Job,
     team: usize,
-    /// It fits into its team's guarantee, and so may take back what other teams borrowed.
+    /// The job fits into its team's guarantee, and so may reclaim capacity that other teams have borrowed.
     within_guarantee: bool,
     zones: TasksByZone,
 }
 
-/// What preempting some attempts on one machine would free.
-struct Gathered {
-    /// The capacity promised once they have left.
+/// Attempts on one machine that are preempted together, and what that frees.
+struct PreemptionSet {
+    /// The machine's future free capacity once these attempts have exited.
     capacity: Resources,
-    /// Their indices among the preemptable attempts.
+    /// Indices of the attempts among the preemptable ones.
     attempts: Vec<usize>,
 }
 
-/// An attempt to be preempted.
+/// An attempt chosen for preemption, and its machine's name.
 struct Preemption {
     machine: String,
     attempt: AttemptKey,
 }
 
 impl Preemptor<'_> {
-    /// True if the job may take the attempt's place.
+    /// True if the job may preempt the attempt: one of lower priority, or one on borrowed capacity.
     ///
-    /// That is only what comes later in the queue order: what fits into its own team's guarantee would preempt
-    /// the same work in turn, since both teams may have borrowed, again and again.
+    /// Only attempts of jobs later in the queue order qualify. The attempt of a job that fits into its own team's
+    /// guarantee isn't preempted as borrowed: both teams may be borrowing, and each of the two jobs would then preempt
+    /// the other again and again.
     fn may_preempt(&self, attempt: &PreemptableAttempt, pass: &PlacementPass) -> bool {
         let is_borrowed = || {
             self.within_guarantee
@@ -52,10 +53,10 @@
         !attempt.preempted && (attempt.priority < self.job.spec.priority || is_borrowed())
     }
 
-    /// False if nothing can be preempted for the job: most jobs that wait needn't look at all that runs.
+    /// False if nothing can be preempted for the job. This spares most waiting jobs a scan of all attempts.
     fn may_preempt_anything(&self, pass: &PlacementPass) -> bool {
         let lower = pass
-            .lowest_bound
+            .lowest_bound_priority
             .is_some_and(|lowest| lowest < self.job.spec.priority);
         let mut teams = pass.borrowed_cpu.iter().enumerate();
         let others_borrow = |(team, borrowed): (usize, &i64)| team != self.team && *borrowed > 0;
@@ -64,11 +65,17 @@
 }
 
 impl PlacementPass {
-    /// Promises a candidate's capacity to as many of `waiting` tasks as it holds; returns how many still wait.
-    fn promise(&mut self, candidate: usize, demand: Resources, mut waiting: u32) -> u32 {
+    /// Allocates a candidate's future free capacity to as many of `waiting` tasks as fit; returns the number of tasks
+    /// that remain.
+    fn allocate_future_capacity(
+        &mut self,
+        candidate: usize,
+        demand: Resources,
+        mut waiting: u32,
+    ) -> u32 {
         let candidate = &mut self.candidates[candidate];
-        while waiting > 0 && demand.fits(candidate.promised) {
-            candidate.promised = candidate.promised.minus(demand);
+        while waiting > 0 && demand.fits(candidate.future_free) {
+            candidate.future_free = candidate.future_free.minus(demand);
             waiting -= 1;
         }
         waiting
@@ -76,7 +83,7 @@
 }
 
 impl SchedulerState {
-    /// Preempts lower work, or work that others borrowed capacity for, where that lets waiting tasks start.
+    /// Preempts attempts of lower priority or on borrowed capacity where that lets waiting tasks of the job start.
     pub(super) fn preempt_for(
         &mut self,
         order: QueueOrder,
@@ -114,8 +121,8 @@
             return Vec::new();
         }
         preemptor.zones = self.tasks_by_zone(id);
-        let waiting = waiting.min(pass.quota_left[team].count_of(job.spec.demand));
-        let waiting = self.await_capacity(&preemptor, waiting, pass);
+        let waiting = waiting.min(pass.quota_left[team].task_capacity(job.spec.demand));
+        let waiting = self.allocate_stopping_capacity(&preemptor, waiting, pass);
         if waiting == 0 {
             return Vec::new();
         }
@@ -128,7 +135,7 @@
         preemptions
     }
 
-    /// True if the preemptor's tasks may run on the candidate, as far as anything but capacity goes.
+    /// True if the preemptor's tasks may run on the candidate, its capacity not considered.
     fn allows_candidate(
         &self,
         preemptor: &Preemptor<'_>,
@@ -142,34 +149,35 @@
                 .is_some_and(|m| preemptor.job.allows_machine(m, &preemptor.zones))
     }
 
-    /// Capacity that is being freed already is waited for: nothing is preempted twice for it. Returns how many
-    /// tasks it isn't enough for.
-    fn await_capacity(
+    /// Allocates the capacity that attempts being stopped will free, so that no further attempts are preempted for
+    /// the same tasks. Returns the number of tasks that remain.
+    fn allocate_stopping_capacity(
         &self,
         preemptor: &Preemptor<'_>,
         mut waiting: u32,
         pass: &mut PlacementPass,
     ) -> u32 {
-        for i in 0..pass.freeing.len() {
-            let candidate = pass.freeing[i];
+        for i in 0..pass.with_stopping.len() {
+            let candidate = pass.with_stopping[i];
             if self.allows_candidate(preemptor, candidate, pass) {
-                waiting = pass.promise(candidate, preemptor.job.spec.demand, waiting);
+                waiting =
+                    pass.allocate_future_capacity(candidate, preemptor.job.spec.demand, waiting);
             }
         }
         waiting
     }
 
-    /// What could be preempted for anything that waits, the least loss first.
+    /// Attempts that some waiting job could preempt, those that lose the least processor time first.
     fn preemptable_attempts(&self, pass: &PlacementPass, now: Moment) -> Vec<PreemptableAttempt> {
         let mut preemptable = Vec::new();
         for (index, candidate) in pass.candidates.iter().enumerate() {
-            let Some(m) = self.machines.get(&candidate.name) else {
+            let Some(machine) = self.machines.get(&candidate.name) else {
                 continue;
             };
             if candidate.reserved {
                 continue;
             }
-            for (key, attempt) in &m.attempts {
+            for (key, attempt) in &machine.attempts {
                 let Some(job) = self.jobs.table.get(&key.job) else {
                     continue;
                 };
@@ -177,9 +185,9 @@
                 if !self.is_preemptable(job, team, attempt, pass, now) {
                     continue;
                 }
-                let ran = (now - attempt.running_since.unwrap_or(now)).0;
+                let run_time = (now - attempt.running_since.unwrap_or(now)).0;
                 preemptable.push(PreemptableAttempt {
-                    lost: ran.saturating_mul(job.spec.demand.cpu as u64),
+                    lost_cpu_time: run_time.saturating_mul(job.spec.demand.cpu as u64),
                     candidate: index,
                     key: *key,
                     demand: job.spec.demand,
@@ -189,11 +197,11 @@
                 });
             }
         }
-        preemptable.sort_unstable_by_key(|a| (a.lost, a.candidate, a.key));
+        preemptable.sort_unstable_by_key(|a| (a.lost_cpu_time, a.candidate, a.key));
         preemptable
     }
 
-    /// True if something that waits might take the attempt's place.
+    /// True if some waiting job might preempt the attempt.
     fn is_preemptable(
         &self,
         job: &Job,
@@ -205,7 +213,7 @@
         let runs = attempt.holds_resources()
             && attempt.desired == DesiredState::Run
             && attempt.status != Some(TaskStatus::Flushing);
-        // What begins after too long a wait would else be preempted at once, again and again.
+        // A job that starts only after it was overdue would otherwise be preempted at once, again and again.
         let begins_late =
             !job.ran_long_enough && now - job.accepted_at > self.config.max_queue_wait;
         if !runs || attempt.protected || begins_late {
@@ -216,11 +224,11 @@
             || (priority <= pass.highest_waiting.within_guarantee && pass.borrowed_cpu[team] > 0)
     }
 
-    /// Chooses what is preempted so that as many waiting tasks as possible can start.
+    /// Chooses the attempts to preempt so that as many waiting tasks as possible can start.
     ///
-    /// On each machine nothing is preempted unless it frees enough together. What is preempted in vain starts
-    /// again in the capacity that it left, and is preempted again, without end, where the rest of a machine
-    /// can't be preempted.
+    /// Attempts on a machine are preempted only if together they free enough for a task. Otherwise, where the rest
+    /// of the machine can't be preempted, the preempted tasks would start again in the capacity that they freed, and
+    /// be preempted again, without end.
     fn choose_preemptions(
         &self,
         preemptor: &Preemptor<'_>,
@@ -229,7 +237,7 @@
         pass: &mut PlacementPass,
     ) -> Vec<Preemption> {
         let demand = preemptor.job.spec.demand;
-        let mut gathered: BTreeMap<usize, Gathered> = BTreeMap::new();
+        let mut sets: BTreeMap<usize, PreemptionSet> = BTreeMap::new();
         let mut preemptions = Vec::new();
         for i in 0..attempts.len() {
             if waiting == 0 {
@@ -241,16 +249,16 @@
             {
                 continue;
             }
-            let on_machine = gathered.entry(candidate).or_insert_with(|| Gathered {
-                capacity: pass.candidates[candidate].promised,
+            let set = sets.entry(candidate).or_insert_with(|| PreemptionSet {
+                capacity: pass.candidates[candidate].future_free,
                 attempts: Vec::new(),
             });
-            on_machine.capacity = on_machine.capacity.plus(attempts[i].demand);
-            on_machine.attempts.push(i);
-            if !demand.fits(on_machine.capacity) {
+            set.capacity = set.capacity.plus(attempts[i].demand);
+            set.attempts.push(i);
+            if !demand.fits(set.capacity) {
                 continue;
             }
-            for preempted in on_machine.attempts.drain(..) {
+            for preempted in set.attempts.drain(..) {
                 let attempt = &mut attempts[preempted];
                 attempt.preempted = true;
                 pass.borrowed_cpu[attempt.team] -= attempt.demand.cpu;
@@ -259,23 +267,23 @@
                     attempt: attempt.key,
                 });
             }
-            if pass.candidates[candidate].promised == pass.candidates[candidate].free {
-                pass.freeing.push(candidate);
+            if pass.candidates[candidate].future_free == pass.candidates[candidate].free {
+                pass.with_stopping.push(candidate);
             }
-            pass.candidates[candidate].promised = on_machine.capacity;
-            waiting = pass.promise(candidate, demand, waiting);
-            on_machine.capacity = pass.candidates[candidate].promised;
+            pass.candidates[candidate].future_free = set.capacity;
+            waiting = pass.allocate_future_capacity(candidate, demand, waiting);
+            set.capacity = pass.candidates[candidate].future_free;
         }
         preemptions
     }
 
-    /// Wants one attempt stopped, with time to save a checkpoint where its job makes any.
+    /// Requests the stop of one attempt, with a grace period to save a checkpoint if its job makes checkpoints.
     pub fn preempt_attempt(&mut self, machine: &str, key: AttemptKey) {
         let Some(job) = self.jobs.table.get(&key.job) else {
             return;
         };
         let grace_period = match job.spec.checkpoint_interval > Micros::ZERO {
-            true => job.spec.checkpoint_duration + SAVE_MARGIN,
+            true => job.spec.checkpoint_duration + CHECKPOINT_MARGIN,
             false => Micros::ZERO,
         };
         if let Some(m) = self.machines.get_mut(machine)
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -8,37 +8,40 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Sorts waiting jobs: smaller goes first.
+/// Sort key of waiting jobs: the job with the smallest key is placed first.
 ///
-/// What may be preempted for a job always comes later in this order. Otherwise it would take its
-/// place again at once, and be preempted again, without end.
+/// Attempts that a job may preempt always belong to jobs later in this order. Otherwise a preempted job would take
+/// the capacity back at once, and be preempted again, without end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueOrder {
-    /// It has not begun for so long that its first tasks go before everything else.
+    /// The job has waited so long for its first start that its first tasks go before all other jobs.
     pub(super) overdue: Reverse<bool>,
     pub(super) priority: Reverse<Priority>,
-    /// It doesn't fit into its team's guarantee beside the team's earlier jobs.
+    /// The job doesn't fit into its team's guarantee together with the team's older jobs.
     pub(super) over_guarantee: bool,
-    /// Can't be in time any more: it goes behind those that can.
+    /// The job can't meet its deadline any more: it goes after jobs that can.
     late: bool,
+    /// The latest start, plus a delay in proportion to the job's size.
     urgency: Moment,
+    /// Time of the job's acceptance.
     accepted: Moment,
 }
 
-/// The jobs that wait, and those that are over their team's guarantee, waiting or not.
+/// Waiting jobs, and all jobs over their team's guarantee, waiting or not.
 pub(super) struct Queue {
     /// Jobs with waiting tasks, the first to be placed first.
     pub(super) waiting: Vec<(QueueOrder, JobId)>,
-    /// Jobs that don't fit into their team's guarantee beside the team's earlier jobs.
+    /// Jobs that don't fit into their team's guarantee together with the team's older jobs.
     pub(super) over_guarantee: BTreeSet<JobId>,
 }
 
-/// Estimates are rough: a little past its latest start a job may still be in time.
+/// Time after its latest start from which a job counts as late: run-time estimates are rough, so that a job may
+/// still meet its deadline shortly after its latest start.
 const LATE_GRACE: Micros = Micros::from_secs(5);
 
-/// How strongly small jobs go before large ones: a job counts as less urgent by this multiple of the time for
-/// which it would take up its team's limit.
-const SMALL_JOBS_FIRST: f64 = 10.0;
+/// Weight of a job's size, which puts small jobs before large ones: a job counts as less urgent by this multiple of
+/// the time for which it would use its team's whole CPU limit.
+const JOB_SIZE_WEIGHT: f64 = 10.0;
 
 /// Thousandths in a CPU, the unit of demands.
 const CPU_UNITS: f64 = 1000.0;
@@ -49,11 +52,11 @@
         self.queue(now).waiting
     }
 
-    /// The same, with all jobs that are over their team's guarantee.
+    /// Waiting jobs in the order of placement, and all jobs that are over their team's guarantee.
     pub(super) fn queue(&self, now: Moment) -> Queue {
         let mut over_guarantee = BTreeSet::new();
         let mut waiting = Vec::new();
-        // What each team's jobs demand, up to the one that is looked at.
+        // Demand of each team's jobs, from the oldest up to the current one.
         let mut demanded = vec![Resources::default(); self.config.teams.len()];
         for (id, job) in self.open_jobs_by_age() {
             let Some(team) = job.team else { continue };
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Jobs that are neither over nor being cancelled, the oldest first.
+    /// Jobs that are neither finished nor being cancelled, the oldest first.
     fn open_jobs_by_age(&self) -> Vec<(&JobId, &Job)> {
         let mut by_age: Vec<(&JobId, &Job)> = self
             .jobs
@@ -89,30 +92,32 @@
         by_age
     }
 
-    /// Where a job of a team with this limit of CPUs stands in the queue.
+    /// Sort key of a job whose team has the CPU limit `cpus_max`.
     fn order_of(&self, job: &Job, cpus_max: f64, over_guarantee: bool, now: Moment) -> QueueOrder {
         let latest_start = self.latest_start(job);
-        // For how long the job would take up its team's limit, were it alone: of jobs equally pressed,
-        // small ones go first, since they hold up the others least.
+        // Time for which the job alone would use its team's whole CPU limit: of equally urgent jobs, small ones
+        // go first, since they delay the others least.
         let run_time = match job.spec.is_standing() {
             true => 0.0,
             false => self.expected_run_time(job).as_secs_f64(),
         };
         let work = f64::from(job.remaining()) * run_time * job.spec.demand.cpu as f64;
-        let alone = work / (cpus_max * CPU_UNITS).max(1.0);
+        let time_at_limit = work / (cpus_max * CPU_UNITS).max(1.0);
         QueueOrder {
             overdue: Reverse(self.is_overdue(job, now)),
             priority: Reverse(job.spec.priority),
             over_guarantee,
             late: !job.spec.is_standing() && now > latest_start + LATE_GRACE,
-            urgency: latest_start + Micros::from_secs_f64(alone * SMALL_JOBS_FIRST),
+            urgency: latest_start + Micros::from_secs_f64(time_at_limit * JOB_SIZE_WEIGHT),
             accepted: job.accepted_at,
         }
     }
 
-    /// True for a job that has waited too long for its first start. Small and urgent work goes before large
-    /// and late work, high priorities before low ones; each may be endless, so that waiting itself must win
-    /// in the end. The age comes from the record, so it survives a failover.
+    /// True for a job that has waited too long for its first start.
+    ///
+    /// Small and urgent jobs go before large and late ones, and high priorities before low ones. Either kind may keep
+    /// arriving without end, so that a long enough wait has to take precedence. The time of acceptance comes from the
+    /// job's record, so that it survives a failover.
     fn is_overdue(&self, job: &Job, now: Moment) -> bool {
         !job.has_begun() && now - job.accepted_at > self.config.max_queue_wait
     }
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -1,8 +1,8 @@
-//! Amounts of resources: what tasks demand, and the capacity of machines and quotas.
+//! Amounts of resources: demands of tasks, and capacities of machines and quotas.
 
 /// An amount of each resource, in thousandths (of a CPU, of a GPU, of a gigabyte), so that sums are exact.
 ///
-/// A difference may be negative: it then says how much is missing.
+/// A difference may be negative: its absolute value is then the missing amount.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -16,14 +16,14 @@
 /// Units in one CPU, GPU or gigabyte.
 const UNITS: f64 = 1000.0;
 
-/// Decimal fractions are inexact as floating-point numbers: so much of a unit is not counted when rounding.
+/// Part of a unit that is ignored when rounding, since decimal fractions are inexact as floating-point numbers.
 const ROUNDING_SLACK: f64 = 1e-6;
 
-/// The largest number that [`Resources::count_of`] returns.
-const MAX_COUNT: i64 = 10_000;
+/// The largest number that [`Resources::task_capacity`] returns.
+const MAX_TASK_CAPACITY: i64 = 10_000;
 
 impl Resources {
-    /// What a task demands: each amount is rounded up.
+    /// The demand of a task: each amount is rounded up.
     pub fn demand(cpus: f64, gpus: f64, ram_gb: f64) -> Resources {
         let up = |amount: f64| (amount * UNITS - ROUNDING_SLACK).ceil() as i64;
         Resources {
@@ -48,7 +48,7 @@
         self.cpu <= capacity.cpu && self.gpu <= capacity.gpu && self.ram <= capacity.ram
     }
 
-    /// The sum.
+    /// The sum of the amounts of each resource.
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             cpu: self.cpu + other.cpu,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The difference; an amount that falls short is negative.
+    /// The difference of the amounts of each resource; an amount that falls short is negative.
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             cpu: self.cpu - other.cpu,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What `count` tasks of this demand take together.
+    /// The total demand of `count` tasks of this demand.
     pub fn scaled(self, count: i64) -> Resources {
         Resources {
             cpu: self.cpu * count,
@@ -93,9 +93,9 @@
         }
     }
 
-    /// How many tasks of the demand this capacity holds, 10,000 at most. A resource that the task doesn't
-    /// demand sets no bound.
-    pub fn count_of(self, demand: Resources) -> u32 {
+    /// Number of tasks of the demand that fit into this capacity, 10,000 at most. A resource that the task doesn't
+    /// demand sets no limit.
+    pub fn task_capacity(self, demand: Resources) -> u32 {
         let count = |capacity: i64, demand: i64| match demand {
             ..=0 => i64::MAX,
             _ => capacity / demand,
@@ -103,15 +103,15 @@
         count(self.cpu, demand.cpu)
             .min(count(self.gpu, demand.gpu))
             .min(count(self.ram, demand.ram))
-            .clamp(0, MAX_COUNT) as u32
+            .clamp(0, MAX_TASK_CAPACITY) as u32
     }
 }
 
-/// What a machine has left.
+/// Capacity of a machine that is free now, and that is being freed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FreeCapacity {
-    /// What no attempt on the machine holds.
+    /// Capacity that no attempt on the machine holds.
     pub free: Resources,
-    /// What attempts hold that are being stopped.
+    /// Capacity held by attempts that are being stopped.
     pub stopping: Resources,
 }
--- a/src/placement/schedule.rs
+++ b/src/placement/schedule.rs
@@ -1,16 +1,16 @@
-//! When the next placement pass is due.
+//! Schedule of placement passes.
 
 use crate::time::{Micros, Moment};
 
-/// Passes are at least this long apart for each machine: a pass looks at every machine and waiting job.
-const SPACING_PER_MACHINE: Micros = Micros(100);
+/// Minimum time between two passes, per machine: a pass examines every machine and every waiting job.
+const PASS_SPACING_PER_MACHINE: Micros = Micros(100);
 
-/// When placement passes run: after a change, and not too often.
+/// State that decides when a placement pass runs: only after a change, and with a minimum spacing.
 #[derive(Debug)]
 pub struct PlacementSchedule {
-    /// Something changed that a pass should look at.
+    /// True if a change since the last pass may let tasks be placed.
     pub due: bool,
-    /// When the last pass was.
+    /// Start of the last pass.
     pub last_pass: Moment,
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl PlacementSchedule {
-    /// True if a pass is due and the last one was long enough ago for so many machines.
+    /// True if a pass is due and the spacing for this number of machines has elapsed since the last one.
     pub fn may_run(&self, machines: usize, now: Moment) -> bool {
-        let spacing = Micros(SPACING_PER_MACHINE.0 * machines as u64);
+        let spacing = Micros(PASS_SPACING_PER_MACHINE.0 * machines as u64);
         self.due && now - self.last_pass >= spacing
     }
 
-    /// Notes that a pass begins.
+    /// Records the start of a pass: no further pass is due until the next change.
     pub(super) fn begin_pass(&mut self, now: Moment) {
         self.due = false;
         self.last_pass = now;
--- a/src/placement/team_quota.rs
+++ b/src/placement/team_quota.rs
@@ -1,16 +1,17 @@
-//! What teams use, and what their limits leave.
+//! Resource usage of teams, and the quota that their limits leave.
 
 use super::Resources;
 use crate::scheduler::SchedulerState;
 
-/// Quotas limit CPUs and GPUs, not memory. Sums with this amount stay far from an overflow.
+/// Amount of memory in a team's remaining quota, since quotas limit CPUs and GPUs only. Sums with this amount stay far
+/// from an overflow.
 const UNLIMITED_RAM: i64 = i64::MAX / 4;
 
 impl SchedulerState {
-    /// What each team's tasks take, in the order of the configured teams.
+    /// Resources used by each team's tasks, in the order of the configured teams.
     ///
-    /// What unreconciled machines may still run counts as well, but no more than they can hold, since a worker
-    /// refuses what doesn't fit.
+    /// Tasks that unreconciled machines may still run count as well, but with no more than those machines can hold,
+    /// since a worker refuses tasks that don't fit.
     pub(super) fn team_usage(&self) -> Vec<Resources> {
         let mut used = vec![Resources::default(); self.config.teams.len()];
         let mut unreconciled = used.clone();
@@ -33,8 +34,8 @@
             .collect()
     }
 
-    /// What all unreconciled machines can hold together; None if nobody knows which machines these are. A machine
-    /// whose size is unknown counts with the largest amount of each resource in the catalog.
+    /// Total capacity of all unreconciled machines; `None` if it isn't known which machines these are, or while the
+    /// catalog is empty. A machine of unknown size counts with the largest amount of each resource in the catalog.
     fn unreconciled_capacity(&self) -> Option<Resources> {
         if self.prior_term.watermarks_lost {
             return None;
@@ -49,13 +50,13 @@
         Some(all.fold(Resources::default(), Resources::plus))
     }
 
-    /// What each team may still add within its limit, in the order of the configured teams.
+    /// Resources that each team may still use within its limit, in the order of the configured teams.
     pub(crate) fn quota_left(&self) -> Vec<Resources> {
-        self.quota_left_beside(&self.team_usage())
+        self.quota_left_after(&self.team_usage())
     }
 
-    /// The same for teams whose usage is known already.
-    pub(super) fn quota_left_beside(&self, used: &[Resources]) -> Vec<Resources> {
+    /// Resources that each team may still use beside the given usage.
+    pub(super) fn quota_left_after(&self, used: &[Resources]) -> Vec<Resources> {
         used.iter()
             .zip(&self.config.teams)
             .map(|(used, team)| {
@@ -68,7 +69,7 @@
             .collect()
     }
 
-    /// How many thousandths of a CPU each team uses beyond its guarantee; negative where it uses less.
+    /// Thousandths of a CPU that each team uses beyond its guarantee; negative if it uses less.
     pub(super) fn borrowed_cpu(&self, used: &[Resources]) -> Vec<i64> {
         used.iter()
             .zip(&self.config.teams)
--- a/src/provisioning/capacity_plan.rs
+++ b/src/provisioning/capacity_plan.rs
@@ -238,7 +238,7 @@
         let demand = planned.job.spec.demand;
         let cost = |priced: &PricedOffer| {
             let capacity = self.provisioning.catalog[priced.offer.type_index].capacity;
-            priced.price / f64::from(capacity.count_of(demand).max(1))
+            priced.price / f64::from(capacity.task_capacity(demand).max(1))
         };
         offers
             .iter()
