--- a/src/provisioning/capacity_plan.rs
+++ b/src/provisioning/capacity_plan.rs
@@ -1,4 +1,4 @@
-//! A plan of when waiting tasks could start, on the machines that are there, on their way, and wanted.
+//! Capacity plan: when waiting tasks could start on machines that are up, booting, or still to be requested.
 
 use super::Offer;
 use super::catalog::{MachineType, PricedOffer};
@@ -10,29 +10,29 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Tasks of one job that a plan looks at.
-const MAX_PLANNED: u32 = 300;
+/// Maximum number of tasks of one job in a plan.
+const MAX_PLANNED_TASKS: u32 = 300;
 
-/// Whatever is not there yet is expected no sooner than this.
-const SOONEST: Micros = Micros::from_secs(2);
+/// Minimum expected time until capacity that isn't free yet becomes free.
+const MIN_RELEASE_DELAY: Micros = Micros::from_secs(2);
 
-/// An amount that gets free at some moment.
+/// An amount of capacity, and when it becomes free.
 struct CapacityRelease {
     at: Moment,
     amount: Resources,
 }
 
-/// A machine as the plan sees it: when which capacity gets free there.
+/// Forecast of the capacity that becomes free on a machine.
 pub(super) struct MachineForecast {
     type_index: usize,
     zone: String,
     spot: bool,
-    /// The soonest first.
+    /// Sorted by time, the earliest first.
     releases: Vec<CapacityRelease>,
 }
 
 impl MachineForecast {
-    /// A machine that is empty once it is up.
+    /// A new machine: its whole capacity is free from the moment `up`.
     fn booting(offer: Offer, up: Moment, capacity: Resources) -> MachineForecast {
         MachineForecast {
             type_index: offer.type_index,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// When enough is free for one more task.
-    fn earliest(&self, demand: Resources) -> Option<Moment> {
+    /// The earliest moment at which enough capacity is free for one more task; `None` if it never is.
+    fn earliest_fit(&self, demand: Resources) -> Option<Moment> {
         let mut free = Resources::default();
         self.releases.iter().find_map(|release| {
             free = free.plus(release.amount);
@@ -54,15 +54,15 @@
         })
     }
 
-    /// Takes capacity for a task from `start` for `run_time`.
-    fn take(&mut self, start: Moment, demand: Resources, run_time: Micros) {
+    /// Allocates capacity to a task from `start` for `run_time`.
+    fn allocate(&mut self, start: Moment, demand: Resources, run_time: Micros) {
         let mut free = Resources::default();
         self.releases.retain(|release| {
-            let is_taken = release.at <= start;
-            if is_taken {
+            let is_free_by_start = release.at <= start;
+            if is_free_by_start {
                 free = free.plus(release.amount);
             }
-            !is_taken
+            !is_free_by_start
         });
         self.releases.push(CapacityRelease {
             at: start,
@@ -76,42 +76,42 @@
     }
 }
 
-/// What is planned so far.
+/// The tasks planned so far, and the machines that they need.
 pub(super) struct CapacityPlan {
-    /// Machines that are there or on their way, then those that the plan wants.
+    /// Machines that are up or booting, followed by those that the plan wants.
     machines: Vec<MachineForecast>,
-    /// What each team may still add within its limit.
+    /// Resources that each team may still use within its limit, in the order of the configured teams.
     quota_left: Vec<Resources>,
-    /// What can be requested, with its price.
+    /// Everything that can be requested, with its price.
     offers: Vec<PricedOffer>,
-    /// Every task should start as soon as a machine can be had, whatever its deadline.
+    /// True if every task should start as soon as a machine can be up, whatever its deadline.
     starts_at_once: bool,
-    /// How many machines of each offer the plan wants.
+    /// Number of new machines of each offer that the plan wants.
     pub(super) wanted: BTreeMap<Offer, u32>,
 }
 
-/// When a task could start on a machine of the plan.
+/// A possible start of a task on a machine of the plan.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PlannedStart {
     at: Moment,
-    /// The machine's index in the plan.
+    /// Index of the machine in the plan.
     machine: usize,
 }
 
-/// A job whose waiting tasks are planned.
+/// A job whose waiting tasks are being planned.
 struct PlannedJob<'a> {
     job: &'a Job,
     run_time: Micros,
-    /// A task that would start later than this asks for a new machine.
+    /// A task that would start later than this wants a new machine.
     latest_start: Moment,
-    /// How many tasks of the job each zone has, planned ones included.
+    /// Number of the job's tasks in each zone, planned ones included.
     zones: BTreeMap<String, u32>,
-    /// The earliest start on each machine; only that of the machine that takes a task changes.
+    /// The earliest start on each machine. When a task is planned, only the entry of its machine changes.
     starts: BinaryHeap<Reverse<PlannedStart>>,
 }
 
 impl CapacityPlan {
-    /// Nothing planned yet.
+    /// A plan without any tasks yet.
     pub(super) fn new(
         machines: Vec<MachineForecast>,
         quota_left: Vec<Resources>,
@@ -127,15 +127,20 @@
         }
     }
 
-    /// How many machines the plan wants.
+    /// Total number of new machines that the plan wants.
     pub(super) fn wanted_count(&self) -> u32 {
         self.wanted.values().sum()
     }
 
-    /// Wants one more machine; when a task could start there.
-    fn want(&mut self, offer: Offer, machine_type: &MachineType, now: Moment) -> PlannedStart {
+    /// Adds a new machine of the offer to the plan; returns the possible start of a task there.
+    fn add_wanted_machine(
+        &mut self,
+        offer: Offer,
+        machine_type: &MachineType,
+        now: Moment,
+    ) -> PlannedStart {
         *self.wanted.entry(offer.clone()).or_insert(0) += 1;
-        let up = now + machine_type.boot;
+        let up = now + machine_type.boot_time;
         self.machines
             .push(MachineForecast::booting(offer, up, machine_type.capacity));
         PlannedStart {
@@ -146,7 +151,7 @@
 }
 
 impl SchedulerState {
-    /// Plans a job's waiting tasks; one that would start too late wants a new machine.
+    /// Plans the starts of a job's waiting tasks; a task that would start too late wants a new machine.
     pub(super) fn plan_job(&self, id: JobId, plan: &mut CapacityPlan, now: Moment) {
         let Some(job) = self.jobs.table.get(&id) else {
             return;
@@ -169,7 +174,7 @@
                 .filter_map(|machine| start_on(plan, machine))
                 .collect(),
         };
-        for _ in 0..job.ready().min(MAX_PLANNED) {
+        for _ in 0..job.ready().min(MAX_PLANNED_TASKS) {
             if !demand.fits(plan.quota_left[team]) {
                 break;
             }
@@ -181,23 +186,27 @@
             if job.spec.constrains_zones() {
                 *planned.zones.entry(machine.zone.clone()).or_insert(0) += 1;
             }
-            machine.take(start.at, demand, planned.run_time);
+            machine.allocate(start.at, demand, planned.run_time);
             planned.starts.extend(start_on(plan, start.machine));
         }
     }
 
-    /// When a task of the job could start on the machine; None if it never could.
+    /// The earliest moment at which a task of the job could start on the machine; `None` if it never could.
     fn earliest_start(&self, job: &Job, machine: &MachineForecast, now: Moment) -> Option<Moment> {
-        let t = &self.provisioning.catalog[machine.type_index];
+        let machine_type = &self.provisioning.catalog[machine.type_index];
         let demand = job.spec.demand;
-        if !demand.fits(t.capacity) || !job.spec.allows(&t.name, &machine.zone, machine.spot) {
+        if !demand.fits(machine_type.capacity)
+            || !job
+                .spec
+                .allows(&machine_type.name, &machine.zone, machine.spot)
+        {
             return None;
         }
-        Some(machine.earliest(demand)?.max(now))
+        Some(machine.earliest_fit(demand)?.max(now))
     }
 
-    /// When and where the job's next task starts: on a machine of the plan if that is soon enough or nothing
-    /// better is offered, else on a new one. None if there is neither.
+    /// Plans the start of the job's next task: on a machine of the plan if that is soon enough or no offer is better,
+    /// otherwise on a new machine. `None` if there is neither.
     fn plan_start(
         &self,
         planned: &mut PlannedJob<'_>,
@@ -217,7 +226,7 @@
             let sooner_than = existing.map(|start| start.at);
             if let Some(offer) = self.choose_offer(planned, &plan.offers, sooner_than, now) {
                 let machine_type = &self.provisioning.catalog[offer.type_index];
-                return Some(plan.want(offer, machine_type, now));
+                return Some(plan.add_wanted_machine(offer, machine_type, now));
             }
         }
         if existing.is_some() {
@@ -226,8 +235,9 @@
         existing
     }
 
-    /// The cheapest offer that helps: spot machines wherever they start the task sooner; on-demand
-    /// ones, which cost several times as much, where they save a long wait, or for want of others.
+    /// The worthwhile offer with the lowest price for each task that fits on the machine. Spot machines are worthwhile
+    /// wherever they start the task sooner; on-demand machines, which cost several times as much, where they save a
+    /// long wait, or where no other machine can run the task.
     fn choose_offer(
         &self,
         planned: &PlannedJob<'_>,
@@ -242,14 +252,14 @@
         };
         offers
             .iter()
-            .filter(|priced| self.helps(planned, &priced.offer, existing, now))
+            .filter(|priced| self.is_worthwhile(planned, &priced.offer, existing, now))
             .min_by(|a, b| cost(a).total_cmp(&cost(b)))
             .map(|priced| priced.offer.clone())
     }
 
-    /// True if a machine of the offer may run the job's tasks, and is worth its price beside the earliest start on
-    /// a machine that there is already.
-    fn helps(
+    /// True if a machine of the offer may run the job's tasks, and is worth its price compared with `existing`, the
+    /// earliest start on a machine of the plan.
+    fn is_worthwhile(
         &self,
         planned: &PlannedJob<'_>,
         offer: &Offer,
@@ -257,12 +267,12 @@
         now: Moment,
     ) -> bool {
         let job = planned.job;
-        let t = &self.provisioning.catalog[offer.type_index];
-        // A machine that is late to boot is still likely to be up before a new one.
-        let up = now + t.boot.scaled(1.2) + Micros::from_secs(3);
-        job.spec.allows(&t.name, &offer.zone, offer.spot)
+        let machine_type = &self.provisioning.catalog[offer.type_index];
+        // Allows for late boots: a machine that is late to boot is still likely to be up before a new one.
+        let up = now + machine_type.boot_time.scaled(1.2) + Micros::from_secs(3);
+        job.spec.allows(&machine_type.name, &offer.zone, offer.spot)
             && job.zone_allowed(&offer.zone, &planned.zones)
-            && job.spec.demand.fits(t.capacity)
+            && job.spec.demand.fits(machine_type.capacity)
             && self.provisioning.may_request(offer, now)
             && existing.is_none_or(|start| {
                 let saves_long_wait = up + self.config.on_demand_max_wait < start;
@@ -270,39 +280,39 @@
             })
     }
 
-    /// When capacity gets free on a machine, as far as can be told; None if its type isn't in the catalog.
-    pub(super) fn forecast(&self, m: &Machine, now: Moment) -> Option<MachineForecast> {
+    /// Forecast of when capacity becomes free on a machine; `None` if its type isn't in the catalog.
+    pub(super) fn forecast(&self, machine: &Machine, now: Moment) -> Option<MachineForecast> {
         let catalog = &self.provisioning.catalog;
-        let type_index = catalog.iter().position(|t| t.name == m.type_name)?;
+        let type_index = catalog.iter().position(|t| t.name == machine.type_name)?;
         let machine_type = &catalog[type_index];
-        let releases = match m.last_seen {
+        let releases = match machine.last_seen {
             None => vec![CapacityRelease {
-                at: (m.known_since + machine_type.boot).max(now + SOONEST),
+                at: (machine.known_since + machine_type.boot_time).max(now + MIN_RELEASE_DELAY),
                 amount: machine_type.capacity,
             }],
-            Some(_) => self.expected_releases(m, now),
+            Some(_) => self.expected_releases(machine, now),
         };
         Some(MachineForecast {
             type_index,
-            zone: m.zone.clone(),
-            spot: m.spot,
+            zone: machine.zone.clone(),
+            spot: machine.spot,
             releases,
         })
     }
 
-    /// What is free on a machine that is up, and what its attempts release at their expected ends.
-    fn expected_releases(&self, m: &Machine, now: Moment) -> Vec<CapacityRelease> {
+    /// Capacity that is free on a machine that is up, and that its attempts release at their expected ends.
+    fn expected_releases(&self, machine: &Machine, now: Moment) -> Vec<CapacityRelease> {
         let mut releases = vec![CapacityRelease {
             at: now,
-            amount: self.free_capacity(m),
+            amount: self.free_capacity(machine),
         }];
-        for (key, attempt) in m.attempts.iter().filter(|(_, a)| a.holds_resources()) {
+        for (key, attempt) in machine.attempts.iter().filter(|(_, a)| a.holds_resources()) {
             let Some(job) = self.jobs.table.get(&key.job) else {
                 continue;
             };
             let from = attempt.running_since.unwrap_or(now);
             releases.push(CapacityRelease {
-                at: (from + self.expected_run_time(job)).max(now + SOONEST),
+                at: (from + self.expected_run_time(job)).max(now + MIN_RELEASE_DELAY),
                 amount: job.spec.demand,
             });
         }
--- a/src/provisioning/catalog.rs
+++ b/src/provisioning/catalog.rs
@@ -1,26 +1,26 @@
-//! What the cloud offers: machine types, and the offers that can be requested.
+//! The cloud's machine types, and the offers that can be requested.
 
 use crate::placement::Resources;
 use crate::time::Micros;
 
-/// One machine type of the cloud's catalog.
+/// A machine type of the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name, unique in the catalog.
+    /// Name, unique in the catalog.
     pub name: String,
-    /// What an empty machine of the type holds.
+    /// Capacity of an empty machine.
     pub capacity: Resources,
-    /// The size of its image cache, in GB.
+    /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
-    /// How fast it fetches images, in GB a second.
+    /// Rate at which a machine fetches images, in GB a second.
     pub fetch_gb_per_s: f64,
-    /// The price of an on-demand machine, in the cloud's unit.
+    /// Price of an on-demand machine, in the cloud's unit.
     pub price: f64,
-    /// The price of a spot machine, in the same unit.
+    /// Price of a spot machine, in the same unit.
     pub spot_price: f64,
-    /// How long a new machine takes to boot.
-    pub boot: Micros,
-    /// The zones in which it can be had.
+    /// Time that a new machine takes to boot.
+    pub boot_time: Micros,
+    /// Zones in which the type is offered.
     pub zones: Vec<String>,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The same for each thousandth of a CPU.
+    /// The price per thousandth of a CPU of a spot or an on-demand machine.
     pub(super) fn price_per_cpu(&self, spot: bool) -> f64 {
         self.price_of(spot) / self.capacity.cpu.max(1) as f64
     }
@@ -43,21 +43,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListStatus {
-    /// It boots.
+    /// The machine is booting.
     Starting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It stopped by itself, and everything on it with it.
+    /// The machine stopped by itself, and everything on it stopped with it.
     Failed,
     /// A state that this version doesn't know.
     #[serde(other)]
     Other,
 }
 
-/// What can be requested: a machine type, in a zone, spot or on-demand.
+/// A kind of machine that can be requested: a machine type in a zone, spot or on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
-    /// The type's index in the catalog.
+    /// Index of the machine type in the catalog.
     pub type_index: usize,
     /// The zone's name.
     pub zone: String,
@@ -65,7 +65,7 @@
     pub spot: bool,
 }
 
-/// An offer with its present price.
+/// An offer with its current price.
 pub(super) struct PricedOffer {
     pub(super) offer: Offer,
     pub(super) price: f64,
--- a/src/provisioning/catalog_loop.rs
+++ b/src/provisioning/catalog_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that gets the cloud's catalog, and the copy of the catalog in the store.
+//! The loop that fetches the cloud's catalog, and the copy of the catalog in the store.
 
 use super::wire::Catalog;
 use crate::controller::Controller;
@@ -7,18 +7,19 @@
 use crate::store::{Change, StorePriority, from_value, to_value};
 use std::sync::Arc;
 
-/// The key of the catalog's copy.
+/// Key of the catalog's copy in the store.
 const CATALOG_KEY: &str = "catalog";
 
-/// Milliseconds between two attempts to get the first catalog, drawn between these.
+/// Bounds of the random pause between two attempts to get the first catalog, in milliseconds.
 const RETRY_MS: (u64, u64) = (300, 600);
 
-/// Milliseconds after which the catalog is asked for again, drawn between these.
+/// Bounds of the random pause between two later fetches of the catalog, in milliseconds.
 const REFRESH_MS: (u64, u64) = (240_000, 360_000);
 
 impl Controller {
-    /// Gets the catalog: at the start from the copy that a leader keeps, which is there sooner
-    /// and even while the cloud is down, else from the cloud; then from the cloud now and then.
+    /// Keeps this controller's catalog up to date. The first catalog is the copy that a leader has stored, which is
+    /// available sooner and even while the cloud is down, or else comes from the cloud; later ones come from the
+    /// cloud.
     pub(crate) fn catalog_loop(&self) {
         while self.catalog().is_none() {
             if let Some(catalog) = self.load_catalog() {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Makes a catalog known to the request handlers and to the scheduler.
+    /// Passes a catalog to the request handlers and to the scheduler.
     pub(super) fn set_catalog(&self, catalog: &Catalog) {
         let types = Arc::new(catalog.types());
         *self.catalog.lock().unwrap_or_else(|e| e.into_inner()) = Some(types.clone());
@@ -46,15 +47,15 @@
         }
     }
 
-    /// The catalog's copy in the store, if there is one that names any machine types.
+    /// Loads the catalog's copy from the store; `None` if there is none or it names no machine types.
     fn load_catalog(&self) -> Option<Catalog> {
         let row = self.store.get(CATALOG_KEY, StorePriority::Normal).ok()??;
         let catalog: Catalog = from_value(&row.data)?;
         (!catalog.machine_types.is_empty()).then_some(catalog)
     }
 
-    /// Keeps a copy, so that a restarted controller can take submissions while the cloud is down. True if it
-    /// needn't be tried again in this term.
+    /// Stores a copy, so that a restarted controller can accept submissions while the cloud is down. True if this
+    /// needn't be tried again in this term: the copy is stored, or too large for the store.
     pub(super) fn save_catalog(&self, catalog: &Catalog) -> bool {
         let Some(guard) = self.state().leader_lease.as_ref().map(|l| l.precondition()) else {
             return false;
--- a/src/provisioning/cloud_client.rs
+++ b/src/provisioning/cloud_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, each behind a token: the cloud limits how many it takes in a second.
+//! Calls to the cloud. Each call takes a token, since the cloud limits the number of calls per second.
 
 use super::ProvisioningRequest;
 use super::wire::{
@@ -11,54 +11,54 @@
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-/// How long a call waits for its response.
+/// Time that a call waits for its response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Machines on a page of the list.
+/// Number of machines on a page of the machine list.
 const LIST_PAGE: usize = 500;
 
-/// A list of many pages waits for tokens between them, for so long in all. One that took longer would
-/// say little of the time at which it was asked for.
+/// Total time for which a list of many pages waits for tokens between its pages. A list that took longer would say
+/// little about the time at which it was requested.
 const LIST_TIMEOUT: Micros = Micros::from_secs(10);
 
-/// Why a call to the cloud brought nothing.
+/// Reason why a call to the cloud has no result.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloudError {
-    /// Not sent: the tokens are used up.
-    #[error("no token for a call to the cloud")]
+    /// Not sent: no token is left.
+    #[error("call to the cloud not sent: rate limit reached")]
     NoToken,
-    /// Not executed: the cloud takes no more calls for a while.
-    #[error("the cloud throttles calls")]
+    /// Not executed: the cloud accepts no more calls for a while (status 429).
+    #[error("call to the cloud throttled")]
     Throttled,
-    /// May have been executed, according to the source.
+    /// The call failed; its source says whether it may have been executed.
     #[error(transparent)]
     Call(#[from] CallError),
     /// The cloud refused the request with this status.
-    #[error("the cloud answered {path} with status {status}")]
+    #[error("call to the cloud's {path} refused with status {status}")]
     Status { path: &'static str, status: u16 },
-    /// Executed; the response can't be read.
-    #[error("malformed response to {path}")]
+    /// Executed, but the response can't be decoded.
+    #[error("malformed response from the cloud's {path}")]
     Malformed {
         path: &'static str,
         source: DecodeError,
     },
     /// The catalog names no machine type.
-    #[error("the catalog is empty")]
+    #[error("the cloud's catalog names no machine types")]
     EmptyCatalog,
 }
 
-/// The cloud's answer to a request for machines.
+/// The cloud's response to a request for machines.
 pub(super) enum ProvisioningResponse {
     /// The names of the new machines.
     Granted(Vec<String>),
     NoCapacity,
 }
 
-/// What listing all machines came to.
+/// Outcome of listing all machines.
 pub(super) struct ListOutcome {
-    /// How many pages were asked for.
+    /// Number of pages that were requested.
     pub(super) pages: usize,
-    /// All machines, or why there is no whole list.
+    /// All machines, or the error that prevented a complete list.
     pub(super) machines: Result<Vec<ListedMachine>, CloudError>,
 }
 
@@ -82,13 +82,13 @@
         return Err(CloudError::Status { path, status });
     }
     decode(&response.body).map_err(|source| {
-        log::info!(path = path, reason:% = source; "malformed response of the cloud");
+        log::info!(path = path, reason:% = source; "malformed cloud response");
         CloudError::Malformed { path, source }
     })
 }
 
 impl Controller {
-    /// Calls the cloud if there is a token. Status 429 stops further calls for a moment.
+    /// Calls the cloud if a token is available. A response with status 429 suspends further calls for 0.5 to 1 s.
     fn cloud_call(
         &self,
         method: &str,
@@ -107,19 +107,19 @@
             }
             Ok(response) => Ok(response),
             Err(error) => {
-                log::debug!(path = path, reason:% = error; "cloud unreachable");
+                log::debug!(path = path, reason:% = error; "cloud call failed");
                 Err(CloudError::Call(error))
             }
         }
     }
 
-    /// Runs something on the tokens for calls to the cloud, under their lock.
+    /// Runs `run` on the token bucket for calls to the cloud, under its lock.
     fn with_cloud_tokens<T>(&self, run: impl FnOnce(&mut TokenBucket) -> T) -> T {
         let mut tokens = self.cloud_bucket.lock().unwrap_or_else(|e| e.into_inner());
         run(&mut tokens)
     }
 
-    /// Waits until there is a token, until then at the longest.
+    /// Waits until a token is available, but not beyond `until`.
     fn await_cloud_token(&self, until: Moment) {
         let rate = self.settings.settings.cloud.rps;
         let wait = Micros::from_secs_f64(1.0 / rate);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Asks for the catalog, which is never empty.
+    /// Fetches the catalog; an empty catalog is an error.
     pub(super) fn fetch_catalog(&self) -> Result<Catalog, CloudError> {
         let response = self.cloud_call("GET", CATALOG_PATH, &[])?;
         let catalog: Catalog = decode_ok(CATALOG_PATH, &response)?;
@@ -139,15 +139,15 @@
         Ok(catalog)
     }
 
-    /// Asks for the whole list of machines, page by page.
+    /// Fetches the complete list of machines, page by page.
     pub(super) fn fetch_machine_list(&self) -> ListOutcome {
-        let asked = self.now();
+        let requested_at = self.now();
         let mut pages = 0;
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             pages += 1;
             if pages > 1 {
-                self.await_cloud_token(asked + LIST_TIMEOUT);
+                self.await_cloud_token(requested_at + LIST_TIMEOUT);
             }
             match self.fetch_list_page(machines.last()) {
                 Ok(page) => {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Asks for the page that follows a machine, or for the first one.
+    /// Fetches the page of the machine list that follows a machine, or the first page.
     fn fetch_list_page(&self, after: Option<&ListedMachine>) -> Result<MachineList, CloudError> {
         let after = match after {
             Some(last) => format!("since={}&", last.name),
@@ -177,7 +177,7 @@
         decode_ok(LIST_PATH, &response)
     }
 
-    /// Sends a request for machines. After an error it may have been executed, and is to be repeated.
+    /// Sends a request for machines. After an error it may have been executed, and must be repeated.
     pub(super) fn send_provisioning_request(
         &self,
         request: &ProvisioningRequest,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Returns machines; the names of those that are gone then, with everything on them.
+    /// Returns machines to the cloud; the result names those that are gone, with everything on them.
     pub(super) fn return_machines(&self, machines: Vec<String>) -> Result<Vec<String>, CloudError> {
         let body = encode(&MachineNames { machines });
         let response = self.cloud_call("POST", RETURN_PATH, &body)?;
--- a/src/provisioning/cloud_sync_loop.rs
+++ b/src/provisioning/cloud_sync_loop.rs
@@ -1,4 +1,4 @@
-//! The leader's loop that keeps its machines and the cloud in step: list, requests, returns.
+//! The leader's loop that synchronizes its machines with the cloud: machine list, requests and returns.
 
 use super::cloud_client::ProvisioningResponse;
 use super::{ProvisioningRequest, ProvisioningResult};
@@ -7,34 +7,35 @@
 use std::time::Duration;
 
 /// Time between two steps of the loop.
-const STEP: Duration = Duration::from_millis(500);
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two lists.
+/// Time between two fetches of the machine list.
 const LIST_INTERVAL: Micros = Micros::from_secs(3);
 
-/// The same while a new leader waits for machines that lists may prove to be gone.
+/// Time between two fetches of the machine list while a new leader waits for machines that a list may prove to be
+/// gone.
 const LIST_INTERVAL_IN_FAILOVER: Micros = Micros::from_secs(1);
 
-/// Time between two looks at the catalog.
+/// Time between two fetches of the catalog.
 const CATALOG_INTERVAL: Micros = Micros::from_secs(60);
 
-/// Of the cloud's calls, lists take one in so many at most: requests and returns need the others.
-const LIST_SHARE: f64 = 2.0;
+/// Lists use at most one in this many of the calls that the cloud allows: requests and returns need the others.
+const LIST_RATE_DIVISOR: f64 = 2.0;
 
-/// Wait after a request whose outcome is unknown.
+/// Pause after a request whose outcome is unknown.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// What the loop remembers between its steps.
+/// State that the loop keeps between its steps.
 struct SyncProgress {
-    /// When the catalog was last fetched here.
+    /// When this loop last fetched the catalog.
     catalog_fetched_at: Option<Moment>,
-    /// The term in which the catalog's copy was last stored; 0 if in none.
-    catalog_saved_in: u64,
-    /// How many pages the last list had.
+    /// The term in which this loop last stored the catalog's copy; 0 if in none.
+    catalog_saved_term: u64,
+    /// Number of pages of the last list.
     list_pages: usize,
 }
 
-/// What a step has to do.
+/// Work that is due in a step.
 struct SyncStep {
     term: u64,
     is_list_due: bool,
@@ -45,11 +46,11 @@
     pub(crate) fn cloud_sync_loop(&self) {
         let mut progress = SyncProgress {
             catalog_fetched_at: None,
-            catalog_saved_in: 0,
+            catalog_saved_term: 0,
             list_pages: 1,
         };
         loop {
-            self.os.sleep(STEP);
+            self.os.sleep(STEP_INTERVAL);
             let now = self.now();
             let Some(step) = self.next_sync_step(&progress, now) else {
                 continue;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// What is due; None if this controller doesn't lead.
+    /// The work that is due; `None` if this controller doesn't lead.
     fn next_sync_step(&self, progress: &SyncProgress, now: Moment) -> Option<SyncStep> {
         let mut state = self.state();
         let (lease, scheduler) = state.acting_leader(now)?;
@@ -79,9 +80,9 @@
         })
     }
 
-    /// How often a list of so many pages may be asked for.
+    /// Minimum time between two lists of this number of pages.
     fn list_interval(&self, pages: usize) -> Micros {
-        let time = pages as f64 * LIST_SHARE / self.settings.settings.cloud.rps;
+        let time = pages as f64 * LIST_RATE_DIVISOR / self.settings.settings.cloud.rps;
         Micros::from_secs_f64(time)
     }
 
@@ -90,7 +91,7 @@
         let is_due = progress
             .catalog_fetched_at
             .is_none_or(|t| now - t > CATALOG_INTERVAL);
-        if !is_due && progress.catalog_saved_in == term {
+        if !is_due && progress.catalog_saved_term == term {
             return;
         }
         let Ok(catalog) = self.fetch_catalog() else {
@@ -98,26 +99,26 @@
         };
         progress.catalog_fetched_at = Some(now);
         self.set_catalog(&catalog);
-        if progress.catalog_saved_in != term && self.save_catalog(&catalog) {
-            progress.catalog_saved_in = term;
+        if progress.catalog_saved_term != term && self.save_catalog(&catalog) {
+            progress.catalog_saved_term = term;
         }
     }
 
-    /// Asks for the machine list and reconciles the machines with it; how many pages it had.
+    /// Fetches the machine list and reconciles the machines with it; returns the number of its pages.
     fn sync_machine_list(&self) -> usize {
-        let asked = self.now();
+        let requested_at = self.now();
         let outcome = self.fetch_machine_list();
         if let Ok(machines) = &outcome.machines {
             let now = self.now();
             if let Some((_, scheduler)) = self.state().acting_leader(now) {
-                scheduler.reconcile_machine_list(machines, asked, now);
+                scheduler.reconcile_machine_list(machines, requested_at, now);
                 self.wake_loops(scheduler);
             }
         }
         outcome.pages
     }
 
-    /// Plans requests for machines and sends those that have no answer yet.
+    /// Plans requests for machines, and sends all requests that have no response yet.
     fn scale_out(&self) {
         for request in self.pending_requests() {
             let now = self.now();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The planned requests that have no answer yet; none if this controller doesn't lead.
+    /// Plans requests, and returns those that have no response yet; none if this controller doesn't lead.
     fn pending_requests(&self) -> Vec<ProvisioningRequest> {
         let now = self.now();
         let mut state = self.state();
@@ -148,7 +149,7 @@
         scheduler.provisioning.requests.clone()
     }
 
-    /// Sends one request. After an error nobody knows whether it was executed.
+    /// Sends one request. After an error it is unknown whether the request was executed.
     fn request_machines(&self, request: &ProvisioningRequest) -> ProvisioningResult {
         log::info!(
             request = request.name,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns the machines whose return is due, and drops those that are gone then.
+    /// Returns the machines whose return is due, and drops those that the cloud confirms to be gone.
     fn scale_in(&self) {
         let due = self.due_returns();
         if due.is_empty() {
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reconciliation with the cloud's machine list: which machines there are, and which it proves to be gone.
+//! Reconciliation with the cloud's machine list, which shows what machines exist and proves that others are gone.
 
 use super::ListStatus;
 use super::wire::ListedMachine;
@@ -7,65 +7,75 @@
 use crate::workers::Machine;
 use std::collections::{BTreeSet, HashSet};
 
-/// A list describes a moment at most this many times its lag before it was asked for.
-const MAX_LAGS: f64 = 2.0;
+/// Maximum age of a list's contents at the moment of its request, as a multiple of the configured lag.
+const MAX_LIST_AGE_IN_LAGS: f64 = 2.0;
 
-/// Added to it before a machine that is missing counts as gone.
+/// Margin added to the maximum age of a list before a machine that is missing from it counts as gone.
 const UNLISTED_MARGIN: Micros = Micros::from_secs(3);
 
 impl SchedulerState {
-    /// Takes in a whole machine list that was asked for at `asked`.
-    pub fn reconcile_machine_list(&mut self, list: &[ListedMachine], asked: Moment, now: Moment) {
+    /// Reconciles the machines with a complete machine list that was requested at `requested_at`.
+    pub fn reconcile_machine_list(
+        &mut self,
+        list: &[ListedMachine],
+        requested_at: Moment,
+        now: Moment,
+    ) {
         self.provisioning.has_machine_list = true;
         self.provisioning.last_listed_at = Some(now);
         for listed in list {
             if !self.provisioning.is_gone(&listed.name) {
-                self.reconcile_listed_machine(listed, asked, now);
+                self.reconcile_listed_machine(listed, requested_at, now);
             }
         }
-        self.note_unlisted(list, asked);
-        self.forget_vanished(now);
+        self.note_unlisted(list, requested_at);
+        self.drop_long_unlisted(now);
         self.release_prior_term(now);
     }
 
-    fn reconcile_listed_machine(&mut self, listed: &ListedMachine, asked: Moment, now: Moment) {
+    fn reconcile_listed_machine(
+        &mut self,
+        listed: &ListedMachine,
+        requested_at: Moment,
+        now: Moment,
+    ) {
         let held = Micros::from_secs_f64(listed.held_s.0);
-        let existed = self.existed_at(listed, held, asked, now);
+        let existed = self.existed_at(listed, held, requested_at, now);
         let total = self.provisioning.capacity_of(&listed.type_name);
         let started = self.started;
-        let m = self.machines.entry(listed.name.clone()).or_insert_with(|| {
+        let machine = self.machines.entry(listed.name.clone()).or_insert_with(|| {
             let (type_name, zone) = (&listed.type_name, &listed.zone);
-            let mut m = Machine::new(&listed.name, type_name, zone, listed.spot, total, now);
-            m.lease_renewed_at = started;
-            m.known_since = Moment(now.0.saturating_sub(held.0));
-            m
+            let mut machine = Machine::new(&listed.name, type_name, zone, listed.spot, total, now);
+            machine.lease_renewed_at = started;
+            machine.known_since = Moment(now.0.saturating_sub(held.0));
+            machine
         });
-        m.existed_at = Some(m.existed_at.map_or(existed, |t| t.min(existed)));
-        m.list_status = Some(listed.status);
-        m.last_listed = Some(now);
-        if listed.status == ListStatus::Failed && !m.unreachable {
-            // It stopped by itself, and everything on it with it.
+        machine.existed_at = Some(machine.existed_at.map_or(existed, |t| t.min(existed)));
+        machine.list_status = Some(listed.status);
+        machine.last_listed = Some(now);
+        if listed.status == ListStatus::Failed && !machine.unreachable {
+            // The machine stopped by itself, and everything on it stopped with it.
             log::info!(machine = listed.name; "machine failed");
-            m.unreachable = true;
-            m.epoch_ended = true;
-            m.draining = true;
+            machine.unreachable = true;
+            machine.epoch_ended = true;
+            machine.draining = true;
             self.end_epoch(&listed.name);
         }
     }
 
-    /// A moment at which the listed machine surely existed.
+    /// The earliest moment at which the listed machine is known to have existed.
     ///
-    /// As of the list it was held for some time. If that reaches back beyond the oldest moment that the list
-    /// may describe, it existed then; else it exists now, as far as is known.
+    /// The list says for how long the machine had been held. If that reaches back beyond the oldest moment that the
+    /// list may describe, the machine existed at that moment; otherwise it is only known to exist now.
     fn existed_at(
         &self,
         listed: &ListedMachine,
         held: Micros,
-        asked: Moment,
+        requested_at: Moment,
         now: Moment,
     ) -> Moment {
-        let max_age = self.config.list_lag.scaled(MAX_LAGS);
-        let described = Moment(asked.0.saturating_sub(max_age.0));
+        let max_age = self.config.list_lag.scaled(MAX_LIST_AGE_IN_LAGS);
+        let described = Moment(requested_at.0.saturating_sub(max_age.0));
         let existed = match held >= now - described {
             true => described,
             false => now,
@@ -76,15 +86,15 @@
         }
     }
 
-    /// Machines that a list should name and doesn't are gone, and what was on them too.
+    /// Drops machines that the list should contain and doesn't: they are gone, with everything on them.
     ///
-    /// Once listed, a machine stays listed until it is gone, and a list is never older than twice
-    /// its lag. So a machine that existed that long (and a margin) before the list was asked for,
-    /// and is not in it, no longer exists. Two lists in a row must agree.
-    fn note_unlisted(&mut self, list: &[ListedMachine], asked: Moment) {
+    /// Once listed, a machine stays listed until it is gone, and a list is never older than twice its lag. So a
+    /// machine that existed that long (and a margin) before the list was requested, and is not in it, no longer
+    /// exists. Two lists in a row must agree.
+    fn note_unlisted(&mut self, list: &[ListedMachine], requested_at: Moment) {
         let listed: HashSet<&str> = list.iter().map(|l| l.name.as_str()).collect();
         let mut gone = Vec::new();
-        for name in self.missing_from(&listed, asked) {
+        for name in self.missing_from(&listed, requested_at) {
             if self.provisioning.unlisted.contains(&name) {
                 gone.push(name);
             } else {
@@ -102,10 +112,10 @@
         self.drop_gone_machines(&gone);
     }
 
-    /// Machines that are not in the list, though they existed long enough before it was asked for.
-    fn missing_from(&self, listed: &HashSet<&str>, asked: Moment) -> Vec<String> {
-        let max_age = self.config.list_lag.scaled(MAX_LAGS) + UNLISTED_MARGIN;
-        // Each once: a machine may be known and unreconciled.
+    /// Machines that are missing from the list although they existed long enough before it was requested.
+    fn missing_from(&self, listed: &HashSet<&str>, requested_at: Moment) -> Vec<String> {
+        let max_age = self.config.list_lag.scaled(MAX_LIST_AGE_IN_LAGS) + UNLISTED_MARGIN;
+        // A set, since a machine may be both known and unreconciled.
         let names: BTreeSet<&String> = self
             .machines
             .keys()
@@ -118,19 +128,19 @@
         };
         names
             .into_iter()
-            .filter(|name| existed_at(name).is_some_and(|t| t + max_age < asked))
+            .filter(|name| existed_at(name).is_some_and(|t| t + max_age < requested_at))
             .cloned()
             .collect()
     }
 
-    /// Machines whose lease expired and that lists stopped naming long ago are gone.
-    fn forget_vanished(&mut self, now: Moment) {
-        let lag = self.config.list_lag.scaled(3.0) + Micros::from_secs(10);
+    /// Drops machines whose lease has expired and which lists stopped naming long ago: they are gone.
+    fn drop_long_unlisted(&mut self, now: Moment) {
+        let max_unlisted = self.config.list_lag.scaled(3.0) + Micros::from_secs(10);
         let gone: Vec<String> = self
             .machines
             .values()
             .filter(|m| m.unreachable || m.last_seen.is_none())
-            .filter(|m| now - m.last_listed.unwrap_or(m.known_since) > lag)
+            .filter(|m| now - m.last_listed.unwrap_or(m.known_since) > max_unlisted)
             .filter(|m| now - m.lease_renewed_at >= self.lease_span())
             .map(|m| m.name.clone())
             .collect();
@@ -146,7 +156,7 @@
         self.prior_term.machines.remove(name);
     }
 
-    /// Drops machines of which the cloud said that they, and everything on them, are gone for good.
+    /// Drops machines that the cloud reported as gone for good, with everything on them.
     pub fn drop_gone_machines(&mut self, names: &[String]) {
         for name in names {
             self.drop_machine(name);
--- a/src/provisioning/mod.rs
+++ b/src/provisioning/mod.rs
@@ -1,9 +1,9 @@
-//! Provisioning: which machines the leader wants, requests from the cloud, and returns to it.
+//! Provisioning: requests for machines to the cloud, and returns of machines that aren't needed.
 //!
-//! [Scale-out](crate::scheduler::SchedulerState::plan_scale_out) plans waiting tasks on the machines that are there
-//! and on their way, and requests what is missing; headroom is kept where objectives ask for it.
-//! [Scale-in](crate::scheduler::SchedulerState::plan_scale_in) chooses machines to return. The cloud's machine list
-//! is reconciled with what the leader knows, and proves machines to be gone.
+//! [Scale-out](crate::scheduler::SchedulerState::plan_scale_out) plans waiting tasks on the machines that are up
+//! or booting, and requests the machines that are missing; headroom is kept where objectives ask for it.
+//! [Scale-in](crate::scheduler::SchedulerState::plan_scale_in) chooses machines to return. The leader reconciles its
+//! machines with the cloud's machine list, which also proves that machines are gone.
 
 #![warn(missing_docs)]
 
--- a/src/provisioning/request.rs
+++ b/src/provisioning/request.rs
@@ -1,27 +1,27 @@
-//! Requests for machines, and what came of them.
+//! Requests for machines, and their results.
 
 use super::Offer;
 
-/// A request for machines. The same name always carries the same request, and is never used again.
+/// A request for machines. A name always stands for the same request, and is never reused for another one.
 #[derive(Clone, Debug)]
 pub struct ProvisioningRequest {
-    /// The name under which the cloud knows the request: repeated, it is executed once.
+    /// Name of the request: the cloud executes a request that is repeated under its name only once.
     pub name: String,
-    /// What is asked for.
+    /// The kind of machine requested.
     pub offer: Offer,
-    /// The name of the offer's machine type.
+    /// Name of the offer's machine type.
     pub type_name: String,
-    /// How many machines.
+    /// Number of machines requested.
     pub count: u32,
 }
 
-/// The cloud's answer to a request.
+/// The result of a request.
 #[derive(Debug)]
 pub enum ProvisioningResult {
-    /// The names of the new machines, as many as were asked for or fewer.
+    /// Names of the new machines, as many as were requested or fewer.
     Granted(Vec<String>),
-    /// The cloud has none of these now.
+    /// The cloud has no such machines now.
     NoCapacity,
-    /// May have been executed: the same request is repeated.
+    /// The request may have been executed, and is repeated.
     Unknown,
 }
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -1,58 +1,60 @@
-//! Scale-in: which machines are returned to the cloud, and when.
+//! Scale-in: choice of the machines that are returned to the cloud, and when.
 
 use super::ListStatus;
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 use crate::workers::Machine;
 
-/// Why a machine is returned.
+/// Reason for the return of a machine. The log prints the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReturnReason {
     Idle,
-    /// It was requested and never came up.
+    /// The machine was requested and never came up.
     NeverUp,
-    /// It is listed as running, and never sent a heartbeat.
+    /// The machine is listed as running and never sent a heartbeat.
     NeverReported,
-    /// Its lease expired long ago.
+    /// The machine's lease expired long ago.
     Silent,
     Faulty,
-    /// The cloud announced that it takes the machine back.
+    /// The cloud announced that it will take the machine back.
     PreemptionNotice,
-    /// Replies and commands don't reach it.
+    /// Replies and commands don't reach the machine.
     Unreached,
 }
 
-/// An idle on-demand machine is returned after this part of the time that a spot machine has.
-const ON_DEMAND_IDLE: f64 = 0.25;
+/// Fraction of a spot machine's maximum idle time after which an idle on-demand machine is returned.
+const ON_DEMAND_IDLE_FACTOR: f64 = 0.25;
 
-/// A machine is silent after so many times the time between heartbeats.
-const SILENT_HEARTBEATS: f64 = 3.0;
+/// Number of heartbeat intervals without a heartbeat after which a machine is silent.
+const SILENT_AFTER_INTERVALS: f64 = 3.0;
 
-/// If more than one machine in so many is silent, the fault is rather on this side.
-const MAX_SILENT_ONE_IN: usize = 3;
+/// If more than one in this many known machines is silent, the fault is more likely on this controller's side.
+const MIN_KNOWN_PER_SILENT: usize = 3;
 
-/// A machine without a heartbeat after so many times its type's boot time is given up.
-const MAX_BOOTS: f64 = 4.0;
+/// Multiple of its type's boot time after which a machine without a heartbeat is given up.
+const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// Machines that are returned in one call.
-const MAX_SCALE_IN: usize = 100;
+/// Maximum number of machines returned in one call.
+const MAX_RETURNS_PER_CALL: usize = 100;
 
 impl SchedulerState {
-    /// True for a machine whose heartbeats arrive but which replies don't seem to reach: it takes no
-    /// work, so another one is requested in its place. A short quarantine changes nothing.
-    pub(super) fn is_unresponsive(&self, m: &Machine, now: Moment) -> bool {
+    /// True for a machine whose heartbeats arrive but which replies don't seem to reach. It takes no tasks, so
+    /// another machine is requested in its place. A short quarantine doesn't count.
+    pub(super) fn is_unresponsive(&self, machine: &Machine, now: Moment) -> bool {
         let lease = self.lease_span();
-        let unreconciled =
-            m.last_seen.is_some() && !m.reconciled && now - m.known_since.max(self.started) > lease;
+        let unreconciled = machine.last_seen.is_some()
+            && !machine.reconciled
+            && now - machine.known_since.max(self.started) > lease;
         unreconciled
-            || m.quarantine
+            || machine
+                .quarantine
                 .is_some_and(|s| now - s.since > lease.scaled(0.5))
     }
 
-    /// Chooses machines to return, and names those whose return is due now.
+    /// Chooses machines to return, and returns the names of those whose return is due now.
     pub fn plan_scale_in(&mut self, now: Moment) -> Vec<String> {
         for (name, reason) in self.choose_scale_in(now) {
-            log::info!(machine = name, reason:? = reason; "machine to be returned");
+            log::info!(machine = name, reason:? = reason; "machine marked for return");
             if let Some(m) = self.machines.get_mut(&name) {
                 m.draining = true;
             }
@@ -64,101 +66,109 @@
             .map(|m| m.name.clone());
         emptied
             .chain(self.silent_with_replicas(now))
-            .take(MAX_SCALE_IN)
+            .take(MAX_RETURNS_PER_CALL)
             .collect()
     }
 
-    /// Machines that are of no use, or idle beyond the headroom that is kept.
+    /// Machines that are of no use, or idle beyond the headroom that is kept, each with the reason.
     fn choose_scale_in(&self, now: Moment) -> Vec<(String, ReturnReason)> {
         let mut surplus = self.headroom_surplus().unwrap_or(i64::MAX);
         let mut replica_surplus = self.replica_surplus(now).unwrap_or(i64::MAX);
         let mut chosen = Vec::new();
-        for m in self.machines.values().filter(|m| !m.draining) {
-            let reason = self.defect(m, now).or_else(|| {
-                // What is kept ready stays, also while it is idle.
-                let is_kept = surplus < m.total.cpu || (!m.spot && replica_surplus < m.total.cpu);
-                (self.is_idle(m, now) && !is_kept).then_some(ReturnReason::Idle)
+        for machine in self.machines.values().filter(|machine| !machine.draining) {
+            let reason = self.defect(machine, now).or_else(|| {
+                // Machines that provide headroom are kept, even while they are idle.
+                let is_kept = surplus < machine.total.cpu
+                    || (!machine.spot && replica_surplus < machine.total.cpu);
+                (self.is_idle(machine, now) && !is_kept).then_some(ReturnReason::Idle)
             });
             let Some(reason) = reason else { continue };
             if reason == ReturnReason::Idle {
-                surplus -= m.total.cpu;
-                if !m.spot {
-                    replica_surplus -= m.total.cpu;
+                surplus -= machine.total.cpu;
+                if !machine.spot {
+                    replica_surplus -= machine.total.cpu;
                 }
             }
-            chosen.push((m.name.clone(), reason));
+            chosen.push((machine.name.clone(), reason));
         }
         chosen
     }
 
-    /// It has had nothing to do for long enough. Ordinary machines cost several times as much, so they go
-    /// back sooner.
-    fn is_idle(&self, m: &Machine, now: Moment) -> bool {
-        let time = if m.spot {
+    /// True if a machine has been idle for long enough to be returned. On-demand machines cost several times as much
+    /// as spot machines, so they are returned sooner.
+    fn is_idle(&self, machine: &Machine, now: Moment) -> bool {
+        let time = if machine.spot {
             self.config.max_idle
         } else {
-            self.config.max_idle.scaled(ON_DEMAND_IDLE)
+            self.config.max_idle.scaled(ON_DEMAND_IDLE_FACTOR)
         };
-        m.reconciled && !m.is_busy() && m.idle_since.is_some_and(|t| now - t > time)
+        machine.reconciled
+            && !machine.is_busy()
+            && machine.idle_since.is_some_and(|t| now - t > time)
     }
 
-    /// Why a machine is of no use any more; None if it is of use.
+    /// Reason why a machine is of no use any more; `None` if it is of use.
     ///
-    /// A new leader receives the first heartbeats of machines one by one: a machine without one since the
-    /// leader was elected is not thereby one that never came up.
-    fn defect(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
-        let Some(last_report) = m.last_seen else {
-            return self.defect_without_heartbeat(m, now);
+    /// A new leader receives the first heartbeats of machines one by one: a machine may have come up although none of
+    /// its heartbeats has arrived since the leader was elected.
+    fn defect(&self, machine: &Machine, now: Moment) -> Option<ReturnReason> {
+        let Some(last_seen) = machine.last_seen else {
+            return self.defect_without_heartbeat(machine, now);
         };
         let lease = self.lease_span();
-        if m.unreachable && now - last_report > lease.scaled(1.5) {
+        if machine.unreachable && now - last_seen > lease.scaled(1.5) {
             return Some(ReturnReason::Silent);
         }
-        if m.is_busy() {
+        if machine.is_busy() {
             return None;
         }
-        if m.faulty {
+        if machine.faulty {
             return Some(ReturnReason::Faulty);
         }
-        // It is charged to the end, and only its return proves it empty.
-        if m.has_preemption_notice {
+        // Such a machine is charged until it ends, and only its return proves that it is empty.
+        if machine.has_preemption_notice {
             return Some(ReturnReason::PreemptionNotice);
         }
-        // Its heartbeats arrive, but it receives nothing, and not only for a while.
-        let watched_for = (now - self.started).min(now - m.known_since);
-        let unreconciled = !m.reconciled && watched_for > lease.scaled(2.0);
-        let quarantined = m
+        // The machine's heartbeats arrive, but it has received nothing for a long time.
+        let watched_for = (now - self.started).min(now - machine.known_since);
+        let unreconciled = !machine.reconciled && watched_for > lease.scaled(2.0);
+        let quarantined = machine
             .quarantine
             .is_some_and(|s| now - s.since > lease.scaled(2.0));
         (unreconciled || quarantined).then_some(ReturnReason::Unreached)
     }
 
-    /// The same for a machine from which this leader never received a heartbeat.
-    fn defect_without_heartbeat(&self, m: &Machine, now: Moment) -> Option<ReturnReason> {
+    /// Reason why a machine from which this leader never received a heartbeat is of no use; `None` if it may yet send
+    /// one.
+    fn defect_without_heartbeat(&self, machine: &Machine, now: Moment) -> Option<ReturnReason> {
         let lease = self.lease_span();
         let boot = self
             .provisioning
-            .boot_of(&m.type_name)
+            .boot_time_of(&machine.type_name)
             .unwrap_or(self.config.max_idle)
-            .scaled(MAX_BOOTS);
+            .scaled(BOOT_TIMEOUT_FACTOR);
         let leading_for = now - self.started;
-        let known_for = now - m.known_since;
-        let long_known = known_for > boot + Micros::from_secs(10);
-        if m.list_status != Some(ListStatus::Running) && leading_for > lease && long_known {
+        let known_for = now - machine.known_since;
+        let boot_timed_out = known_for > boot + Micros::from_secs(10);
+        if machine.list_status != Some(ListStatus::Running) && leading_for > lease && boot_timed_out
+        {
             return Some(ReturnReason::NeverUp);
         }
         let watched_for = leading_for.min(known_for);
         (watched_for > lease.scaled(2.0) + boot).then_some(ReturnReason::NeverReported)
     }
 
-    /// Machines with replicas that fell silent. One that hangs serves nobody, and its agent epoch ends only
-    /// with its lease: the answer to its return proves sooner that the replicas are gone, so that they
-    /// can start elsewhere. Machines without replicas may yet be back with all that they did.
+    /// Silent machines with replicas. A machine that hangs serves no requests, and its agent epoch ends only with
+    /// its lease: the response to its return proves sooner that the replicas are gone, so that they can start
+    /// elsewhere. Machines without replicas are kept, since they may come back with all the work that they have done.
     ///
-    /// Where most machines are silent, or heartbeats wait here unread, it is rather this controller that is cut
-    /// off or too slow.
+    /// None if too many machines are silent, or if heartbeats wait here unread: then it is more likely that this
+    /// controller is cut off or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
-        let silent_after = self.config.heartbeat_interval.scaled(SILENT_HEARTBEATS);
+        let silent_after = self
+            .config
+            .heartbeat_interval
+            .scaled(SILENT_AFTER_INTERVALS);
         let settling = silent_after.scaled(2.0);
         let is_overloaded = self.overload.was_overloaded_within(settling, now);
         if is_overloaded || now - self.started < settling {
@@ -171,7 +181,7 @@
             .collect();
         let is_silent = |m: &&Machine| m.last_heartbeat.is_some_and(|t| now - t > silent_after);
         let silent: Vec<&Machine> = known.iter().copied().filter(is_silent).collect();
-        if MAX_SILENT_ONE_IN * silent.len() > known.len() {
+        if MIN_KNOWN_PER_SILENT * silent.len() > known.len() {
             return Vec::new();
         }
         let with_replicas = silent.iter().filter(|m| self.has_replicas(m));
@@ -179,8 +189,8 @@
     }
 
     /// True if the machine may run replicas of a standing job.
-    fn has_replicas(&self, m: &Machine) -> bool {
-        let mut held = m.attempts.iter().filter(|(_, a)| a.holds_resources());
+    fn has_replicas(&self, machine: &Machine) -> bool {
+        let mut held = machine.attempts.iter().filter(|(_, a)| a.holds_resources());
         held.any(|(key, _)| {
             let job = self.jobs.table.get(&key.job);
             job.is_some_and(|j| j.spec.is_standing() && !j.is_closed())
--- a/src/provisioning/scale_out.rs
+++ b/src/provisioning/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: which machines are requested, and what comes of the requests.
+//! Scale-out: planning of requests for machines, and handling of their results.
 
 use super::capacity_plan::CapacityPlan;
 use super::{ListStatus, Offer, ProvisioningRequest, ProvisioningResult};
@@ -7,39 +7,41 @@
 use crate::workers::Machine;
 use std::collections::BTreeMap;
 
-/// Machines in one request.
-pub(super) const MAX_REQUESTED: u32 = 50;
+/// Maximum number of machines in one request.
+pub(super) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Machines that one plan asks for: ten requests. The next plan follows once these are answered.
-const MAX_WANTED: u32 = 10 * MAX_REQUESTED;
+/// Number of machines from which a plan isn't extended any further: ten requests. The next plan follows once these
+/// have results.
+const MAX_WANTED_MACHINES: u32 = 10 * MAX_MACHINES_PER_REQUEST;
 
-/// Plans are at least this long apart for each machine: one looks at every task on every machine.
-const PLAN_SPACING: Micros = Micros(500);
+/// Minimum time between two plans, per machine: a plan examines every task on every machine.
+const PLAN_SPACING_PER_MACHINE: Micros = Micros(500);
 
 impl SchedulerState {
-    /// Adds the requests that waiting work needs beyond the machines that are there and on their way.
+    /// Adds requests for the machines that waiting tasks and headroom need beyond those that are up or booting.
     pub fn plan_scale_out(&mut self, now: Moment) {
-        let spacing = Micros(PLAN_SPACING.0 * self.machines.len() as u64);
+        let spacing = Micros(PLAN_SPACING_PER_MACHINE.0 * self.machines.len() as u64);
         let provisioning = &mut self.provisioning;
-        let planned_lately = provisioning
+        let planned_recently = provisioning
             .last_planned_at
             .is_some_and(|t| now - t < spacing);
-        if !provisioning.has_machine_list || !provisioning.requests.is_empty() || planned_lately {
+        if !provisioning.has_machine_list || !provisioning.requests.is_empty() || planned_recently {
             return;
         }
         provisioning.last_planned_at = Some(now);
         for (offer, count) in self.all_wanted_offers(now) {
-            let mut left = count;
-            while left > 0 {
-                let count = left.min(MAX_REQUESTED);
-                left -= count;
+            let mut remaining = count;
+            while remaining > 0 {
+                let count = remaining.min(MAX_MACHINES_PER_REQUEST);
+                remaining -= count;
                 self.provisioning
                     .add_request(self.term, offer.clone(), count);
             }
         }
     }
 
-    /// What waiting work wants, else headroom, and headroom for replicas in any case.
+    /// Machines wanted for waiting tasks or, if there are none, for headroom; and for the headroom of replicas in any
+    /// case.
     fn all_wanted_offers(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let mut wanted = self.wanted_for_waiting_work(now);
         if wanted.is_empty()
@@ -54,8 +56,8 @@
         wanted
     }
 
-    /// Plans the waiting tasks, in queue order, on what is there and on its way; a task
-    /// that would start too late there asks for a new machine.
+    /// Machines wanted for waiting tasks. The tasks are planned in queue order on the machines that are up or booting;
+    /// a task that would start too late there wants a new machine.
     fn wanted_for_waiting_work(&self, now: Moment) -> BTreeMap<Offer, u32> {
         let offers = self.provisioning.offers();
         if !offers
@@ -71,12 +73,12 @@
         let machines = self.machines.values();
         let counted = machines.filter(|m| self.counts_as_capacity(m, now));
         let forecasts = counted.filter_map(|m| self.forecast(m, now)).collect();
-        // Whoever aims at starting times wants every start as soon as a machine can be had.
-        let starts_at_once = self.aims_at_waits();
+        // With an objective on waiting times, every task should start as soon as a machine can be up.
+        let starts_at_once = self.has_array_wait_objective();
         let mut plan = CapacityPlan::new(forecasts, self.quota_left(), offers, starts_at_once);
         for (_, id) in order {
             self.plan_job(id, &mut plan, now);
-            if plan.wanted_count() >= MAX_WANTED {
+            if plan.wanted_count() >= MAX_WANTED_MACHINES {
                 break;
             }
         }
@@ -85,27 +87,29 @@
 
     /// True for a machine on which tasks can be planned.
     fn counts_as_capacity(&self, m: &Machine, now: Moment) -> bool {
-        m.stays() && m.list_status != Some(ListStatus::Failed) && !self.is_unresponsive(m, now)
+        m.is_serviceable()
+            && m.list_status != Some(ListStatus::Failed)
+            && !self.is_unresponsive(m, now)
     }
 
-    /// Settles a request's answer; a request that is unknown, or settled already, is left alone.
+    /// Applies the result of a request; the result of a request that isn't open is ignored.
     pub fn apply_provisioning_result(
         &mut self,
         name: &str,
         result: ProvisioningResult,
         now: Moment,
     ) {
-        let Some(at) = self.provisioning.find_request(name) else {
+        let Some(index) = self.provisioning.find_request(name) else {
             return;
         };
         match result {
             ProvisioningResult::Unknown => {}
             ProvisioningResult::NoCapacity => {
-                let request = self.provisioning.requests.remove(at);
+                let request = self.provisioning.requests.remove(index);
                 self.provisioning.note_no_capacity(request.offer, now);
             }
             ProvisioningResult::Granted(names) => {
-                let request = self.provisioning.requests.remove(at);
+                let request = self.provisioning.requests.remove(index);
                 if names.len() < request.count as usize {
                     self.provisioning
                         .note_no_capacity(request.offer.clone(), now);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Adds the machines that a request was granted, unless they are known or gone already.
+    /// Adds the machines that were granted for a request, except those that are already known or gone.
     fn add_granted_machines(
         &mut self,
         request: &ProvisioningRequest,
@@ -128,11 +132,11 @@
                 continue;
             }
             let Offer { zone, spot, .. } = &request.offer;
-            let mut m = Machine::new(&name, &request.type_name, zone, *spot, capacity, now);
-            m.list_status = Some(ListStatus::Starting);
-            m.last_listed = Some(now);
-            m.existed_at = Some(now);
-            self.machines.insert(name, m);
+            let mut machine = Machine::new(&name, &request.type_name, zone, *spot, capacity, now);
+            machine.list_status = Some(ListStatus::Starting);
+            machine.last_listed = Some(now);
+            machine.existed_at = Some(now);
+            self.machines.insert(name, machine);
         }
     }
 }
--- a/src/provisioning/state.rs
+++ b/src/provisioning/state.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of the cloud: its catalog, open requests, refused offers, and machines that are gone.
+//! The leader's state of provisioning: catalog, open requests, refused offers, and machines that are gone.
 
 use super::catalog::PricedOffer;
 use super::{MachineType, Offer, ProvisioningRequest};
@@ -7,47 +7,50 @@
 use crate::time::{Micros, Moment};
 use std::collections::{BTreeSet, HashMap};
 
-/// How long a refused offer isn't asked for again.
+/// Time for which a refused offer isn't requested again.
 const NO_CAPACITY_PAUSE: Micros = Micros::from_secs(10);
 
-/// Most machines are up within this many times their boot time.
-const LATE_BOOT: f64 = 1.5;
+/// Multiple of their boot time within which most machines are up.
+const LATE_BOOT_FACTOR: f64 = 1.5;
 
-/// The least rate, in GB a second, that is counted with for fetching an image.
+/// Minimum rate assumed for fetching an image, in GB a second.
 const MIN_FETCH_RATE: f64 = 0.01;
 
-/// The rate that is counted with where a machine's type isn't in the catalog.
+/// Rate assumed for fetching an image if the machine's type isn't in the catalog, in GB a second.
 const UNKNOWN_FETCH_RATE: f64 = 1.0;
 
-/// What the leader knows of the cloud's machines and has asked of it.
+/// The leader's knowledge of the cloud's machines, and its requests to the cloud.
 #[derive(Debug, Default)]
 pub struct Provisioning {
-    /// The cloud's machine types; empty until the catalog was read.
+    /// The cloud's machine types; empty until a catalog is known.
     pub catalog: Vec<MachineType>,
-    /// Requests without an answer yet.
+    /// Requests without a response yet.
     pub requests: Vec<ProvisioningRequest>,
-    /// Requests made in this term: the newest one's number.
+    /// Number of requests made in this term, which is also the number of the newest one.
     request_count: u32,
-    /// Offers that were refused, and until when they aren't asked for again.
+    /// Offers that were refused, and until when they aren't requested again.
     no_capacity_until: HashMap<Offer, Moment>,
-    /// Names of machines that are gone for good; late heartbeats and lists still name them.
+    /// Names of machines that are gone for good, which late heartbeats and lists may still contain.
     gone: BTreeSet<String>,
-    /// Missing from the last list, though old enough to be in it.
+    /// Machines that were missing from the last list although old enough to be in it.
     pub(super) unlisted: BTreeSet<String>,
-    /// A list was read under this term: before, nobody knows which machines there are already.
+    /// True once a machine list was received in this term. Before that it is unknown which machines exist already.
     pub has_machine_list: bool,
-    /// When the last list was taken in.
+    /// When the machines were last reconciled with a list.
     pub last_listed_at: Option<Moment>,
     /// When scale-out was last planned.
     pub(super) last_planned_at: Option<Moment>,
-    /// Machines that may hold tasks, and until when they surely existed, in microseconds of the time of day. A
-    /// machine is registered before its first task, as soon as it is heard from. Sooner would spare its first task
-    /// a wait, but a failover then waits for every machine that is still booting, and some machine nearly always is.
+    /// Machines that may hold tasks, each with a moment until which it is known to have existed, in microseconds of
+    /// the time of day.
+    ///
+    /// A machine is registered before its first task, as soon as its first heartbeat arrives. An earlier registration
+    /// would save its first task a wait, but a failover would then wait for every machine that is still booting, and
+    /// some machine nearly always is.
     pub registry: PagedMap<u64>,
 }
 
 impl Provisioning {
-    /// Nothing known yet; pages of the registry hold at most so many bytes.
+    /// The state of a new leader; pages of the registry hold at most `value_bytes` bytes.
     pub fn new(value_bytes: usize) -> Provisioning {
         Provisioning {
             registry: PagedMap::new(value_bytes),
@@ -64,32 +67,32 @@
         self.catalog.iter().find(|t| t.name == name)
     }
 
-    /// What an empty machine of the type holds; nothing if the type is unknown.
+    /// Capacity of an empty machine of the type; zero if the type is unknown.
     pub fn capacity_of(&self, type_name: &str) -> Resources {
         self.type_of(type_name)
             .map(|t| t.capacity)
             .unwrap_or_default()
     }
 
-    /// How long a machine of the type takes to boot.
-    pub(super) fn boot_of(&self, type_name: &str) -> Option<Micros> {
-        self.type_of(type_name).map(|t| t.boot)
+    /// Time that a machine of the type takes to boot; `None` if the type is unknown.
+    pub(super) fn boot_time_of(&self, type_name: &str) -> Option<Micros> {
+        self.type_of(type_name).map(|t| t.boot_time)
     }
 
-    /// The size of the type's image cache in GB; 0 if the type is unknown.
+    /// Size of the type's image cache, in GB; 0 if the type is unknown.
     pub fn cache_gb_of(&self, type_name: &str) -> f64 {
         self.type_of(type_name).map_or(0.0, |t| t.cache_gb)
     }
 
-    /// How fast a machine of the type fetches images, in GB a second; above 0.
+    /// Rate at which a machine of the type fetches images, in GB a second; always above 0.
     pub fn fetch_gb_per_s_of(&self, type_name: &str) -> f64 {
         self.type_of(type_name)
             .map_or(UNKNOWN_FETCH_RATE, |t| t.fetch_gb_per_s)
             .max(MIN_FETCH_RATE)
     }
 
-    /// How much more a CPU costs on such a machine than on the cheapest, as a share of the cheapest price: 0 for
-    /// the cheapest itself, and where prices aren't known.
+    /// The amount by which a CPU on such a machine costs more than on the cheapest one, as a fraction of the cheapest
+    /// price: 0 for the cheapest machine, and if prices aren't known.
     pub fn price_premium(&self, type_name: &str, spot: bool) -> f64 {
         let cheapest = self
             .catalog
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Everything that can be requested, with its present price.
+    /// Everything that can be requested, with its current price.
     pub(super) fn offers(&self) -> Vec<PricedOffer> {
         let mut offers = Vec::new();
         for (type_index, t) in self.catalog.iter().enumerate() {
@@ -125,14 +128,15 @@
         offers
     }
 
-    /// False for an offer that was refused lately.
+    /// False for an offer that was refused recently.
     pub(super) fn may_request(&self, offer: &Offer, now: Moment) -> bool {
         self.no_capacity_until
             .get(offer)
             .is_none_or(|until| *until <= now)
     }
 
-    /// The offer that costs least, by some measure, of those that were not refused lately.
+    /// The offer for which `cost` is lowest among the spot or on-demand offers that were not refused recently. `cost`
+    /// gets the machine type and the offer's price.
     pub(super) fn cheapest(
         &self,
         spot: bool,
@@ -152,13 +156,13 @@
             .map(|(_, offer)| offer)
     }
 
-    /// When most machines of the type that boots soonest are up after they were requested.
-    pub(super) fn soonest_boot(&self) -> Micros {
-        let boots = self.catalog.iter().map(|t| t.boot);
-        boots.min().unwrap_or_default().scaled(LATE_BOOT)
+    /// Time within which most machines of the fastest-booting type are up after their request.
+    pub(super) fn shortest_boot_time(&self) -> Micros {
+        let boots = self.catalog.iter().map(|t| t.boot_time);
+        boots.min().unwrap_or_default().scaled(LATE_BOOT_FACTOR)
     }
 
-    /// Adds a request under a name that was never used.
+    /// Adds a request under a new name.
     pub(super) fn add_request(&mut self, term: u64, offer: Offer, count: u32) {
         self.request_count += 1;
         let type_name = self.catalog[offer.type_index].name.clone();
@@ -170,25 +174,25 @@
         });
     }
 
-    /// The open request of that name.
+    /// Index of the open request of this name.
     pub(super) fn find_request(&self, name: &str) -> Option<usize> {
         self.requests.iter().position(|r| r.name == name)
     }
 
-    /// The cloud had none, or too few, of these: they aren't asked for again for a while.
+    /// Records that the cloud had no machines of the offer, or too few: it isn't requested again for a while.
     pub(super) fn note_no_capacity(&mut self, offer: Offer, now: Moment) {
         self.no_capacity_until
             .insert(offer, now + NO_CAPACITY_PAUSE);
     }
 
-    /// Remembers a machine that is gone for good.
+    /// Records that a machine is gone for good.
     pub(super) fn note_gone(&mut self, name: &str) {
         self.gone.insert(name.to_string());
     }
 
-    /// Forgets the oldest machines that are gone, so that at most so many are remembered.
+    /// Drops the oldest names of machines that are gone, so that at most `max` are kept.
     pub(super) fn limit_gone(&mut self, max: usize) {
-        // Names come in the order of creation: the first ones are the oldest.
+        // Names sort in the order of creation: the first ones are the oldest.
         while self.gone.len() > max {
             self.gone.pop_first();
         }
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -1,4 +1,4 @@
-//! The cloud's messages as they stand on the wire. Names of the wire stand here only, as serde names.
+//! Messages of the cloud's HTTP API. Their names on the wire appear only here, as serde names.
 
 use super::{ListStatus, MachineType};
 use crate::http::cbor::Number;
@@ -6,7 +6,7 @@
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The catalog, as the cloud gives it and as the store's key `catalog` keeps it.
+/// The catalog, as the cloud sends it and as it is stored under the key `catalog`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Catalog {
     /// The machine types that can be requested.
@@ -17,12 +17,12 @@
 /// A machine type of the catalog.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CatalogMachineType {
-    /// Its name.
+    /// Name of the type, unique in the catalog.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs of a machine.
+    /// Number of CPUs of a machine.
     pub cpus: Number,
-    /// GPUs of a machine; none if absent.
+    /// Number of GPUs of a machine; none if absent.
     #[serde(default)]
     pub gpus: Option<Number>,
     /// Memory of a machine, in GB.
@@ -40,10 +40,10 @@
     /// Price of a spot machine.
     #[serde(rename = "lowPrice")]
     pub spot_price: Number,
-    /// Time to boot, in seconds.
+    /// Time that a new machine takes to boot, in seconds.
     #[serde(rename = "startupS")]
     pub boot_s: Number,
-    /// The zones in which it can be had.
+    /// Zones in which the type is offered.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -66,7 +66,7 @@
             fetch_gb_per_s: self.fetch_gb_per_s.0,
             price: self.price.0,
             spot_price: self.spot_price.0,
-            boot: Micros::from_secs_f64(self.boot_s.0),
+            boot_time: Micros::from_secs_f64(self.boot_s.0),
             zones: self.zones.clone(),
         }
     }
@@ -75,7 +75,7 @@
 /// The body of a request for machines.
 #[derive(Debug, Serialize)]
 pub struct ProvisioningCall<'a> {
-    /// The request's name: the cloud executes each name once.
+    /// Name of the request: the cloud executes requests of the same name only once.
     #[serde(rename = "hire")]
     pub request: &'a str,
     /// The machine type's name.
@@ -87,11 +87,11 @@
     /// True for spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines requested.
     pub count: u32,
 }
 
-/// Names of machines: those that were granted, are to be returned, or were returned.
+/// Names of machines that were granted, are to be returned, or were returned.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineNames {
     /// The names.
@@ -105,7 +105,7 @@
     /// The machines, by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// More follow after the last one.
+    /// True if more machines follow after the last one.
     #[serde(default)]
     pub more: bool,
 }
@@ -113,7 +113,7 @@
 /// A machine as the cloud lists it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
-    /// Its name, never used again.
+    /// Name of the machine; names are never reused.
     #[serde(rename = "ref")]
     pub name: String,
     /// The machine type's name.
@@ -125,20 +125,20 @@
     /// True for a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     pub status: ListStatus,
-    /// Seconds for which it has been held, as of the list.
+    /// Time for which the machine has been held, as of the list, in seconds.
     #[serde(rename = "heldS", default)]
     pub held_s: Number,
 }
 
-/// The body of a refusal.
+/// The body of a response that refuses a request.
 #[derive(Deserialize)]
 struct Refusal {
     error: String,
 }
 
-/// True if the refusal says that there are no such machines now.
+/// True if the body says that the cloud has no such machines now.
 pub(super) fn is_no_capacity(body: &[u8]) -> bool {
     crate::http::cbor::decode::<Refusal>(body).is_ok_and(|r| r.error == "no capacity")
 }
