--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -22,7 +22,8 @@
 const LARGEST_JOB_FACTOR: i64 = 2;
 
 impl Machine {
-    /// True if the machine may run tasks now or once it is up, and isn't about to be returned or taken back.
+    /// True if the machine may run tasks now or once it is up: it is reachable, not faulty, and isn't about to be
+    /// returned or taken back.
     pub(super) fn is_serviceable(&self) -> bool {
         !self.draining && !self.faulty && !self.has_preemption_notice && !self.unreachable
     }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,53 +1,53 @@
-//! What is wrong with the settings or the flags.
+//! Errors in the settings and the flags.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why the process can't run with its settings and flags. The message is one line and names the field or flag.
+/// Reason why the process can't run with its settings and flags. The message is one line and names the field or flag.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// Flags of the link health checks contradict each other.
+    /// Flags of the link health checks contradict one another.
     #[error(transparent)]
     ConflictingLinkFlags(#[from] aspenreel_link_health::settings::SettingsConflict),
-    /// This flag tunes link health checks, which are off.
+    /// The flag configures the link health checks, which are disabled.
     #[error("{0} has no meaning without --half-cut-links")]
     RequiresLinkHealth(&'static str),
     /// The file can't be read.
-    #[error("settings {}: {source}", path.display())]
+    #[error("settings: cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The file isn't TOML, or a field is missing or has another type.
     #[error("settings: line {line}, `{found}`: {problem}")]
     Parse {
-        /// The line's number, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// The line's beginning.
+        /// Beginning of the line.
         found: String,
-        /// What is wrong there.
+        /// Description of the fault.
         problem: String,
     },
-    /// A field's value is absurd, by itself or beside others.
+    /// A field's value is invalid, by itself or in combination with other fields.
     #[error("settings: field `{field}`: {problem}")]
     Field {
-        /// The field, with those that it stands in.
+        /// Path of the field, with the tables that contain it.
         field: String,
-        /// What it must be.
+        /// The condition that the value must meet.
         problem: String,
     },
-    /// The leader's lease that was asked for is too long for the settings.
+    /// The requested leader's lease is too long for the settings.
     #[error("--leader-lease-ms: {problem}")]
     LeaderLease {
-        /// What it must be.
+        /// The condition that the lease must meet.
         problem: String,
     },
 }
 
 impl SettingsError {
-    /// A field with an absurd value.
+    /// The error for a field with an invalid value.
     pub(super) fn field(field: impl Into<String>, problem: impl Into<String>) -> SettingsError {
         SettingsError::Field {
             field: field.into(),
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,63 +1,63 @@
-//! The file as it stands: its fields under its own names.
+//! The contents of the settings file, under the names used in the file.
 
 use super::{QuotaSettings, StoreSettings};
 use crate::time::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The whole file.
+/// The contents of the settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller.
     pub node: String,
-    /// The name of the location in which it runs.
+    /// Name of the location in which this controller runs.
     pub location: String,
-    /// Where users and workers reach it.
+    /// Address at which users and workers reach this controller.
     pub public_addr: SocketAddr,
-    /// Where its peers reach it.
+    /// Address at which this controller accepts connections of its peers.
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
     /// Addresses of the platform's services.
     pub endpoints: Endpoints,
-    /// What holds for all controllers alike.
+    /// Settings shared by all controllers.
     pub settings: Site,
 }
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the controller.
     pub node: String,
-    /// The location in which it runs.
+    /// Location in which the controller runs.
     pub location: String,
-    /// Where peers reach it.
+    /// Address at which peers reach the controller.
     pub peer_addr: SocketAddr,
 }
 
 /// Addresses of the platform's services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub state: SocketAddr,
 }
 
-/// What holds for all controllers alike.
+/// Settings shared by all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Site {
-    /// The cloud's zones.
+    /// Names of the cloud's zones.
     pub zones: Vec<String>,
-    /// By how much two clocks may differ, in milliseconds.
+    /// Maximum difference between two clocks, in milliseconds.
     pub skew_ms: f64,
     /// Teams and their quotas.
     pub teams: Vec<TeamSettings>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the workers.
+    /// Timing of the workers.
     pub workers: WorkerSettings,
     /// Limits of the key-value store.
     pub state: StoreSettings,
@@ -67,44 +67,44 @@
     pub quota: QuotaSettings,
 }
 
-/// A team and its quota: what it is guaranteed, and the limit up to which it may borrow.
+/// A team and its quota: the guaranteed amounts, and the limits up to which it may borrow.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamSettings {
     /// The team's name, unique.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Guaranteed number of CPUs.
     pub cpus: f64,
-    /// The limit of CPUs.
+    /// Maximum number of CPUs, borrowed ones included.
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Guaranteed number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// The limit of GPUs.
+    /// Maximum number of GPUs, borrowed ones included.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective, for a class of jobs or for all.
+/// A service-level objective for a class of jobs or for all jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is to happen in time: `wait` is a start, `finished` an end; others are ignored.
+    /// The event that must happen in time: `wait` is a job's start, `finished` its end; other kinds are ignored.
     pub kind: String,
-    /// The class of jobs; all if absent.
+    /// The class of jobs; all classes if absent.
     #[serde(default)]
     pub class: Option<String>,
-    /// In this time after a job's acceptance, in seconds.
+    /// Maximum time from a job's acceptance to the event, in seconds.
     #[serde(default)]
     pub within_s: f64,
 }
 
-/// Times of the workers.
+/// Timing of the workers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerSettings {
     /// Time between two heartbeats, in seconds.
     pub report_s: f64,
-    /// A worker that is not answered for this long stops its tasks, in seconds.
+    /// Time without an answer after which a worker stops its tasks, in seconds.
     pub lease_s: f64,
-    /// Within this time after its confirmation a cancellation must be complete, in seconds.
+    /// Maximum time from the confirmation of a cancellation to its completion, in seconds.
     pub cancel_s: f64,
 }
 
@@ -120,11 +120,11 @@
     }
 }
 
-/// Limits of the cloud.
+/// Limits that the cloud sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudSettings {
-    /// Calls a second.
+    /// Maximum number of calls a second.
     pub rps: f64,
-    /// By how much a machine list may be out of date, in seconds.
+    /// Time by which a machine list may be out of date, in seconds.
     pub list_lag_s: f64,
 }
--- a/src/settings/leader_lease.rs
+++ b/src/settings/leader_lease.rs
@@ -3,59 +3,59 @@
 use super::{Settings, SettingsError};
 use crate::time::{Micros, at_least, at_most};
 
-/// Added to the times of a cancellation: timers, and the ways of the last reply and of the last command.
+/// Margin in the time of a cancellation, for timers and for the transit of the last reply and of the last command.
 const CANCEL_MARGIN: Micros = Micros::from_millis(1000);
 
-/// The leader's lease, unless something else is asked for or needed.
+/// Length of the leader's lease, unless another one is requested or a shorter one is necessary.
 const DEFAULT_LEADER_LEASE: Micros = Micros::from_millis(8000);
 
-/// The shortest leader's lease that its flag takes.
+/// Minimum length of the leader's lease that the flag accepts.
 const MIN_LEADER_LEASE: Micros = Micros::from_millis(1000);
 
 impl Settings {
-    /// The length of the leader's lease: as asked for, else the usual one, or less where a cancellation
-    /// could take too long with it.
+    /// The length of the leader's lease: the requested one, or else the default, shortened where a cancellation could
+    /// take too long with it.
     ///
-    /// Whoever confirms a cancellation, and whatever the leader knows of it: after that moment the
-    /// leader of before answers for no longer than its lease lives, and a worker that nobody answers
-    /// kills its tasks when its own lease expires. Both together, with what clocks may drift and a
-    /// margin, must fit into the time for a cancellation (`docs/design.md`, *The gap*).
+    /// After the confirmation of a cancellation, whichever controller confirmed it and whatever the leader knows of
+    /// it, the previous leader answers workers only until its own lease expires, and a worker that gets no answer
+    /// kills its tasks when the worker's lease expires. The sum of both, with clock drift and a margin, must fit into
+    /// the time for a cancellation (`docs/design.md`, *The gap*).
     ///
     /// # Errors
     ///
-    /// No lease is short enough beside the workers' lease, or the one that is asked for is too long.
-    pub fn leader_lease(&self, asked: Option<Micros>) -> Result<Micros, SettingsError> {
+    /// The workers' lease leaves no time for any leader's lease, or the requested one is too long.
+    pub fn leader_lease(&self, requested: Option<Micros>) -> Result<Micros, SettingsError> {
         let workers = &self.settings.workers;
         let cancel = Micros::from_secs_f64(workers.cancel_s);
-        let most = cancel.saturating_sub(at_most(workers.lease()) + CANCEL_MARGIN);
-        if most < MIN_LEADER_LEASE {
+        let max_lease = cancel.saturating_sub(at_most(workers.lease()) + CANCEL_MARGIN);
+        if max_lease < MIN_LEADER_LEASE {
             return Err(self.worker_lease_too_long(cancel));
         }
-        match asked {
-            Some(asked) if asked > most => Err(SettingsError::LeaderLease {
+        match requested {
+            Some(requested) if requested > max_lease => Err(SettingsError::LeaderLease {
                 problem: format!(
                     "must be at most {} for a lease_s of {} and a cancel_s of {}, is {}: \
                      tasks of a cancelled job could outlast it",
-                    most.0 / 1000,
+                    max_lease.0 / 1000,
                     workers.lease_s,
                     workers.cancel_s,
-                    asked.0 / 1000
+                    requested.0 / 1000
                 ),
             }),
-            Some(asked) => Ok(asked),
-            None => Ok(DEFAULT_LEADER_LEASE.min(most)),
+            Some(requested) => Ok(requested),
+            None => Ok(DEFAULT_LEADER_LEASE.min(max_lease)),
         }
     }
 
-    /// Beside the workers' lease no leader's lease is short enough.
+    /// The error for a workers' lease that leaves no time for any leader's lease.
     fn worker_lease_too_long(&self, cancel: Micros) -> SettingsError {
         let workers = &self.settings.workers;
         let left = cancel.saturating_sub(CANCEL_MARGIN + MIN_LEADER_LEASE);
-        let most = (at_least(left).as_secs_f64() * 1000.0).floor() / 1000.0;
+        let max_lease_s = (at_least(left).as_secs_f64() * 1000.0).floor() / 1000.0;
         SettingsError::field(
             "settings.workers.lease_s",
             format!(
-                "must be at most {most} for a cancel_s of {}, is {}: \
+                "must be at most {max_lease_s} for a cancel_s of {}, is {}: \
                  tasks of a cancelled job could outlast it",
                 workers.cancel_s, workers.lease_s
             ),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's settings file: read once, checked whole; unknown fields are ignored.
+//! The platform's settings file: read once and checked as a whole; unknown fields are ignored.
 //!
-//! [`Settings`] is the file as it stands, under the file's names; [`QuotaSettings`] tells the limits that follow
-//! from the process's quotas. The file is documented for operators in the README.
+//! [`Settings`] has the file's fields under their names in the file; [`QuotaSettings`] derives the controller's own
+//! limits from the process's quotas. The file is documented for operators in the README.
 
 #![warn(missing_docs)]
 
--- a/src/settings/store_limits.rs
+++ b/src/settings/store_limits.rs
@@ -2,45 +2,46 @@
 
 use serde::Deserialize;
 
-/// What a stored value's quotes and braces may take beside its contents, in bytes.
+/// Bytes reserved for the quotes and braces around the contents of a stored value.
 const VALUE_OVERHEAD: usize = 16;
 
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Requests a second.
+    /// Maximum number of requests a second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum number of changes a second.
     pub write_rps: f64,
-    /// The size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Preconditions and changes in one transaction.
+    /// Maximum number of preconditions and changes in one transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Limits that will apply from some later moment on, without notice.
     #[serde(default)]
     pub next: Option<StoreLimits>,
 }
 
-/// Limits that will change; those that are absent stay.
+/// Future limits of the key-value store; those that are absent don't change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Maximum number of requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Maximum number of changes a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// The size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Preconditions and changes in one transaction.
+    /// Maximum number of preconditions and changes in one transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StoreSettings {
-    /// The limits that are obeyed: the stricter ones of now and later. What is written today, and what
-    /// grows by being written anew, must still be taken after a change that nobody tells of.
+    /// The limits that this controller obeys: for each one, the stricter of its present and its future value. The
+    /// store must still accept values that are written today, or that grow when they are rewritten, after the limits
+    /// have changed without notice.
     pub fn strictest(&self) -> StoreSettings {
         let next = self.next.clone().unwrap_or_default();
         StoreSettings {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Bytes that a value may have, in the form in which limits count them.
+    /// Maximum size of a stored value, in bytes of the encoding to which the limits refer.
     pub fn value_bytes(&self) -> usize {
         ((self.value_kb * 1024.0) as usize).saturating_sub(VALUE_OVERHEAD)
     }
