--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -162,7 +162,7 @@
     /// its lease: the response to its return proves sooner that the replicas are gone, so that they can start
     /// elsewhere. Machines without replicas are kept, since they may come back with all the work that they have done.
     ///
-    /// None if too many machines are silent, or if heartbeats wait here unread: then it is more likely that this
+    /// Empty if too many machines are silent, or if heartbeats wait here unread: then it is more likely that this
     /// controller is cut off or too slow.
     fn silent_with_replicas(&self, now: Moment) -> Vec<String> {
         let silent_after = self
