--- a/src/jobs/record_writer_loop.rs
+++ b/src/jobs/record_writer_loop.rs
@@ -103,7 +103,7 @@
             Step::Wait(time) => controller.wait_for_change(state, time),
             Step::RaiseFencingToken(lease) => {
                 drop(state);
-                self.tokens.force(1.0, now);
+                self.tokens.take_unconditionally(1.0, now);
                 controller.raise_fencing_token(&lease);
             }
             Step::WriteGate { authority, closed } => {
@@ -219,7 +219,8 @@
         preconditions.extend(writes.iter().flat_map(|w| w.preconditions.iter().cloned()));
         let changes: Vec<_> = writes.iter().flat_map(|w| w.changes.clone()).collect();
         let controller = self.controller;
-        self.tokens.force(changes.len() as f64, controller.now());
+        self.tokens
+            .take_unconditionally(changes.len() as f64, controller.now());
         controller
             .store
             .transact(&preconditions, &changes, StorePriority::Admitted)
--- a/src/provisioning/cloud_client.rs
+++ b/src/provisioning/cloud_client.rs
@@ -102,7 +102,7 @@
         match self.cloud.call(method, path, body, CALL_TIMEOUT) {
             Ok(response) if response.status == TOO_MANY_REQUESTS => {
                 let pause = Micros::from_millis(500 + fastrand::u64(0..500));
-                self.with_cloud_tokens(|tokens| tokens.punish(pause, now));
+                self.with_cloud_tokens(|tokens| tokens.back_off(pause, now));
                 Err(CloudError::Throttled)
             }
             Ok(response) => Ok(response),
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -136,7 +136,7 @@
         match response.status {
             STATUS_TOO_MANY_REQUESTS => {
                 let pause = Micros::from_millis(BACKOFF_MS + fastrand::u64(0..BACKOFF_MS));
-                self.request_bucket().punish(pause, sent_at);
+                self.request_bucket().back_off(pause, sent_at);
                 Err(request.not_executed(Rejection::TooManyRequests))
             }
             STATUS_UNAVAILABLE => Err(request.not_executed(Rejection::Unavailable)),
@@ -155,7 +155,7 @@
         let mut bucket = self.request_bucket();
         match priority {
             StorePriority::Leadership | StorePriority::Admitted => {
-                bucket.force(1.0, now);
+                bucket.take_unconditionally(1.0, now);
                 true
             }
             StorePriority::Normal => bucket.take(1.0, now),
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -3,8 +3,8 @@
 use crate::time::{Micros, Moment};
 
 /// A rate limit with bursts. It holds at most `burst` tokens and gains `rate` tokens per second; each request or
-/// change takes one. The number of tokens may be below zero, after [`force`](TokenBucket::force) and
-/// [`punish`](TokenBucket::punish).
+/// change takes one. The number of tokens may be below zero, after [`take_unconditionally`](TokenBucket::take_unconditionally) and
+/// [`back_off`](TokenBucket::back_off).
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     /// Tokens gained per second.
@@ -45,13 +45,13 @@
 
     /// Takes `count` tokens whether or not they are there: for requests that are never delayed. Later ones wait
     /// longer for it.
-    pub fn force(&mut self, count: f64, now: Moment) {
+    pub fn take_unconditionally(&mut self, count: f64, now: Moment) {
         self.refill(now);
         self.tokens -= count;
     }
 
     /// Leaves no token for `pause`: the server has answered that there were too many requests.
-    pub fn punish(&mut self, pause: Micros, now: Moment) {
+    pub fn back_off(&mut self, pause: Micros, now: Moment) {
         self.refill(now);
         self.tokens = self.tokens.min(-pause.as_secs_f64() * self.rate);
     }
