--- a/src/controller.rs
+++ b/src/controller.rs
@@ -91,7 +91,7 @@
     }
 
     /// Requests that this leader steps down and lets other controllers campaign first.
-    pub fn step_down_for_others(&mut self, now: Moment) {
+    pub fn step_down_and_pause_candidacy(&mut self, now: Moment) {
         self.step_down_requested = true;
         self.candidacy_paused_until = now + CANDIDACY_PAUSE;
     }
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds what was recorded of a job. A view that isn't terminal is ignored.
-    pub fn note(&mut self, id: &str, view: JobView) {
+    pub fn insert(&mut self, id: &str, view: JobView) {
         if !view.is_final() || self.views.insert(id.to_string(), view).is_some() {
             return;
         }
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -92,7 +92,7 @@
     fn step_down_unless_paused(&self, state: &mut ControllerState, now: Moment) {
         if self.steps_down_without_successor() && state.candidacy_paused_until <= now {
             log::info!(reason = "most_workers_silent"; "stepping down");
-            state.step_down_for_others(now);
+            state.step_down_and_pause_candidacy(now);
         }
     }
 
--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -27,7 +27,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.state().terminal_states.note(id, view);
+            self.state().terminal_states.insert(id, view);
             return known(id, view);
         }
         // Without a leader nothing is cancelled, but what is over or was never accepted can be told.
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -88,7 +88,7 @@
         let found = self.find_status(id);
         let mut state = self.state();
         if let StatusLookup::Job(view) = &found {
-            state.terminal_states.note(id, *view);
+            state.terminal_states.insert(id, *view);
         }
         let terminal = state.terminal_states.get(id);
         terminal.map_or(found, StatusLookup::Job)
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -6,7 +6,7 @@
 impl Controller {
     /// Takes in that these writes were committed at this revision.
     pub(super) fn note_written(&self, term: u64, writes: &[PendingWrite], revision: u64) {
-        self.with_state_of(term, |state| {
+        self.with_state_in_term(term, |state| {
             self.apply_all_written(state, writes, revision);
         });
         self.state_changed.notify_all();
@@ -27,7 +27,7 @@
                 && let Some(job) = scheduler.jobs.table.get(job)
             {
                 let view = JobView::of_final(*outcome, job.spec.tasks);
-                state.terminal_states.note(&job.spec.id, view);
+                state.terminal_states.insert(&job.spec.id, view);
             }
             scheduler.apply_written(write, revision);
         }
--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -70,7 +70,7 @@
             "handover begins"
         );
         state.handover = Some(record);
-        state.step_down_for_others(now);
+        state.step_down_and_pause_candidacy(now);
     }
 
     /// The record of the handover that is due now, if this controller leads and one is.
