--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! One campaign for the leadership.
+//! One election campaign.
 
 use super::leader_lease::{LeaderLease, lease_valid_until};
 use super::leader_record::{LEADER_KEY, LeaderRecord};
@@ -10,20 +10,21 @@
 };
 use crate::time::Micros;
 
-/// What became of a campaign.
+/// Outcome of an election campaign.
 #[derive(Debug)]
 pub enum ElectionOutcome {
-    /// This controller leads.
+    /// This controller was elected.
     Won(LeaderLease),
-    /// Another controller was faster, or there was a leader already.
+    /// Another controller was elected first, or there already was a leader.
     Lost,
 }
 
-/// Tries once to become leader, with a lease of this duration. A campaign that fails leaves nothing behind.
+/// Makes one attempt to become leader with a lease of `lease_duration`. A failed campaign leaves no record in the
+/// store.
 ///
 /// # Errors
 ///
-/// [`StoreError`] if the store can't tell the outcome; the leadership is surely not this controller's then.
+/// [`StoreError`] if the store doesn't report the outcome; this controller is then guaranteed not to be the leader.
 pub fn campaign(
     store: &Store,
     os: &dyn Os,
@@ -53,8 +54,8 @@
     }))
 }
 
-/// Writes the raised counter and the leader record if nobody leads. Returns the revision of both, or None after a
-/// conflict. The lease is ended unless the leadership was won.
+/// Writes the incremented term counter and the leader record if there is no leader. Returns the revision of both, or
+/// `None` after a conflict. Ends the lease unless the election was won.
 fn write_leadership(
     store: &Store,
     stored_counter: Option<&KeyValue>,
@@ -73,21 +74,23 @@
     let error = match store.transact(&preconditions, &changes, StorePriority::Leadership) {
         Ok(TransactionOutcome::Committed { revision }) => return Ok(Some(revision)),
         Ok(TransactionOutcome::Conflict { .. }) => None,
-        Err(error @ StoreError::OutcomeUnknown { .. }) => match won_at(store, record) {
-            Some(revision) => return Ok(Some(revision)),
-            None => Some(error),
-        },
+        Err(error @ StoreError::OutcomeUnknown { .. }) => {
+            match revision_if_elected(store, record) {
+                Some(revision) => return Ok(Some(revision)),
+                None => Some(error),
+            }
+        }
         Err(error) => Some(error),
     };
-    // Without its lease the transaction fails even if it is executed late. If this gets no answer, the lease
-    // expires by itself.
+    // Once the lease has ended, the transaction fails even if the store executes it later. If this request gets no
+    // answer, the lease expires without it.
     let _ = store.end_lease(record.lease_id);
     error.map_or(Ok(None), Err)
 }
 
-/// The revision of the leader record if it is surely this one: after a transaction without an answer the key
-/// tells whether it was executed.
-fn won_at(store: &Store, record: &LeaderRecord) -> Option<u64> {
+/// Revision of the leader record if the stored record is `record`. After a transaction without an answer, reading the
+/// key back shows whether the transaction was executed.
+fn revision_if_elected(store: &Store, record: &LeaderRecord) -> Option<u64> {
     let stored = store.get(LEADER_KEY, StorePriority::Leadership).ok()??;
     let is_ours = from_value::<LeaderRecord>(&stored.data).as_ref() == Some(record);
     is_ours.then_some(stored.revision)
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -1,4 +1,4 @@
-//! The thread that follows a leader, and campaigns when there is none.
+//! The thread that follows the leader, and campaigns for election while there is none.
 
 use super::election::{ElectionOutcome, campaign};
 use super::leader_record::{LEADER_KEY, LeaderRecord, PREFERRED_ZONE_KEY, PreferredZone};
@@ -6,26 +6,29 @@
 use crate::store::{KeyValue, StoreError, StorePriority, from_value};
 use crate::time::Micros;
 
-/// How long one watch of the leader's key lasts: each answer confirms who leads, also if nothing has changed.
+/// Longest wait of one watch of the leader key. Each response confirms the current leader, even if nothing has
+/// changed.
 const LEADER_WATCH_WAIT: Micros = Micros::from_secs(3);
-/// Refused heartbeats count as a sign that workers reach this controller for this long.
+/// Time for which a refused heartbeat counts as evidence that workers reach this controller.
 const REFUSED_HEARTBEAT_VALIDITY: Micros = Micros::from_secs(4);
-/// The wait before a campaign, in milliseconds: in the preferred zone, and elsewhere, where it becomes shorter with
-/// each refused heartbeat. Up to [`CANDIDACY_JITTER_MS`] are added.
+/// Wait before a campaign in the preferred zone, in milliseconds, without jitter.
 const PREFERRED_ZONE_WAIT_MS: u64 = 50;
+/// Wait before a campaign outside the preferred zone, in milliseconds, without jitter. It is divided by one plus the
+/// number of recently refused heartbeats.
 const CANDIDACY_WAIT_MS: u64 = 500;
+/// Upper bound of the random time added to the wait before a campaign, in milliseconds.
 const CANDIDACY_JITTER_MS: u64 = 60;
 
 impl Controller {
-    /// Follows whoever leads, and campaigns when nobody does; a won campaign is followed by the whole term as
-    /// the leader. Never returns.
+    /// Follows the current leader, and campaigns while there is none. After winning an election, runs the whole term
+    /// as the leader. Never returns.
     pub(crate) fn election_loop(&self) {
         loop {
             match self.store.get(LEADER_KEY, StorePriority::Leadership) {
                 Ok(Some(stored)) => self.follow(&stored),
                 Ok(None) => self.stand_for_election(),
                 Err(error) => {
-                    log::debug!(error:%; "leader unknown");
+                    log::debug!(key = LEADER_KEY, error:%; "failed to read leader record");
                     self.pause_before_retry();
                 }
             }
@@ -42,13 +45,14 @@
             Ok(ElectionOutcome::Won(leader_lease)) => self.lead_term(leader_lease),
             Ok(ElectionOutcome::Lost) => {}
             Err(error) => {
-                log::debug!(error:%; "campaign failed");
+                log::debug!(error:%; "election campaign failed");
                 self.pause_before_retry();
             }
         }
     }
 
-    /// Lets the controllers that workers reach campaign first. False if this one may not campaign now.
+    /// Waits so that controllers which workers can reach campaign first. Returns false if this controller may not
+    /// campaign now.
     fn wait_for_candidacy(&self) -> bool {
         let now = self.now();
         let (refused_heartbeats, is_paused) = {
@@ -60,7 +64,7 @@
             (recent.count() as u64, state.candidacy_paused_until > now)
         };
         if is_paused {
-            // Time enough for the other controllers, if there are any, to be elected.
+            // Long enough for another controller, if one is running, to be elected.
             self.pause(1500, 2500);
             let leader = self.store.get(LEADER_KEY, StorePriority::Leadership);
             return matches!(leader, Ok(None));
@@ -85,7 +89,7 @@
         from_value(&stored.data) == Some(PreferredZone(self.settings.location.clone()))
     }
 
-    /// Waits until the leader changes.
+    /// Waits until the leader changes. Ends the lease of the record instead if it names this controller.
     fn follow(&self, stored: &KeyValue) {
         let record: Option<LeaderRecord> = from_value(&stored.data);
         if let Some(own) = &record
@@ -98,7 +102,7 @@
         self.watch_leader(stored.revision);
     }
 
-    /// An earlier process of this controller is dead, so its lease may end now.
+    /// Ends the leader lease of an earlier process of this controller, which can't be running any more.
     fn end_lease_of_earlier_process(&self, own: &LeaderRecord) {
         log::info!(term = own.term, lease_id = own.lease_id; "ending the leader lease of an earlier process");
         if self.store.end_lease(own.lease_id).is_err() {
@@ -112,9 +116,9 @@
         if state.known_leader != record {
             match &record {
                 Some(leader) => {
-                    log::info!(node = leader.node.as_str(), term = leader.term; "leader known")
+                    log::info!(node = leader.node.as_str(), term = leader.term; "following leader")
                 }
-                None => log::info!("leader record malformed"),
+                None => log::info!(key = LEADER_KEY; "malformed leader record"),
             }
         }
         let term = record.as_ref().map_or(0, |leader| leader.term);
@@ -123,7 +127,7 @@
         state.leader_confirmed_at = now;
     }
 
-    /// Returns when the leader's record has changed since the revision, or the store doesn't answer.
+    /// Returns once the leader record has changed after revision `since`, or the store doesn't answer.
     fn watch_leader(&self, mut since: u64) {
         loop {
             match self.store.watch(LEADER_KEY, since, LEADER_WATCH_WAIT) {
@@ -133,7 +137,7 @@
                 }
                 Ok(_) | Err(StoreError::WatchExpired { .. }) => return,
                 Err(error) => {
-                    log::debug!(error:%; "watch of the leader failed");
+                    log::debug!(error:%; "leader watch failed");
                     self.pause_before_retry();
                     return;
                 }
--- a/src/leadership/failover.rs
+++ b/src/leadership/failover.rs
@@ -1,8 +1,8 @@
-//! Failover: a new leader reads the stored state.
+//! Failover: reading the stored state after winning an election.
 
 use super::leader_lease::LeaderLease;
 use super::leader_term::{LeaseRenewal, LeaseStatus};
-use super::record_loader::{ReadingTime, RecordLoader};
+use super::record_loader::{ReadTime, RecordLoader};
 use crate::controller::Controller;
 use crate::jobs::WATERMARKS_PREFIX;
 use crate::jobs::{DONE_PREFIX, JOBS_PREFIX};
@@ -11,16 +11,16 @@
 use crate::store::{RangePage, StorePriority};
 use crate::time::{Micros, Moment};
 
-/// Keys that one request asks for.
+/// Maximum number of keys per range read.
 const PAGE_SIZE: usize = 100;
 
-/// The prefixes in the order in which they are read. The machine registry and the start watermarks come first: they
-/// tell which tasks of a job may have started.
+/// Key prefixes in the order in which they are read. The machine registry and the start watermarks come before the
+/// jobs, since they determine which tasks of a job may have started.
 const PREFIXES: [&str; 4] = [REGISTRY_PREFIX, WATERMARKS_PREFIX, JOBS_PREFIX, DONE_PREFIX];
 
 impl Controller {
-    /// Reads all that a leader needs from the store, however long that takes, and renews the lease meanwhile.
-    /// `None` if the lease is lost.
+    /// Reads all records that a leader needs from the store and renews the lease meanwhile. There is no time limit:
+    /// failed reads are retried until they succeed. Returns `None` if the lease is lost.
     pub(super) fn read_stored_state(
         &self,
         leader_lease: &LeaderLease,
@@ -40,7 +40,7 @@
         Some(scheduler)
     }
 
-    /// The state of a leader that has read nothing yet.
+    /// Scheduler state before any stored record has been added.
     fn initial_state(&self, leader_lease: &LeaderLease, elected_at: Moment) -> SchedulerState {
         let seed = fastrand::u64(..);
         let config = self.scheduler_config();
@@ -53,21 +53,22 @@
         scheduler
     }
 
-    /// Reads all keys of a prefix. Returns the revision of the first page: a watch since then misses nothing.
+    /// Reads all keys of a prefix. Returns the revision of the first page: a watch from that revision on misses no
+    /// change. Returns `None` if the lease is lost.
     fn read_prefix(
         &self,
         prefix: &str,
         scheduler: &mut SchedulerState,
         renewal: &mut LeaseRenewal,
     ) -> Option<u64> {
-        // Each of two clocks may be off by the allowed skew.
+        // Twice the allowed skew, since each of the two clocks may be off by as much.
         let wall_skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut first_revision = None;
         let mut after: Option<String> = None;
         loop {
             let page = self.read_page(prefix, after.as_deref(), renewal)?;
             let first_revision = *first_revision.get_or_insert(page.revision);
-            let time = ReadingTime {
+            let time = ReadTime {
                 now: self.now(),
                 wall: self.os.wall(),
                 wall_skew,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Reads one page, with as many tries as that takes. `None` if the lease is lost.
+    /// Reads one page, retrying until it succeeds. Returns `None` if the lease is lost.
     fn read_page(
         &self,
         prefix: &str,
@@ -100,7 +101,7 @@
             match result {
                 Ok(page) => return Some(page),
                 Err(error) => {
-                    log::debug!(prefix, error:%; "stored state not read");
+                    log::debug!(prefix, error:%; "failed to read stored state");
                     self.pause(100, 300);
                 }
             }
--- a/src/leadership/feature_level.rs
+++ b/src/leadership/feature_level.rs
@@ -1,42 +1,42 @@
-//! The record format that all controllers can read.
+//! The newest record format that all controllers can read.
 //!
-//! While a service is upgraded, processes of two versions run side by side, and either may lead. A controller that
-//! doesn't know a kind of record can't act on it: an earlier leader skips a standing job, and stops its replicas as
-//! tasks of an unknown job. New kinds of records are therefore written only once the stored feature level allows it.
-//! [`super::feature_level_loop`] raises it, and [`super::version_rollback`] alone takes it back.
+//! During a rolling upgrade, processes of two versions run side by side, and either may be elected. A controller
+//! can't act on a kind of record that it doesn't know: a leader of an earlier version skips a standing job, and stops
+//! its replicas as tasks of an unknown job. New kinds of records are therefore written only once the stored feature
+//! level allows it. [`super::feature_level_loop`] raises the level; only [`super::version_rollback`] resets it.
 
 use crate::store::{KeyValue, Precondition, from_value};
 use serde::{Deserialize, Serialize};
 
-/// The key of the feature level: a [`FormatVersion`] that all members can read.
+/// Store key of the feature level, whose value is the [`FormatVersion`] that all members can read.
 pub const FEATURE_LEVEL_KEY: &str = "level";
 
-/// The newest format that this version reads and writes.
+/// Newest record format that this version of the program reads and writes.
 pub const CURRENT_FORMAT: FormatVersion = FormatVersion(3);
 
-/// The first format with standing jobs.
+/// First record format that has standing jobs.
 const STANDING_JOBS_FORMAT: FormatVersion = FormatVersion(2);
 
-/// A version of the format of stored records. Each contains the earlier ones: 1 has job arrays only, 2 has standing
-/// jobs as well, 3 has terms in a form that earlier versions of the program can't read.
+/// Version of the format of stored records. Each version includes the earlier ones: 1 has only job arrays, 2 adds
+/// standing jobs, 3 adds the fenced term counter, which earlier versions of the program can't read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FormatVersion(
-    /// The number of the version; 0 while none is stored.
+    /// Version number; 0 if none is stored.
     pub u64,
 );
 
-/// A stored format version, with the revision of its key.
+/// A stored format version, of all members or of one, with the revision of its key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeatureLevel {
-    /// The version that can be read by those for whom the key speaks.
+    /// Format that all members can read, or that one member can read if it was read from that member's key.
     pub format: FormatVersion,
-    /// The revision of the key, 0 while it is absent.
+    /// Store revision of the key; 0 if the key is absent.
     pub revision: u64,
 }
 
 impl FeatureLevel {
-    /// Reads a stored version. One that is absent or malformed counts as 0.
+    /// Decodes a stored format version. An absent or malformed value is read as version 0.
     pub(super) fn read(stored: Option<&KeyValue>) -> FeatureLevel {
         let Some(stored) = stored else {
             return FeatureLevel::default();
@@ -47,12 +47,12 @@
         }
     }
 
-    /// True if standing jobs may be accepted.
+    /// True if all members can read standing jobs, so that they may be accepted.
     pub fn has_standing_jobs(self) -> bool {
         self.format >= STANDING_JOBS_FORMAT
     }
 
-    /// Holds while the feature level is not changed: a precondition of every acceptance of a standing job.
+    /// Precondition that the feature level is unchanged, which every transaction that accepts a standing job has.
     pub fn precondition(self) -> Precondition {
         Precondition::new(FEATURE_LEVEL_KEY, self.revision)
     }
--- a/src/leadership/feature_level_loop.rs
+++ b/src/leadership/feature_level_loop.rs
@@ -1,9 +1,9 @@
-//! The thread that raises the feature level once all members can read the current format.
+//! The thread that raises the feature level once all members can read the current record format.
 //!
-//! Each process states the format that it can read under a lease of its own. Once all members state the current one
-//! at the same time, while a controller of this version leads, one transaction raises the feature level and puts the
-//! counter of terms into a form that earlier versions can't read ([`super::term_counter`]). From then on processes of
-//! earlier versions can serve, but not lead.
+//! Each process announces the format that it can read, in a key under a lease of its own. Once all members announce
+//! the current format at the same time, and a controller of this version is the leader, one transaction raises the
+//! feature level and rewrites the term counter in a form that earlier versions can't read ([`super::term_counter`]).
+//! From then on processes of earlier versions can serve requests, but can't be elected.
 
 use super::feature_level::{CURRENT_FORMAT, FEATURE_LEVEL_KEY, FeatureLevel};
 use super::leader_record::LEADER_KEY;
@@ -16,42 +16,44 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The prefix of the members' statements. A statement disappears with its process.
-const STATEMENTS_PREFIX: &str = "members/";
-/// The duration of a statement's lease.
-const STATEMENT_LEASE: Micros = Micros::from_secs(20);
-/// How long a renewal of that lease may take.
+/// Key prefix of the members' announcements. An announcement is deleted when its process no longer renews its lease.
+const ANNOUNCEMENTS_PREFIX: &str = "members/";
+/// Duration of the lease of an announcement.
+const ANNOUNCEMENT_LEASE: Micros = Micros::from_secs(20);
+/// Timeout of one renewal of that lease.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Statements that are read, at most.
-const MAX_STATEMENTS: usize = 100;
-/// The bounds of the random pause between two rounds, in milliseconds.
+/// Maximum number of announcements that are read.
+const MAX_ANNOUNCEMENTS: usize = 100;
+/// Lower bound of the random pause between two rounds, in milliseconds.
 const MIN_ROUND_PAUSE_MS: u64 = 1000;
+/// Upper bound of the random pause between two rounds, in milliseconds.
 const MAX_ROUND_PAUSE_MS: u64 = 2000;
-/// How often the log tells which members are waited for.
+/// Minimum time between two log lines about members without an announcement of the current format.
 const LOG_INTERVAL: Micros = Micros::from_secs(60);
 
-/// This process's statement of the format that it can read.
+/// This process's announcement of the format that it can read.
 #[derive(Default)]
-struct OwnStatement {
-    /// The lease of the statement, None while there is none.
+struct OwnAnnouncement {
+    /// Id of the announcement's lease; `None` while there is no announcement.
     lease_id: Option<u64>,
-    /// When the log last told which members are waited for.
+    /// Time of the last log line about missing members. Starts at the first round with missing members, which is not
+    /// logged itself.
     logged_at: Option<Moment>,
 }
 
-/// By member, the format that it states and the revision of the statement.
-type Statements = BTreeMap<String, FeatureLevel>;
+/// Announced format of each member, and the revision of the announcement, by member name.
+type Announcements = BTreeMap<String, FeatureLevel>;
 
-/// What the statements say of all members together.
-enum Members<'a> {
-    /// All can read the current format, which holds under these preconditions.
-    AllCurrent(Vec<Precondition>),
-    /// These members don't state it.
+/// Whether all members announce the current format.
+enum MemberReadiness<'a> {
+    /// All members announce it; the preconditions hold while the announcements are unchanged.
+    AllReady(Vec<Precondition>),
+    /// The named members don't announce it.
     Missing(Vec<&'a str>),
 }
 
 impl Controller {
-    /// The feature level as this process last read it.
+    /// Feature level as this process last read or wrote it.
     pub fn feature_level(&self) -> FeatureLevel {
         *self.feature_level.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -66,52 +68,53 @@
         }
     }
 
-    /// States the format that this process can read, and raises the feature level once all members state it.
-    /// Returns when the feature level is that of this version.
+    /// Announces the format that this process can read, and raises the feature level once all members announce it.
+    /// Returns once the feature level is that of this version.
     pub(crate) fn feature_level_loop(&self) {
-        let mut own = OwnStatement::default();
+        let mut own = OwnAnnouncement::default();
         while self.feature_level().format < CURRENT_FORMAT {
             if let Err(error) = self.raise_feature_level(&mut own) {
-                log::debug!(error:%; "feature level unknown");
+                log::debug!(error:%; "feature level update failed");
             }
             if self.feature_level().format < CURRENT_FORMAT {
                 self.pause(MIN_ROUND_PAUSE_MS, MAX_ROUND_PAUSE_MS);
             }
         }
         if let Some(lease_id) = own.lease_id {
-            // Otherwise it expires.
+            // On an error the lease expires without this request.
             let _ = self.store.end_lease(lease_id);
         }
     }
 
-    /// One round: renews the statement, and raises the feature level if all members are ready.
-    fn raise_feature_level(&self, own: &mut OwnStatement) -> Result<(), StoreError> {
+    /// One round: renews this process's announcement, and raises the feature level if all members are ready.
+    fn raise_feature_level(&self, own: &mut OwnAnnouncement) -> Result<(), StoreError> {
         let stored = self.store.get(FEATURE_LEVEL_KEY, StorePriority::Normal)?;
         let level = FeatureLevel::read(stored.as_ref());
         self.note_feature_level(level);
         if level.format >= CURRENT_FORMAT {
             return Ok(());
         }
-        self.keep_statement(own)?;
-        let statements = self.read_statements()?;
-        if !statements.contains_key(&self.settings.node) {
-            // Its lease has expired, as after a long stop of the process: the next round states it again.
+        self.renew_or_create_announcement(own)?;
+        let announcements = self.read_announcements()?;
+        if !announcements.contains_key(&self.settings.node) {
+            // The lease has expired, for example because the process was suspended for a long time. The next round
+            // creates a new announcement.
             own.lease_id = None;
         }
-        match self.members(&statements) {
-            Members::AllCurrent(mut preconditions) => {
+        match self.member_readiness(&announcements) {
+            MemberReadiness::AllReady(mut preconditions) => {
                 preconditions.push(level.precondition());
                 self.fence_earlier_versions(preconditions)
             }
-            Members::Missing(missing) => {
+            MemberReadiness::Missing(missing) => {
                 self.log_missing(&missing, own);
                 Ok(())
             }
         }
     }
 
-    /// Renews the lease of the statement, or makes the statement.
-    fn keep_statement(&self, own: &mut OwnStatement) -> Result<(), StoreError> {
+    /// Renews the lease of this process's announcement, or creates the announcement.
+    fn renew_or_create_announcement(&self, own: &mut OwnAnnouncement) -> Result<(), StoreError> {
         if let Some(lease_id) = own.lease_id {
             return match self.store.renew_lease(lease_id, RENEWAL_TIMEOUT) {
                 Err(StoreError::LeaseExpired) => {
@@ -121,63 +124,67 @@
                 other => other,
             };
         }
-        let lease_id = self.store.grant_lease(STATEMENT_LEASE)?;
-        let key = statement_key(&self.settings.node);
+        let lease_id = self.store.grant_lease(ANNOUNCEMENT_LEASE)?;
+        let key = announcement_key(&self.settings.node);
         let change = Change::write_with_lease(key, to_value(&CURRENT_FORMAT), lease_id);
         self.store.transact(&[], &[change], StorePriority::Normal)?;
         own.lease_id = Some(lease_id);
         Ok(())
     }
 
-    fn read_statements(&self) -> Result<Statements, StoreError> {
+    fn read_announcements(&self) -> Result<Announcements, StoreError> {
         let priority = StorePriority::Normal;
         let page = self
             .store
-            .range(STATEMENTS_PREFIX, None, MAX_STATEMENTS, priority)?;
-        let statement = |stored: &KeyValue| {
-            let node = stored.key.strip_prefix(STATEMENTS_PREFIX)?;
+            .range(ANNOUNCEMENTS_PREFIX, None, MAX_ANNOUNCEMENTS, priority)?;
+        let announcement = |stored: &KeyValue| {
+            let node = stored.key.strip_prefix(ANNOUNCEMENTS_PREFIX)?;
             Some((node.to_string(), FeatureLevel::read(Some(stored))))
         };
-        Ok(page.rows.iter().filter_map(statement).collect())
+        Ok(page.rows.iter().filter_map(announcement).collect())
     }
 
-    fn members(&self, statements: &Statements) -> Members<'_> {
+    fn member_readiness(&self, announcements: &Announcements) -> MemberReadiness<'_> {
         let peers = self.settings.members.iter().map(|m| m.node.as_str());
         let (mut preconditions, mut missing) = (Vec::new(), Vec::new());
         for node in peers.chain([self.settings.node.as_str()]) {
-            match statements.get(node) {
-                Some(stated) if stated.format >= CURRENT_FORMAT => {
-                    let key = statement_key(node);
-                    preconditions.push(Precondition::new(key, stated.revision));
+            match announcements.get(node) {
+                Some(announced) if announced.format >= CURRENT_FORMAT => {
+                    let key = announcement_key(node);
+                    preconditions.push(Precondition::new(key, announced.revision));
                 }
                 _ => missing.push(node),
             }
         }
         if missing.is_empty() {
-            Members::AllCurrent(preconditions)
+            MemberReadiness::AllReady(preconditions)
         } else {
-            Members::Missing(missing)
+            MemberReadiness::Missing(missing)
         }
     }
 
-    fn log_missing(&self, missing: &[&str], own: &mut OwnStatement) {
+    fn log_missing(&self, missing: &[&str], own: &mut OwnAnnouncement) {
         let now = self.now();
         let logged_at = *own.logged_at.get_or_insert(now);
         if now - logged_at > LOG_INTERVAL {
             own.logged_at = Some(now);
             let nodes = missing.join(",");
-            log::info!(format = CURRENT_FORMAT.0, nodes = nodes.as_str(); "feature level waits for members");
+            log::info!(
+                format = CURRENT_FORMAT.0, nodes = nodes.as_str();
+                "waiting for members to announce the current format"
+            );
         }
     }
 
-    /// Raises the feature level and puts the counter of terms into its fenced form, if a controller of this
-    /// version leads.
+    /// Raises the feature level and rewrites the term counter in its fenced form, if a controller of this version is
+    /// the leader.
     ///
-    /// A controller of an earlier version may lead although all members have stated the current format: a
-    /// statement outlives its process by its lease, and another process may have been started since. That leader
-    /// would go on leading, so the leadership of this version is a precondition: a counter and a leader record
-    /// of the same revision were written together, and only this version's counters tell when an earlier version
-    /// led. A counter that was raised since for a fencing token names the revision of the leader that raised it.
+    /// A controller of an earlier version may be the leader although all members have announced the current format:
+    /// an announcement outlives its process until its lease expires, and a process of an earlier version may have
+    /// been started in the meantime. That leader would remain the leader, so it is a precondition that a controller
+    /// of this version leads. A term counter and a leader record with the same revision were written by the same
+    /// election, and only counters written by this version record when an earlier version led. A counter that was
+    /// raised later for a fencing token contains the election revision of the leader that raised it.
     fn fence_earlier_versions(
         &self,
         mut preconditions: Vec<Precondition>,
@@ -190,7 +197,7 @@
         };
         let counter = TermCounter::read(Some(&stored_counter))?;
         let this_version_leads = counter.older_version_led_at < stored_counter.revision
-            && counter.is_of_leader(stored_counter.revision, leader.revision);
+            && counter.was_raised_by_leader(stored_counter.revision, leader.revision);
         if !this_version_leads && !counter.fenced {
             return Ok(());
         }
@@ -198,7 +205,7 @@
         preconditions.push(Precondition::new(LEADER_KEY, leader.revision));
         let changes = [
             Change::write(FEATURE_LEVEL_KEY, to_value(&CURRENT_FORMAT)),
-            Change::write(TERM_KEY, counter.in_form(true).to_value()),
+            Change::write(TERM_KEY, counter.with_fenced(true).to_value()),
         ];
         let outcome = self
             .store
@@ -213,6 +220,6 @@
     }
 }
 
-fn statement_key(node: &str) -> String {
-    format!("{STATEMENTS_PREFIX}{node}")
+fn announcement_key(node: &str) -> String {
+    format!("{ANNOUNCEMENTS_PREFIX}{node}")
 }
--- a/src/leadership/fencing_counter.rs
+++ b/src/leadership/fencing_counter.rs
@@ -1,9 +1,9 @@
-//! Raising the stored counter of terms for a fencing token, without a change of leader.
+//! Raising the stored term counter for a new fencing token, without a change of leader.
 //!
 //! The first fencing token of a term is the term itself. A leader that has to revoke its own commands
-//! ([`crate::workers::fencing`]) raises the counter once more and uses the new number, which nobody else ever
-//! does: the next leader raises the counter as well. The term of the leader stays what it is. Earlier versions see a
-//! counter that has skipped a number.
+//! ([`crate::workers::fencing`]) increments the counter again and uses the new number as its fencing token. The
+//! number is unique, since the next leader increments the counter as well. The leader's term doesn't change. Earlier
+//! versions see a counter that has skipped a number.
 
 use super::leader_lease::LeaderLease;
 use super::leader_record::LEADER_KEY;
@@ -13,10 +13,10 @@
 use crate::workers::FencingToken;
 
 impl Controller {
-    /// Tries once to store a higher fencing token, and uses it if it is surely stored.
+    /// Makes one attempt to store a higher fencing token, and uses the token only once the store has confirmed it.
     ///
-    /// A transaction without an answer may still be executed. Nobody uses its token then: the precondition of the
-    /// next try is the revision that the counter had before, so that only one of the two is executed.
+    /// A transaction without an answer may still be executed, but its token is never used. The next attempt has the
+    /// same counter revision as its precondition, so the store executes at most one of the two.
     pub(crate) fn raise_fencing_token(&self, leader_lease: &LeaderLease) {
         let term = leader_lease.term;
         let raised = leader_lease.term_counter.raised(leader_lease.revision);
@@ -44,7 +44,7 @@
                 self.read_term_counter(term);
             }
             Err(error) => {
-                log::debug!(term, error:%; "fencing token not raised");
+                log::debug!(term, error:%; "failed to raise fencing token");
                 self.fencing_token_not_raised(term);
             }
         }
@@ -55,15 +55,15 @@
         self.with_scheduler(term, |scheduler| scheduler.fencing_token_not_raised(now));
     }
 
-    /// Another transaction has changed the counter: one of this leader's without an answer, or the change of its
-    /// form ([`super::feature_level_loop`]).
+    /// Reads the term counter back after a conflict. It was changed either by a transaction of this leader that got
+    /// no answer, or by the change to the fenced form ([`super::feature_level_loop`]).
     fn read_term_counter(&self, term: u64) {
         let Ok(Some(stored)) = self.store.get(TERM_KEY, StorePriority::Normal) else {
             return;
         };
         match TermCounter::read(Some(&stored)) {
             Ok(counter) => self.note_term_counter(term, counter, stored.revision),
-            Err(error) => log::error!(term, error:%; "term counter not read"),
+            Err(error) => log::error!(term, error:%; "malformed term counter"),
         }
     }
 
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the leader that learns of jobs which other controllers accept.
+//! The leader's thread that watches the store for jobs accepted by other controllers.
 
 use crate::controller::{Controller, ControllerState};
 use crate::jobs::JOBS_PREFIX;
@@ -7,17 +7,17 @@
 use crate::time::Micros;
 use std::time::Duration;
 
-/// How long one watch lasts if nothing changes.
+/// Longest wait of one watch if nothing changes.
 const WATCH_WAIT: Micros = Micros::from_secs(10);
-/// Keys that one request asks for when the jobs are read again.
+/// Maximum number of keys per range read when the jobs are read again.
 const PAGE_SIZE: usize = 100;
 
-/// Where a watch begins.
+/// Position in the store's change history from which the jobs are watched.
 #[derive(Clone, Copy)]
 struct WatchPosition {
-    /// The term for which the changes count.
+    /// Term of the leader that watches; changes are ignored once this term is over.
     term: u64,
-    /// The revision up to which the leader knows all jobs.
+    /// Store revision up to which the leader knows all accepted jobs.
     since: u64,
 }
 
@@ -31,18 +31,19 @@
             match self.store.watch(JOBS_PREFIX, position.since, WATCH_WAIT) {
                 Ok(batch) => self.add_watched_jobs(position, &batch),
                 Err(StoreError::WatchExpired { .. }) => {
-                    log::info!(term = position.term, revision = position.since; "watch of jobs expired");
+                    log::info!(term = position.term, revision = position.since; "job watch expired");
                     self.read_jobs_again(position.term);
                 }
                 Err(error) => {
-                    log::debug!(term = position.term, error:%; "watch of jobs failed");
+                    log::debug!(term = position.term, error:%; "job watch failed");
                     self.pause_before_retry();
                 }
             }
         }
     }
 
-    /// Where the watch goes on; None after a wait if this controller doesn't lead.
+    /// Position from which the watch continues. If this controller isn't the leader, waits for a change of state and
+    /// returns `None`.
     fn job_watch_position(&self) -> Option<WatchPosition> {
         let state = self.state();
         match (&state.leader_lease, &state.scheduler) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adds the jobs of a batch, if the term still lasts.
+    /// Adds the jobs of a batch to the scheduler state, unless the term has ended.
     fn add_watched_jobs(&self, position: WatchPosition, batch: &WatchBatch) {
         let (now, wall) = (self.now(), self.os.wall());
         let mut state = self.state();
@@ -80,10 +81,10 @@
                 continue;
             };
             let Some(submission) = from_value::<Submission>(data) else {
-                log::error!(key = key.as_str(); "record malformed");
+                log::error!(key = key.as_str(); "malformed stored record");
                 continue;
             };
-            // A job that is over must not come back by an event that arrives late.
+            // A delayed event must not add a finished job again.
             if terminal_states.get(&submission.id).is_none() {
                 scheduler.add_job(&submission, event.revision, now, wall);
             }
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Reads all jobs, from which the watch goes on. If it fails, the watch fails again and it is repeated.
+    /// Reads all jobs and sets the revision from which the watch continues. If a read fails the revision stays as it
+    /// is, so the next watch expires as well and the jobs are read again.
     fn read_jobs_again(&self, term: u64) {
         let mut first_revision = None;
         let mut after: Option<String> = None;
--- a/src/leadership/leader_record.rs
+++ b/src/leadership/leader_record.rs
@@ -1,30 +1,31 @@
-//! What the store tells every controller about the leadership.
+//! Stored records about the leader, which every controller reads.
 
 use serde::{Deserialize, Serialize};
 
-/// The key of the [`LeaderRecord`]. It exists only while the leader's lease lives.
+/// Store key of the [`LeaderRecord`], attached to the leader lease: it is deleted when that lease ends, if not
+/// before.
 pub const LEADER_KEY: &str = "leader";
 
-/// The key of the [`PreferredZone`].
+/// Store key of the [`PreferredZone`].
 pub const PREFERRED_ZONE_KEY: &str = "hint";
 
-/// Who leads: the value of [`LEADER_KEY`].
+/// Current leader: the value of [`LEADER_KEY`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's name.
+    /// Name of the leader.
     pub node: String,
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
-    /// The lease with which the key ends.
+    /// Id of the leader lease, whose end deletes the key.
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
-/// The zone whose controllers should campaign first, since the last leader received no heartbeats from there: the
-/// value of [`PREFERRED_ZONE_KEY`].
+/// Zone whose controllers should campaign first, because the last leader received no heartbeats from workers in that
+/// zone: the value of [`PREFERRED_ZONE_KEY`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PreferredZone(
-    /// The zone's name.
+    /// Name of the zone.
     pub String,
 );
--- a/src/leadership/leader_term.rs
+++ b/src/leadership/leader_term.rs
@@ -1,4 +1,5 @@
-//! One term as the leader, from the election to the end of the lease.
+//! One term of this controller as the leader: from winning the election, through lease renewals, to the end of the
+//! lease.
 
 use super::leader_lease::{LeaderLease, lease_valid_until};
 use super::leader_record::{LeaderRecord, PREFERRED_ZONE_KEY, PreferredZone};
@@ -8,41 +9,45 @@
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
-/// The share of its duration after which a lease is renewed.
-const RENEWAL_SHARE: f64 = 0.25;
-/// How long one renewal may take. Then the next one is tried.
+/// Fraction of the lease duration after which the lease is renewed.
+const RENEWAL_FRACTION: f64 = 0.25;
+/// Timeout of one renewal request; after it the renewal is retried.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A renewal that is this recent needs no watching.
-const JUST_RENEWED: Micros = Micros::from_millis(100);
-/// How often it is looked whether the lease has to be renewed, and the longest wait after a renewal.
-const RENEWAL_CHECK: Duration = Duration::from_millis(100);
-const LONGEST_RENEWAL_WAIT: Duration = Duration::from_millis(500);
-/// How often it is tried to end the lease: nobody else can lead before.
-const END_LEASE_TRIES: usize = 5;
+/// Age below which the last renewal counts as recent. The next check then comes after [`MAX_RENEWAL_WAIT`] or the
+/// renewal interval, whichever is shorter.
+const RECENT_RENEWAL: Micros = Micros::from_millis(100);
+/// Time between two checks whether the lease is due for renewal, unless it was renewed recently.
+const RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time until the next check after a recent renewal.
+const MAX_RENEWAL_WAIT: Duration = Duration::from_millis(500);
+/// Maximum number of requests to end the lease at the end of the term. No other controller can be elected before the
+/// lease has ended.
+const MAX_END_LEASE_ATTEMPTS: usize = 5;
 
-/// The renewals of the leader lease.
+/// Renewal state of the leader lease.
 pub(super) struct LeaseRenewal {
     lease_id: u64,
-    /// When the last successful renewal, or the grant, was requested at the latest.
+    /// Upper bound of the time at which the last successful renewal, or else the grant, was requested.
     renewed_at: Moment,
 }
 
-/// What is known of the leader lease.
+/// Status of the leader lease after an attempt to renew it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseStatus {
-    /// It lives, for all that is known.
+    /// The store has not reported the lease as expired.
     Held,
-    /// It has expired or was ended.
+    /// The lease has expired or was ended.
     Lost,
 }
 
 impl Controller {
-    /// Leads until the lease is lost or a step-down is requested, and leaves what the next leader needs.
+    /// Runs one term: leads until the lease is lost or a step-down is requested, then writes a preference for the
+    /// next leader to the store and ends the lease.
     pub(super) fn lead_term(&self, leader_lease: LeaderLease) {
         log::info!(
             term = leader_lease.term, fencing_token = leader_lease.term,
             revision = leader_lease.revision, lease_id = leader_lease.lease_id;
-            "elected"
+            "elected as leader"
         );
         let elected_at = self.now();
         self.begin_term(&leader_lease);
@@ -82,26 +87,29 @@
 
     /// Renews the lease until it is lost or a step-down is requested.
     fn keep_lease(&self, renewal: &mut LeaseRenewal) {
-        let renewal_interval = self.leader_lease_duration.scaled(RENEWAL_SHARE).duration();
+        let renewal_interval = self
+            .leader_lease_duration
+            .scaled(RENEWAL_FRACTION)
+            .duration();
         loop {
             if self.renew_if_due(renewal) == LeaseStatus::Lost || self.state().step_down_requested {
                 return;
             }
             let step_down_requested = self.state().step_down_requested;
-            let just_renewed = self.now() - renewal.renewed_at < JUST_RENEWED;
-            self.os.sleep(if just_renewed && !step_down_requested {
-                renewal_interval.min(LONGEST_RENEWAL_WAIT)
+            let recently_renewed = self.now() - renewal.renewed_at < RECENT_RENEWAL;
+            self.os.sleep(if recently_renewed && !step_down_requested {
+                renewal_interval.min(MAX_RENEWAL_WAIT)
             } else {
-                RENEWAL_CHECK
+                RENEWAL_CHECK_INTERVAL
             });
         }
     }
 
-    /// Tries once to renew the lease if it is time to.
+    /// Makes one attempt to renew the lease if a renewal is due.
     pub(super) fn renew_if_due(&self, renewal: &mut LeaseRenewal) -> LeaseStatus {
         let duration = self.leader_lease_duration;
         let requested_at = self.now();
-        if requested_at - renewal.renewed_at < duration.scaled(RENEWAL_SHARE) {
+        if requested_at - renewal.renewed_at < duration.scaled(RENEWAL_FRACTION) {
             return LeaseStatus::Held;
         }
         match self.store.renew_lease(renewal.lease_id, RENEWAL_TIMEOUT) {
@@ -114,17 +122,18 @@
             }
             Err(StoreError::LeaseExpired) => LeaseStatus::Lost,
             Err(error) => {
-                // The store is down, or refuses this controller alone, which can't be told apart. The
-                // controller stops acting when the lease may have expired, and goes on if it has not.
-                log::debug!(lease_id = renewal.lease_id, error:%; "leader lease not renewed");
+                // Either the store is down or it refuses only this controller; the two can't be distinguished.
+                // The controller stops acting once the lease may have expired, and continues if a later renewal
+                // shows that it has not.
+                log::debug!(lease_id = renewal.lease_id, error:%; "failed to renew leader lease");
                 self.pause(150, 300);
                 LeaseStatus::Held
             }
         }
     }
 
-    /// Leaves in the store who should lead next: a named peer after a handover, else the zone of the workers
-    /// that this leader did not hear.
+    /// Writes to the store which controller should be elected next: the preferred peer after a handover, otherwise
+    /// any controller in the zone whose workers' heartbeats did not reach this leader.
     fn prepare_next_election(&self, leader_lease: &LeaderLease) {
         let silent_zone = self.silent_zone_of_step_down();
         let handover = self.state().handover.take();
@@ -133,14 +142,14 @@
         } else if let Some(zone) = silent_zone {
             let change = Change::write(PREFERRED_ZONE_KEY, to_value(&PreferredZone(zone)));
             let preconditions = [leader_lease.precondition()];
-            // It only saves time: without it the next leader may have to step down as well.
+            // An optimization: without this record the next leader may have to step down for the same reason.
             let _ = self
                 .store
                 .transact(&preconditions, &[change], StorePriority::Leadership);
         }
     }
 
-    /// The zone whose workers are silent, if that is why this leader steps down.
+    /// Zone whose workers are silent, if silent workers are the reason for this step-down.
     fn silent_zone_of_step_down(&self) -> Option<String> {
         let state = self.state();
         let now = self.now();
@@ -160,8 +169,8 @@
             state.step_down_requested = false;
         }
         self.state_changed.notify_all();
-        log::info!(term = leader_lease.term; "term over");
-        for _ in 0..END_LEASE_TRIES {
+        log::info!(term = leader_lease.term; "term ended");
+        for _ in 0..MAX_END_LEASE_ATTEMPTS {
             if self.store.end_lease(leader_lease.lease_id).is_ok() {
                 break;
             }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,16 +1,17 @@
-//! Leadership: which controller may act, and what a new leader does before it acts.
+//! Leader election, terms and failover.
 //!
-//! A controller becomes leader by one transaction that raises the term and writes the key `leader` under a lease. It
-//! acts while that lease surely lives. Every write of a leader has the revision of its `leader` key as a
-//! precondition, so that what an earlier leader sends late is never applied.
+//! A controller becomes leader by one transaction that increments the term and writes the key `leader` under a lease.
+//! It acts as the leader only while that lease is guaranteed to be valid. Every write of a leader has the revision of
+//! its `leader` key as a precondition, so delayed writes of an earlier leader are never applied.
 //!
-//! - [`election`]: one campaign; [`election_loop`]: following a leader and campaigning;
-//! - [`leader_term`]: one term as the leader, from the election to its end, with the renewals of the lease;
-//! - [`failover`]: reading the store as a new leader; [`record_loader`]: adding what was read to the scheduler state;
-//! - [`job_watch_loop`]: jobs that other controllers accept while this one leads;
-//! - [`term_counter`]: the stored counter of terms; [`fencing_counter`]: raising it for a fencing token;
-//! - [`feature_level`]: the record format that all members can read; [`feature_level_loop`]: how it rises;
-//! - [`version_rollback`]: the way back to an earlier version.
+//! - [`election`]: one election campaign; [`election_loop`]: following the leader, and campaigning if there is none;
+//! - [`leader_term`]: one term as the leader, from winning the election to its end, including lease renewals;
+//! - [`failover`]: reading the stored state as a new leader; [`record_loader`]: adding these records to the scheduler
+//!   state;
+//! - [`job_watch_loop`]: adding jobs that other controllers accept while this one leads;
+//! - [`term_counter`]: the stored term counter; [`fencing_counter`]: incrementing it for a new fencing token;
+//! - [`feature_level`]: the record format that all members can read; [`feature_level_loop`]: raising it;
+//! - [`version_rollback`]: preparing the stored state for a return to an earlier version.
 
 #![warn(missing_docs)]
 
--- a/src/leadership/record_loader.rs
+++ b/src/leadership/record_loader.rs
@@ -1,4 +1,4 @@
-//! Adding stored records to the state of a new leader.
+//! Adds stored records to the scheduler state of a new leader.
 
 use crate::jobs::Submission;
 use crate::jobs::WATERMARKS_PREFIX;
@@ -9,22 +9,23 @@
 use crate::time::{Micros, Moment, WallTime};
 use serde::de::DeserializeOwned;
 
-/// When a record was read.
-pub(super) struct ReadingTime {
+/// Time at which a page of records was read.
+pub(super) struct ReadTime {
     pub now: Moment,
     pub wall: WallTime,
-    /// How far the wall clocks of two controllers may be apart.
+    /// Largest allowed difference between the wall clocks of two controllers.
     pub wall_skew: Micros,
 }
 
-/// Adds records to the state. A record that can't be read counts as if it said the worst.
+/// Adds records to the scheduler state. A malformed machine registry or start watermark page is replaced by
+/// worst-case assumptions.
 pub(super) struct RecordLoader<'a> {
     pub scheduler: &'a mut SchedulerState,
-    pub time: ReadingTime,
+    pub time: ReadTime,
 }
 
 impl RecordLoader<'_> {
-    /// Adds the record of a key that begins with `prefix`.
+    /// Adds the record of a key that starts with `prefix`.
     pub fn load(&mut self, prefix: &str, stored: &KeyValue) {
         let rest = &stored.key[prefix.len()..];
         let result = match prefix {
@@ -34,15 +35,16 @@
             _ => self.load_done_set(rest, stored),
         };
         if let Err(error) = result {
-            log::error!(key = stored.key.as_str(), error:%; "record malformed");
-            self.assume_the_worst(prefix, stored);
+            log::error!(key = stored.key.as_str(), error:%; "malformed stored record");
+            self.assume_worst_case(prefix, stored);
         }
     }
 
-    fn assume_the_worst(&mut self, prefix: &str, stored: &KeyValue) {
+    fn assume_worst_case(&mut self, prefix: &str, stored: &KeyValue) {
         let prior_term = &mut self.scheduler.prior_term;
         if prefix == REGISTRY_PREFIX {
-            // A machine of that page, whatever its name is, may hold any task of any job.
+            // The names on the page are unknown, and each of its machines may run any task of any job. The page's key
+            // stands for these machines.
             prior_term.note_machine(&stored.key, self.time.now);
         }
         if prefix == REGISTRY_PREFIX || prefix == WATERMARKS_PREFIX {
@@ -54,7 +56,7 @@
         let number = page_number(number, stored)?;
         let entries: Vec<(String, u64)> = decode(stored)?;
         for (machine, registered_at) in &entries {
-            let existed_at = self.time.surely_after(WallTime(*registered_at));
+            let existed_at = self.time.latest_moment_of(WallTime(*registered_at));
             self.scheduler.prior_term.note_machine(machine, existed_at);
         }
         let registry = &mut self.scheduler.provisioning.registry;
@@ -72,7 +74,7 @@
 
     fn load_job(&mut self, stored: &KeyValue) -> Result<(), StoreError> {
         let submission: Submission = decode(stored)?;
-        let ReadingTime { now, wall, .. } = self.time;
+        let ReadTime { now, wall, .. } = self.time;
         self.scheduler
             .add_job(&submission, stored.revision, now, wall);
         Ok(())
@@ -82,7 +84,7 @@
         let chunk_of_job = rest
             .split_once('/')
             .and_then(|(id, chunk)| Some((id, chunk.parse().ok()?)));
-        // Keys of another form are not this program's.
+        // Keys in another format were not written by this program.
         let Some((id, chunk)) = chunk_of_job else {
             return Ok(());
         };
@@ -93,9 +95,10 @@
     }
 }
 
-impl ReadingTime {
-    /// A moment that is not before the time of another controller's wall clock.
-    fn surely_after(&self, wall: WallTime) -> Moment {
+impl ReadTime {
+    /// Latest moment of this controller's monotonic clock that another controller's wall-clock time can stand for,
+    /// given the allowed clock skew.
+    fn latest_moment_of(&self, wall: WallTime) -> Moment {
         let age = self.wall.0.saturating_sub(wall.0);
         let least_age = age.saturating_sub(self.wall_skew.0);
         Moment(self.now.0.saturating_sub(least_age))
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -198,7 +198,7 @@
     let as_production = from_value::<Production>(&next.to_value());
     assert_eq!(as_production, Some(Production { term: 7 }));
 
-    let fenced = next.in_form(true);
+    let fenced = next.with_fenced(true);
     assert_eq!(read(fenced.to_value()), fenced);
     assert_eq!(from_value::<Production>(&fenced.to_value()), None);
     assert_eq!(read(fenced.next().to_value()).term, 8);
@@ -226,10 +226,10 @@
     assert_eq!(as_production, Some(Production { term: 8 }));
 
     // The leader that took the lead at 80 raised it, not another one.
-    assert!(raised.is_of_leader(90, 80) && !raised.is_of_leader(90, 85));
-    assert!(taken.is_of_leader(80, 80) && !taken.is_of_leader(90, 80));
+    assert!(raised.was_raised_by_leader(90, 80) && !raised.was_raised_by_leader(90, 85));
+    assert!(taken.was_raised_by_leader(80, 80) && !taken.was_raised_by_leader(90, 80));
     // Its form may change meanwhile; the next leader goes on from there.
-    assert!(raised.in_form(true).is_of_leader(95, 80));
+    assert!(raised.with_fenced(true).was_raised_by_leader(95, 80));
     let next = raised.next();
     assert_eq!((next.term, next.raised_by), (9, None));
 }
