--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{DoneRecord, FinalRecord, JobView, LocalStatus, Outcome, Submission};
 use crate::os::time_left;
 use crate::peer::{PeerReply, PeerRequest};
-use crate::store::{KeyValue, Rejection, StoreError, StorePriority, from_value};
+use crate::store::{KeyValue, NotExecutedReason, StoreError, StorePriority, from_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -159,7 +159,7 @@
         let Some(left) = time_left(&*self.os, deadline) else {
             return Err(StoreError::NotExecuted {
                 request: format!("GET /store/{key}"),
-                source: Rejection::DeadlinePassed,
+                source: NotExecutedReason::DeadlinePassed,
             });
         };
         self.store
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,7 +1,7 @@
 //! The client of the key-value store: reads, transactions, leases and watches.
 
 use super::connection::{Connection, StorePriority, StoreRequest, TRANSACTION_PATH};
-use super::error::{Rejection, StoreError};
+use super::error::{NotExecutedReason, StoreError};
 use super::wire::{
     Change, ErrorResponse, GrantLeaseRequest, GrantLeaseResponse, KeyValue, NO_SUCH_LEASE,
     Precondition, RangePage, TransactionRequest, TransactionResponse, WatchBatch,
@@ -275,5 +275,5 @@
     }
     let reason = error.unwrap_or_else(|| "no reason given".to_string());
     log::error!(reason = reason.as_str(); "transaction malformed");
-    request.not_executed(Rejection::Malformed(reason))
+    request.not_executed(NotExecutedReason::Malformed(reason))
 }
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -1,7 +1,7 @@
 //! The way of every request to the store: this controller's share of the request rate, the call, and what the
 //! call showed of the store's availability and of the link to it.
 
-use super::error::{MissingResponse, Rejection, StoreError};
+use super::error::{NotExecutedReason, StoreError, UnknownOutcomeReason};
 use super::token_bucket::TokenBucket;
 use crate::http::cbor::decode;
 use crate::http::client::{CallError, ClientResponse};
@@ -50,14 +50,14 @@
 }
 
 impl StoreRequest<'_> {
-    pub fn not_executed(&self, source: Rejection) -> StoreError {
+    pub fn not_executed(&self, source: NotExecutedReason) -> StoreError {
         StoreError::NotExecuted {
             request: self.name(),
             source,
         }
     }
 
-    pub fn outcome_unknown(&self, source: MissingResponse) -> StoreError {
+    pub fn outcome_unknown(&self, source: UnknownOutcomeReason) -> StoreError {
         StoreError::OutcomeUnknown {
             request: self.name(),
             source,
@@ -65,12 +65,12 @@
     }
 
     pub fn unexpected_status(&self, status: u16) -> StoreError {
-        self.outcome_unknown(MissingResponse::UnexpectedStatus(status))
+        self.outcome_unknown(UnknownOutcomeReason::UnexpectedStatus(status))
     }
 
     /// Decodes the body of a response.
     pub fn decode<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, StoreError> {
-        decode(body).map_err(|error| self.outcome_unknown(MissingResponse::Malformed(error)))
+        decode(body).map_err(|error| self.outcome_unknown(UnknownOutcomeReason::Malformed(error)))
     }
 
     fn name(&self) -> String {
@@ -118,7 +118,7 @@
     pub fn send(&self, request: &StoreRequest<'_>) -> Result<ClientResponse, StoreError> {
         let sent_at = self.os.now();
         if !self.admit(request.priority, sent_at) {
-            return Err(request.not_executed(Rejection::RateExhausted));
+            return Err(request.not_executed(NotExecutedReason::RateExhausted));
         }
         let StoreRequest {
             method, path, body, ..
@@ -127,19 +127,19 @@
         self.record(path, &result, self.os.now());
         let response = result.map_err(|error| match error {
             CallError::OutcomeUnknown { .. } => {
-                request.outcome_unknown(MissingResponse::Call(error))
+                request.outcome_unknown(UnknownOutcomeReason::Call(error))
             }
             CallError::NotSent { .. } | CallError::Unreachable { .. } => {
-                request.not_executed(Rejection::Call(error))
+                request.not_executed(NotExecutedReason::Call(error))
             }
         })?;
         match response.status {
             STATUS_TOO_MANY_REQUESTS => {
                 let pause = Micros::from_millis(BACKOFF_MS + fastrand::u64(0..BACKOFF_MS));
                 self.request_bucket().back_off(pause, sent_at);
-                Err(request.not_executed(Rejection::TooManyRequests))
+                Err(request.not_executed(NotExecutedReason::TooManyRequests))
             }
-            STATUS_UNAVAILABLE => Err(request.not_executed(Rejection::Unavailable)),
+            STATUS_UNAVAILABLE => Err(request.not_executed(NotExecutedReason::Unavailable)),
             _ => Ok(response),
         }
     }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -13,7 +13,7 @@
         /// Method and path of the request.
         request: String,
         /// Why it was not executed.
-        source: Rejection,
+        source: NotExecutedReason,
     },
     /// The store may have executed the request, or may still do so. Read the keys back before deciding
     /// anything that depends on it.
@@ -22,7 +22,7 @@
         /// Method and path of the request.
         request: String,
         /// Why the outcome is unknown.
-        source: MissingResponse,
+        source: UnknownOutcomeReason,
     },
     /// The lease has expired or was ended; nothing was executed.
     #[error("lease expired")]
@@ -45,7 +45,7 @@
 
 /// Why a request was surely not executed.
 #[derive(Debug, Error)]
-pub enum Rejection {
+pub enum NotExecutedReason {
     /// This controller has used up its share of the store's request rate.
     #[error("request rate of this controller used up")]
     RateExhausted,
@@ -68,7 +68,7 @@
 
 /// Why the outcome of a request is unknown.
 #[derive(Debug, Error)]
-pub enum MissingResponse {
+pub enum UnknownOutcomeReason {
     /// The connection failed after the request was sent, or the timeout passed.
     #[error(transparent)]
     Call(CallError),
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -20,6 +20,6 @@
 
 pub use client::{Store, TransactionOutcome};
 pub use connection::StorePriority;
-pub use error::{MissingResponse, Rejection, StoreError};
+pub use error::{NotExecutedReason, StoreError, UnknownOutcomeReason};
 pub use value::{from_value, to_value};
 pub use wire::{Change, KeyValue, Precondition, RangePage, WatchBatch, WatchEvent};
