--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The client of the key-value store: reads, transactions, leases and watches.
+//! Client of the key-value store: reads, transactions, leases and watches.
 
 use super::connection::{Connection, StorePriority, StoreRequest, TRANSACTION_PATH};
 use super::error::{NotExecutedReason, StoreError};
@@ -14,35 +14,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a request may take.
+/// Timeout of a request other than a range read or a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a range read may take: its response is larger.
+/// Timeout of a range read, longer than [`CALL_TIMEOUT`] because the response is larger.
 const RANGE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How much longer than its wait a watch may take.
+/// Time by which the timeout of a watch exceeds its wait.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// What became of a transaction that the store has decided on.
+/// Outcome of a transaction, as reported by the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// All changes were made.
+    /// All preconditions held, and all changes were made.
     Committed {
-        /// The store's revision of the changes.
+        /// Store revision of the changes.
         revision: u64,
     },
-    /// Nothing was changed, since preconditions did not hold.
+    /// At least one precondition did not hold, and nothing was changed.
     Conflict {
-        /// The keys whose preconditions failed.
+        /// Keys whose preconditions failed.
         failed: Vec<String>,
     },
 }
 
-/// The client of the key-value store that all threads of a controller share.
+/// Client of the key-value store, shared by all threads of a controller.
 pub struct Store {
     connection: Connection,
 }
 
 impl Store {
-    /// A client of the store at `addr`. `rate` is this controller's share of the store's request rate, in
+    /// Creates a client of the store at `addr`. `rate` is this controller's share of the store's request rate, in
     /// requests per second.
     pub fn new(addr: SocketAddr, rate: f64, os: Arc<dyn Os>) -> Self {
         Store {
@@ -50,33 +50,34 @@
         }
     }
 
-    /// The same client, which leaves in `observations` what its calls show of the links to the store.
+    /// The same client, which adds the outcome of each call to `observations`, as an observation of the link to the
+    /// store.
     pub fn with_observations(mut self, observations: Option<Arc<ObservationQueue>>) -> Self {
         self.connection.observations = observations;
         self
     }
 
-    /// When the store last answered this controller with anything but 503.
+    /// Time at which the store last answered this controller with a status other than 503.
     pub fn last_answered_at(&self) -> Moment {
         self.connection.last_answered_at()
     }
 
-    /// False for a while after a request failed, until another one is answered. Peers may reach the
-    /// store sooner then than another try of this controller.
+    /// Returns false for a while after a failed request, unless another request has been answered since. In that time
+    /// a peer may reach the store sooner than a retry by this controller.
     pub fn is_answering(&self, now: Moment) -> bool {
         self.connection.is_answering(now)
     }
 
-    /// Reads a key; None if it is absent.
+    /// Reads a key. Returns `None` if the key is absent.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NotExecuted`] and [`StoreError::OutcomeUnknown`]; both mean that nothing is known.
+    /// [`StoreError::NotExecuted`] and [`StoreError::OutcomeUnknown`]; after both, the key may or may not exist.
     pub fn get(&self, key: &str, priority: StorePriority) -> Result<Option<KeyValue>, StoreError> {
         self.get_within(key, priority, CALL_TIMEOUT)
     }
 
-    /// Reads a key as [`Store::get`] does, within `timeout`.
+    /// Reads a key like [`Store::get`], but with the given `timeout`.
     ///
     /// # Errors
     ///
@@ -102,8 +103,7 @@
         }
     }
 
-    /// Reads the keys that begin with `prefix` in their order, at most `limit`, from the first one after
-    /// `after`.
+    /// Reads at most `limit` keys that start with `prefix`, in key order, beginning with the first key after `after`.
     ///
     /// # Errors
     ///
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Makes all changes if all preconditions hold, else none (compare-and-swap).
+    /// Atomically makes all changes if all preconditions hold, otherwise none (compare-and-swap).
     ///
     /// # Errors
     ///
-    /// [`StoreError::NotExecuted`]: nothing was or will be changed. [`StoreError::LeaseExpired`]: the same,
-    /// since a lease of a change has ended. [`StoreError::OutcomeUnknown`]: the changes may have been made,
-    /// or may still be.
+    /// - [`StoreError::NotExecuted`]: no change was made, or will be made.
+    /// - [`StoreError::LeaseExpired`]: no change was made, because the lease of one of them has ended.
+    /// - [`StoreError::OutcomeUnknown`]: the changes may have been made, or may still be made later.
     pub fn transact(
         &self,
         preconditions: &[Precondition],
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Asks for a lease that expires `duration` after its grant or last renewal. Returns its id.
+    /// Requests a lease that expires `duration` after its grant or last renewal. Returns the id of the lease.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NotExecuted`], or [`StoreError::OutcomeUnknown`]: there may be a lease that nobody
-    /// knows; it expires.
+    /// [`StoreError::NotExecuted`], or [`StoreError::OutcomeUnknown`]: the store may have granted a lease whose id is
+    /// unknown; that lease expires without renewals.
     pub fn grant_lease(&self, duration: Micros) -> Result<u64, StoreError> {
         let body = encode(&GrantLeaseRequest {
             duration_ms: duration.0 / 1000,
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Renews a lease for its whole duration.
+    /// Renews a lease for its full duration.
     ///
     /// # Errors
     ///
-    /// [`StoreError::LeaseExpired`] if there is no such lease any more; with the other errors it may or may
-    /// not have been renewed.
+    /// [`StoreError::LeaseExpired`] if the lease no longer exists. After any other error the lease may or may not
+    /// have been renewed.
     pub fn renew_lease(&self, lease_id: u64, timeout: Duration) -> Result<(), StoreError> {
         let request = StoreRequest {
             method: "POST",
@@ -220,11 +220,11 @@
         }
     }
 
-    /// Ends a lease, which deletes its keys. It is no error if the lease has ended before.
+    /// Ends a lease, which deletes the keys attached to it. Succeeds if the lease has already ended.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NotExecuted`] and [`StoreError::OutcomeUnknown`]; the lease expires by itself then.
+    /// [`StoreError::NotExecuted`] and [`StoreError::OutcomeUnknown`]; the lease then expires without renewals.
     pub fn end_lease(&self, lease_id: u64) -> Result<(), StoreError> {
         let request = StoreRequest {
             method: "DELETE",
@@ -239,12 +239,12 @@
         }
     }
 
-    /// Waits until keys that begin with `prefix` have changed since the revision `since`, for `wait` at the
-    /// longest. The batch is empty if nothing has changed.
+    /// Waits up to `wait` for changes after revision `since` of keys that start with `prefix`. The batch is empty if
+    /// nothing has changed.
     ///
     /// # Errors
     ///
-    /// [`StoreError::WatchExpired`] if the store no longer has all changes since then; else those of
+    /// [`StoreError::WatchExpired`] if the store no longer keeps all changes since that revision; otherwise those of
     /// [`Store::get`].
     pub fn watch(&self, prefix: &str, since: u64, wait: Micros) -> Result<WatchBatch, StoreError> {
         let wait_ms = wait.0 / 1000;
@@ -267,13 +267,14 @@
     }
 }
 
-/// The error of a transaction that the store calls invalid: a lease of it has ended, or it is malformed.
+/// Error for a transaction that the store rejected as invalid (400): a lease that it uses has ended, or it is
+/// malformed.
 fn invalid_transaction(request: &StoreRequest<'_>, body: &[u8]) -> StoreError {
     let error = decode::<ErrorResponse>(body).ok().and_then(|r| r.error);
     if error.as_deref() == Some(NO_SUCH_LEASE) {
         return StoreError::LeaseExpired;
     }
     let reason = error.unwrap_or_else(|| "no reason given".to_string());
-    log::error!(reason = reason.as_str(); "transaction malformed");
+    log::error!(reason = reason.as_str(); "store rejected a malformed transaction");
     request.not_executed(NotExecutedReason::Malformed(reason))
 }
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -1,5 +1,5 @@
-//! The way of every request to the store: this controller's share of the request rate, the call, and what the
-//! call showed of the store's availability and of the link to it.
+//! Sending of requests to the store: applies this controller's share of the request rate, makes the call, and records
+//! its outcome as evidence of the store's availability and of the health of the link.
 
 use super::error::{NotExecutedReason, StoreError, UnknownOutcomeReason};
 use super::token_bucket::TokenBucket;
@@ -16,31 +16,31 @@
 
 pub(super) const TRANSACTION_PATH: &str = "/multi";
 
-/// A failure that is older says nothing of the store's availability.
+/// Age beyond which a failure no longer counts as evidence that the store is unavailable.
 const FAILURE_VALIDITY: Micros = Micros::from_secs(2);
-/// Tokens that background requests leave to the others.
-const BACKGROUND_TOKENS_LEFT: f64 = 4.0;
-/// After the status 429 the store is left alone for this long, and up to as long again.
+/// Tokens that background requests leave for requests of higher priority.
+const RESERVED_TOKENS: f64 = 4.0;
+/// Shortest pause after a 429 response, in milliseconds. A random time of up to the same length is added.
 const BACKOFF_MS: u64 = 100;
 
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// How a request competes for this controller's share of the store's request rate.
+/// Priority of a request in this controller's share of the store's request rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePriority {
-    /// Elections and renewals of the leader lease: never delayed.
+    /// Elections and renewals of the leader lease; never rejected by the rate limit.
     Leadership,
-    /// A write that passed the leader's write budget already: never delayed, so that reads for users
-    /// can't keep it out.
+    /// A write that the leader's write budget has already admitted; never rejected by the rate limit, so that reads
+    /// for users can't block it.
     Admitted,
-    /// Not sent while the share is used up.
+    /// Not sent while this controller's share is used up.
     Normal,
-    /// Sent only while the other requests have tokens to spare.
+    /// Sent only if the tokens that are reserved for the other priorities remain.
     Background,
 }
 
-/// One request; for errors it is named by its method and path.
+/// One request to the store. Errors identify it by method and path.
 pub(super) struct StoreRequest<'a> {
     pub method: &'static str,
     pub path: &'a str,
@@ -68,7 +68,7 @@
         self.outcome_unknown(UnknownOutcomeReason::UnexpectedStatus(status))
     }
 
-    /// Decodes the body of a response.
+    /// Decodes the body of the response to this request.
     pub fn decode<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, StoreError> {
         decode(body).map_err(|error| self.outcome_unknown(UnknownOutcomeReason::Malformed(error)))
     }
@@ -78,21 +78,22 @@
     }
 }
 
-/// The connection to the store with everything that requests share.
+/// HTTP client of the store, with the rate limit and the availability data that all requests share.
 pub(super) struct Connection {
     client: Arc<dyn HttpClient>,
     os: Arc<dyn Os>,
     request_bucket: Mutex<TokenBucket>,
-    /// Moments of the monotonic clock in microseconds: the last response other than 503, and the last
-    /// failure.
+    /// Time of the last response other than 503, in microseconds of the monotonic clock.
     last_answered_at: AtomicU64,
+    /// Time of the last failure or 503 response, in microseconds of the monotonic clock.
     last_failed_at: AtomicU64,
-    /// Receives what calls show of the links to the store, if links are watched.
+    /// Receives the outcome of each call as an observation of the link to the store; `None` if links are not
+    /// monitored.
     pub observations: Option<Arc<ObservationQueue>>,
 }
 
 impl Connection {
-    /// `rate`: this controller's share of the store's request rate, in requests per second.
+    /// Creates a connection. `rate` is this controller's share of the store's request rate, in requests per second.
     pub fn new(addr: SocketAddr, rate: f64, os: Arc<dyn Os>) -> Connection {
         let request_bucket = TokenBucket::new(rate, rate, os.now());
         Connection {
@@ -114,7 +115,8 @@
         self.last_answered_at() >= last_failed_at || now - last_failed_at > FAILURE_VALIDITY
     }
 
-    /// Sends a request if the rate allows, and returns every response but 429 and 503, which are errors.
+    /// Sends a request if the rate limit allows it. Responses with status 429 or 503 are returned as errors, all
+    /// others as responses.
     pub fn send(&self, request: &StoreRequest<'_>) -> Result<ClientResponse, StoreError> {
         let sent_at = self.os.now();
         if !self.admit(request.priority, sent_at) {
@@ -150,7 +152,7 @@
             .unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Takes the token of a request; false if the request has to be dropped.
+    /// Takes a token for a request. Returns false if the request must not be sent.
     fn admit(&self, priority: StorePriority, now: Moment) -> bool {
         let mut bucket = self.request_bucket();
         match priority {
@@ -160,12 +162,12 @@
             }
             StorePriority::Normal => bucket.take(1.0, now),
             StorePriority::Background => {
-                bucket.available(now) >= BACKGROUND_TOKENS_LEFT + 1.0 && bucket.take(1.0, now)
+                bucket.available(now) >= RESERVED_TOKENS + 1.0 && bucket.take(1.0, now)
             }
         }
     }
 
-    /// Records what a call showed of the store's availability and of the link to it.
+    /// Records the outcome of a call for the store's availability and for link monitoring.
     fn record(&self, path: &str, result: &Result<ClientResponse, CallError>, at: Moment) {
         self.record_observation(path, result, at);
         let last = match result {
@@ -175,7 +177,8 @@
         last.store(at.0, Ordering::Relaxed);
     }
 
-    /// A call that was never sent shows nothing of the link.
+    /// Records the outcome of a call as an observation of the link. A call that was never sent is no evidence and is
+    /// not recorded.
     fn record_observation(
         &self,
         path: &str,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,11 +1,11 @@
-//! The key-value store that keeps what must survive a controller: its client and what is stored by several
-//! slices in the same way.
+//! The key-value store, which holds all state that must survive a controller: its client, and storage formats that
+//! several modules share.
 //!
-//! - `client`: [`Store`], the operations: reads, transactions, leases, watches;
-//! - `connection`: what all requests share: the request rate, availability, observations of links;
-//! - `wire`: the messages of the store's API; `value`: stored values;
-//! - `error`: [`StoreError`], which tells whether a request may have been executed;
-//! - [`paged_map`]: many small entries packed into few values;
+//! - `client`: [`Store`], with the operations: reads, transactions, leases, watches;
+//! - `connection`: state shared by all requests: rate limit, availability, observations of links;
+//! - `wire`: messages of the store's API; `value`: stored values;
+//! - `error`: [`StoreError`], which distinguishes whether a request may have been executed;
+//! - [`paged_map`]: a map that packs many small entries into few values;
 //! - [`token_bucket`]: rate limits.
 
 #![warn(missing_docs)]
--- a/src/store/paged_map.rs
+++ b/src/store/paged_map.rs
@@ -1,69 +1,70 @@
-//! A map of many small entries that is stored as few values.
+//! A map of many small entries that is stored in few values.
 //!
-//! The store takes a few dozen changes per second, however small they are. Entries that are tiny and change often
-//! (which machines may hold tasks, how far the tasks of a job may have started) therefore share values: a page
-//! holds up to [`PAGE_ENTRIES`] entries and is always written whole. Each write has the page's own revision as a
-//! precondition, so that an earlier write without an answer can't undo it by being executed late.
+//! The store accepts a few dozen changes per second, regardless of their size. Entries that are small and change
+//! often (which machines may run tasks, up to which task of a job starts may have been made) therefore share values:
+//! a page holds up to [`PAGE_ENTRIES`] entries and is always written as a whole. Each write has the revision of the
+//! page as a precondition, so that an earlier write without an answer can't overwrite it when the store executes it
+//! late.
 //!
-//! A page that is larger than a value may be, for example since the limit was lowered, is read but no longer
-//! written. An entry of it that changes moves to a page whose key sorts later, and the larger of the two values
-//! counts. Earlier versions of the program use the entry that they read last in the order of keys, which is the
-//! same one.
+//! A page that exceeds the size limit of a value, for example because the limit was lowered, is still read but no
+//! longer written. When an entry of such a page changes, it moves to a page whose key sorts later, and the larger of
+//! the two stored values is the valid one. Earlier versions of the program use the entry that they read last in key
+//! order, which is the same one.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Entries of a page, at most: with the longest accepted names a page stays below the smallest limit of values that
-/// the settings allow.
+/// Maximum number of entries per page. With the longest accepted names a page stays below the smallest value size
+/// limit that the settings allow.
 pub const PAGE_ENTRIES: usize = 64;
 
-/// An upper bound in bytes of an entry's value and punctuation as JSON: the largest stored numbers are microseconds
-/// since 1970.
+/// Upper bound of the size of an entry's value and punctuation as JSON, in bytes. The largest stored numbers are
+/// microseconds since 1970.
 const ENTRY_OVERHEAD_BYTES: usize = 22;
-/// The brackets around a page.
+/// Size of the brackets around a page as JSON, in bytes.
 const PAGE_OVERHEAD_BYTES: usize = 2;
 
-/// A map from names to small values that is stored in pages. It knows which pages differ from what is stored.
+/// Map from names to small values that is stored in pages. It tracks which pages differ from their stored form.
 ///
-/// Invariant: an entry is visible on exactly one page, the one that the index names.
+/// Invariant: each entry is visible on exactly one page, the one that the index contains for its name.
 #[derive(Debug)]
 pub struct PagedMap<V> {
-    /// The number of the page that holds the entry.
+    /// Number of the page that holds an entry, by the entry's name.
     index: HashMap<String, u32>,
     pages: BTreeMap<u32, Page<V>>,
-    /// Bytes of a page, at most.
+    /// Maximum size of a page, in bytes of JSON.
     max_page_bytes: usize,
 }
 
-/// A page as it is to be written.
+/// Contents of a page that is due to be written.
 #[derive(Clone, Debug)]
 pub struct PageImage<V> {
-    /// The page's number, which is the last part of its key.
+    /// Number of the page, which is the last part of its key.
     pub number: u32,
-    /// The revision of the stored page, 0 if there is none: the precondition of the write.
+    /// Store revision of the stored page, 0 if there is none. It is the precondition of the write.
     pub revision: u64,
-    /// The version of the contents, for [`PagedMap::mark_written`].
+    /// Version of the contents, to be passed to [`PagedMap::mark_written`].
     pub version: u64,
-    /// The stored form: the entries in the order of their names.
+    /// Entries in the order of their names, as they are stored.
     pub entries: Vec<(String, V)>,
 }
 
 #[derive(Debug)]
 struct Page<V> {
-    /// The store's revision of the page, 0 if it is not stored.
+    /// Store revision of the page; 0 if the page is not stored.
     revision: u64,
     entries: BTreeMap<String, Entry<V>>,
-    /// Rises with each change.
+    /// Version of the page, incremented by each change.
     version: u64,
-    /// The version of the last change that has to be written soon.
-    awaited_version: u64,
-    /// The version that is surely stored.
+    /// Version of the last change that has to be written soon: the last one that set an entry.
+    urgent_version: u64,
+    /// Highest version that the store is known to have committed.
     stored_version: u64,
 }
 
 #[derive(Debug)]
 struct Entry<V> {
     value: V,
-    /// The page's version that set it.
+    /// Version of the page at which the entry was last set.
     version: u64,
 }
 
@@ -73,19 +74,19 @@
             revision,
             entries,
             version: 0,
-            awaited_version: 0,
+            urgent_version: 0,
             stored_version: 0,
         }
     }
 
-    /// An upper bound of the page's size as JSON, in bytes.
+    /// Upper bound of the size of the page as JSON, in bytes.
     fn size_bound(&self) -> usize {
         let entries = self.entries.keys().map(|name| entry_size_bound(name));
         PAGE_OVERHEAD_BYTES + entries.sum::<usize>()
     }
 }
 
-/// An upper bound of an entry's size as JSON, in bytes.
+/// Upper bound of the size of an entry as JSON, in bytes.
 fn entry_size_bound(name: &str) -> usize {
     name.len() + ENTRY_OVERHEAD_BYTES
 }
@@ -97,7 +98,7 @@
 }
 
 impl<V> PagedMap<V> {
-    /// An empty map with pages of at most `max_page_bytes`.
+    /// Creates an empty map with pages of at most `max_page_bytes` bytes.
     pub fn new(max_page_bytes: usize) -> PagedMap<V> {
         PagedMap {
             index: HashMap::new(),
@@ -108,10 +109,10 @@
 }
 
 impl<V: Clone + PartialOrd> PagedMap<V> {
-    /// Adds a page as it was read from the store. Pages are loaded in the order of their keys.
+    /// Adds a page that was read from the store. Pages must be loaded in the order of their keys.
     pub fn load(&mut self, number: u32, revision: u64, entries: Vec<(String, V)>) {
         for (name, value) in &entries {
-            // An entry that moved is on two pages; the larger value is the newer one.
+            // An entry that was moved is stored on two pages; the larger value is the newer one.
             if self.get(name).is_none_or(|known| known <= value) {
                 self.index.insert(name.clone(), number);
             }
@@ -121,7 +122,7 @@
         self.pages.insert(number, Page::new(revision, entries));
     }
 
-    /// Sets an entry. Its page has to be written soon.
+    /// Sets an entry. Its page then has to be written soon.
     pub fn put(&mut self, name: &str, value: V) {
         let number = match self.index.get(name).copied() {
             Some(number) if self.pages[&number].size_bound() <= self.max_page_bytes => number,
@@ -131,14 +132,14 @@
         let new_page = || Page::new(0, BTreeMap::new());
         let page = self.pages.entry(number).or_insert_with(new_page);
         page.version += 1;
-        page.awaited_version = page.version;
+        page.urgent_version = page.version;
         let version = page.version;
         page.entries
             .insert(name.to_string(), Entry { value, version });
     }
 
-    /// The number of a page with space for the entry, or of a new page. For an entry that moves away from its
-    /// current page it is one whose key sorts later.
+    /// Number of a page with space for the entry, or of a new page. For an entry that moves away from its current
+    /// page, the key of the returned page sorts after that of the current page.
     fn page_with_space(&self, name: &str, current: Option<u32>) -> u32 {
         let sorts_later = |number: &u32| current.is_none_or(|c| number.to_string() > c.to_string());
         let has_space = |page: &Page<V>| {
@@ -152,7 +153,7 @@
         existing.map_or_else(new, |(number, _)| *number)
     }
 
-    /// Removes an entry. Its page may be written when the rate allows.
+    /// Removes an entry. The write of its page is not urgent, and is made when the rate limit allows.
     pub fn remove(&mut self, name: &str) {
         if let Some(number) = self.index.remove(name)
             && let Some(page) = self.pages.get_mut(&number)
@@ -162,17 +163,17 @@
         }
     }
 
-    /// True if there is such an entry.
+    /// True if the map has an entry of this name.
     pub fn contains(&self, name: &str) -> bool {
         self.index.contains_key(name)
     }
 
-    /// The value of an entry.
+    /// Value of an entry.
     pub fn get(&self, name: &str) -> Option<&V> {
         self.entry(name).map(|(_, entry)| &entry.value)
     }
 
-    /// True if the entry with its present value is surely stored.
+    /// True if the entry is known to be stored with its current value.
     pub fn is_stored(&self, name: &str) -> bool {
         self.entry(name)
             .is_some_and(|(page, entry)| entry.version <= page.stored_version)
@@ -183,17 +184,17 @@
         Some((page, page.entries.get(name)?))
     }
 
-    /// The names of all entries, in no particular order.
+    /// Names of all entries, in no particular order.
     pub fn keys(&self) -> impl Iterator<Item = &String> {
         self.index.keys()
     }
 
-    /// Pages with entries that were set and are not stored; with `include_removals` all pages that differ from what
-    /// is stored. Pages that are too large are left out.
+    /// Pages with entries that were set and are not stored yet. With `include_removals`, all pages that differ from
+    /// their stored form. Pages that exceed the size limit are not included.
     pub fn pages_due(&self, include_removals: bool) -> Vec<PageImage<V>> {
         let wanted_version = |page: &Page<V>| match include_removals {
             true => page.version,
-            false => page.awaited_version,
+            false => page.urgent_version,
         };
         self.pages
             .iter()
@@ -203,7 +204,7 @@
             .collect()
     }
 
-    /// Notes that an image was committed, as the store's `revision`.
+    /// Records that the store has committed `version` of a page at `revision`.
     pub fn mark_written(&mut self, number: u32, version: u64, revision: u64) {
         if let Some(page) = self.pages.get_mut(&number) {
             page.revision = revision;
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Notes the stored page's revision as it was read after a conflict. The page is written again over it.
+    /// Sets the revision of a stored page, as read after a conflict. The next write of the page then overwrites it.
     pub fn set_revision(&mut self, number: u32, revision: u64) {
         if let Some(page) = self.pages.get_mut(&number) {
             page.revision = revision;
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,45 +1,45 @@
-//! Messages of the store's HTTP API, in CBOR. The serde names are those of the API; everything else in this
-//! repository uses the names of the fields here.
+//! Messages of the store's HTTP API, encoded in CBOR. The serde names are defined by the API; all other code uses the
+//! names of the Rust fields.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// A key with its present value.
+/// A key with its current value.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// The value.
+    /// Value of the key.
     pub data: Value,
-    /// The store's revision at which the key last changed.
+    /// Store revision at which the key last changed.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// One response to a range read: keys of one prefix in their order.
+/// One page of a range read.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RangePage {
-    /// Keys and values in the order of the keys.
+    /// Keys and values, in key order.
     pub rows: Vec<KeyValue>,
-    /// There are further keys after the last one.
+    /// True if further keys follow the last one.
     pub more: bool,
-    /// The store's revision at which the page was read. A watch since then misses no change.
+    /// Store revision at which the page was read. A watch from this revision on misses no change.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A condition of a transaction: the key last changed at this revision, or is absent if that is 0.
+/// Precondition of a transaction on the revision of one key.
 #[derive(Clone, Debug, Serialize)]
 pub struct Precondition {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// The revision that the key must have; 0 if it must be absent.
+    /// Revision at which the key must have last changed; 0 if the key must be absent.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
 impl Precondition {
-    /// A precondition that `key` has this revision, or is absent if that is 0.
+    /// Creates a precondition that `key` last changed at `revision`, or is absent if `revision` is 0.
     pub fn new(key: impl Into<String>, revision: u64) -> Self {
         Precondition {
             key: key.into(),
@@ -48,29 +48,29 @@
     }
 }
 
-/// A change that a transaction makes.
+/// A change made by a transaction.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum Change {
     /// Sets a key.
     Write {
-        /// The key.
+        /// Key to write.
         write: String,
-        /// Its new value.
+        /// New value of the key.
         data: Value,
-        /// The lease whose end deletes the key.
+        /// Id of the lease to which the key is attached: the key is deleted when the lease ends.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         delete: String,
     },
 }
 
 impl Change {
-    /// Sets a key that lives until it is deleted.
+    /// Creates a change that sets a key, which exists until it is deleted.
     pub fn write(key: impl Into<String>, data: Value) -> Self {
         Change::Write {
             write: key.into(),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sets a key that is deleted at the end of a lease.
+    /// Creates a change that sets a key, which is deleted when the lease ends.
     pub fn write_with_lease(key: impl Into<String>, data: Value, lease_id: u64) -> Self {
         Change::Write {
             write: key.into(),
@@ -88,25 +88,25 @@
         }
     }
 
-    /// Deletes a key.
+    /// Creates a change that deletes a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Change::Delete { delete: key.into() }
     }
 }
 
-/// A change of a watched key: `write` and `data` are set, or `delete` is.
+/// A change of a watched key. Either `write` and `data` are set, or `delete`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was written.
+    /// Key that was written.
     #[serde(default)]
     pub write: Option<String>,
-    /// The key that was deleted.
+    /// Key that was deleted.
     #[serde(default)]
     pub delete: Option<String>,
-    /// The value that was written.
+    /// Value that was written.
     #[serde(default)]
     pub data: Option<Value>,
-    /// The store's revision of the change.
+    /// Store revision of the change.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
@@ -114,15 +114,15 @@
 /// One response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchBatch {
-    /// The store's revision up to which the events are complete: where the next watch begins.
+    /// Store revision up to which the events are complete, and from which the next watch continues.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes in the order in which they were made.
+    /// Changes in the order in which they were made.
     #[serde(rename = "log")]
     pub events: Vec<WatchEvent>,
 }
 
-/// A transaction: all changes if all preconditions hold, else none.
+/// Request to make all changes if all preconditions hold, otherwise none.
 #[derive(Serialize)]
 pub(super) struct TransactionRequest<'a> {
     #[serde(rename = "guards")]
@@ -131,7 +131,7 @@
     pub changes: &'a [Change],
 }
 
-/// The response to a transaction that was committed (200) or had a conflict (409).
+/// Response to a transaction that was committed (200) or had a conflict (409).
 #[derive(Deserialize)]
 pub(super) struct TransactionResponse {
     #[serde(rename = "epoch")]
@@ -140,24 +140,24 @@
     pub failed_keys: Vec<String>,
 }
 
-/// The response to a request that the store calls invalid (400).
+/// Response to a request that the store rejected as invalid (400).
 #[derive(Deserialize)]
 pub(super) struct ErrorResponse {
     #[serde(default)]
     pub error: Option<String>,
 }
 
-/// The store's error text for a transaction with a lease that has ended.
+/// Error text of the store for a transaction with a lease that has ended.
 pub(super) const NO_SUCH_LEASE: &str = "no such lease";
 
-/// A request for a new lease.
+/// Request for a new lease.
 #[derive(Serialize)]
 pub(super) struct GrantLeaseRequest {
     #[serde(rename = "lifeMs")]
     pub duration_ms: u64,
 }
 
-/// The response with a new lease.
+/// Response with the id of a new lease.
 #[derive(Deserialize)]
 pub(super) struct GrantLeaseResponse {
     #[serde(rename = "permit")]
