--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The client of one other controller: backoff, and observations of the link to it.
+//! Client for requests to one other controller, with backoff and observations of the link to it.
 
 use super::transport::{PeerTransport, is_timeout};
 use super::wire::{PeerReply, PeerRequest};
@@ -10,39 +10,40 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// For this long after a status request that timed out a peer gets no further requests. It may be gone; or it
-/// is overloaded, and answers to clients that no longer wait would take the processor time that it has left.
+/// Time after a timed-out status request in which no further requests are sent to the peer. The peer may be down, or
+/// it may be overloaded: answering clients that no longer wait would then use up the CPU time that it has left.
 const BACKOFF: Micros = Micros::from_secs(1);
 
-/// What became of an exchange of link views with a peer.
+/// Outcome of an exchange of link views with a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewExchange {
-    /// The peer's encoded view.
+    /// Encoded view that the peer has sent.
     View(Vec<u8>),
-    /// The peer answers, but exchanges no views.
+    /// The peer answers, but doesn't exchange views.
     NotOffered,
     /// The peer doesn't answer.
     Failed,
 }
 
-/// A client of one other controller, which all threads share.
+/// Client for requests to one other controller, shared by all threads.
 pub struct PeerClient {
     transport: Arc<dyn PeerTransport>,
     os: Arc<dyn Os>,
-    /// When a status request last timed out.
+    /// Time at which a status request last timed out.
     timed_out_at: Mutex<Option<Moment>>,
     backoff: Micros,
-    /// The name of the link, and where it is left what requests show of it, if links are watched.
+    /// The link to this peer, and the queue that receives the outcome of each request as an observation of it. `None`
+    /// if links are not monitored.
     observations: Option<(Link, Arc<ObservationQueue>)>,
 }
 
 impl PeerClient {
-    /// A client of the controller whose peer address is `addr`.
+    /// Creates a client of the controller whose peer address is `addr`.
     pub fn new(os: Arc<dyn Os>, addr: SocketAddr) -> Self {
         PeerClient::with_backoff(os, addr, BACKOFF)
     }
 
-    /// A client that sends no requests for `backoff` after one that timed out.
+    /// Creates a client that sends no requests for `backoff` after a status request has timed out.
     pub fn with_backoff(os: Arc<dyn Os>, addr: SocketAddr, backoff: Micros) -> Self {
         PeerClient {
             transport: os.peer_link(addr),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The same client, which leaves in `observations` what its requests show of `link`.
+    /// The same client, which adds the outcome of each request to `observations`, as an observation of `link`.
     pub fn with_observations(
         self,
         link: Link,
@@ -65,11 +66,11 @@
         }
     }
 
-    /// Sends a request, unless the peer is left alone after a timeout.
+    /// Sends a request, unless the client is backing off after a timeout.
     ///
     /// # Errors
     ///
-    /// Those of [`PeerTransport::call`]; [`ErrorKind::TimedOut`] at once while the peer is left alone.
+    /// Those of [`PeerTransport::call`]; [`ErrorKind::TimedOut`] immediately while the client is backing off.
     pub fn call(&self, request: &PeerRequest, timeout: Duration) -> io::Result<PeerReply> {
         let sent_at = self.os.now();
         if self.is_backing_off(sent_at) {
@@ -77,8 +78,9 @@
         }
         let result = self.transport.call(request, timeout);
         self.record_observation(outcome(&result));
-        // Only requests that are answered from memory show that the peer is overloaded: the others wait for
-        // the store, and a leader that is slow for its sake can still tell the status of its jobs.
+        // Only timeouts of requests that are answered from memory are evidence of an overloaded peer. The others wait
+        // for the store, and a leader that is slow because of the store can still answer status requests for its
+        // jobs.
         if matches!(request, PeerRequest::Status { .. })
             && let Err(e) = &result
             && is_timeout(e)
@@ -88,19 +90,19 @@
         result
     }
 
-    /// True if the peer answers a ping now, whatever became of earlier requests.
+    /// Sends a ping regardless of any backoff, and returns whether the peer answers it.
     pub fn is_reachable(&self, timeout: Duration) -> bool {
         let result = self.transport.call(&PeerRequest::Ping, timeout);
         self.record_observation(outcome(&result));
         result.is_ok()
     }
 
-    /// Sends this controller's encoded view of its links and asks for the peer's.
+    /// Sends this controller's encoded view of its links, and requests the peer's view.
     pub fn exchange_views(&self, view: Vec<u8>, timeout: Duration) -> ViewExchange {
         let result = self.transport.call(&PeerRequest::Links { view }, timeout);
         match &result {
-            // An earlier version closes the connection on a request that it doesn't know. The ping leaves
-            // an observation of its own.
+            // A peer of an earlier version closes the connection when it receives an unknown request. The ping
+            // records an observation of its own.
             Err(e) if !is_timeout(e) && self.is_reachable(timeout) => {
                 return ViewExchange::NotOffered;
             }
@@ -129,7 +131,7 @@
     }
 }
 
-/// What the result of a request shows of the link.
+/// Classifies the result of a request as evidence of the health of the link.
 fn outcome(result: &io::Result<PeerReply>) -> CallOutcome {
     match result {
         Ok(_) => CallOutcome::Answered,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,10 +1,10 @@
-//! Communication between the controllers: borsh messages in length-prefixed frames over TCP.
+//! Communication between controllers: Borsh messages in length-prefixed frames over TCP.
 //!
-//! - `wire`: the messages;
-//! - `frame`: how a message is read and written;
-//! - `client`: [`PeerClient`], with backoff and observations of the link, over a [`PeerTransport`];
-//! - `transport` and `tcp_transport`: the interface of what carries requests, and the transport in production;
-//! - `server`: [`serve_peers`]. What a controller answers is decided in `controller::peer_requests`.
+//! - `wire`: message types;
+//! - `frame`: reading and writing of one message;
+//! - `client`: [`PeerClient`], which adds backoff and observations of the link to a [`PeerTransport`];
+//! - `transport`: the interface of transports; `tcp_transport`: the transport used in production;
+//! - `server`: [`serve_peers`]. The requests are handled in `controller::peer_requests`.
 
 #![warn(missing_docs)]
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The server that answers other controllers: one thread for each connection.
+//! Server for requests from other controllers, with one thread per connection.
 
 use super::frame::{read_frame, write_frame};
 use super::wire::{PeerReply, PeerRequest};
@@ -9,18 +9,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// An idle connection is closed after this long.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// A peer that takes a reply more slowly than this loses its connection.
+/// Timeout of writing a reply; after it the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wait after a failure to accept, for example for want of file descriptors.
+/// Pause after a failure to accept a connection, for example because no file descriptors are available.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Answers a request; called on the thread of the connection.
+/// Function that answers a request. It is called on the thread of the connection.
 pub type PeerRequestHandler = Arc<dyn Fn(PeerRequest) -> PeerReply + Send + Sync>;
 
-/// Accepts connections for as long as the process lives. Beyond `max_connections` open ones, new ones are closed at
-/// once.
+/// Accepts connections until the process ends. While `max_connections` connections are open, new ones are closed
+/// immediately.
 pub fn serve_peers(listener: TcpListener, max_connections: usize, handler: PeerRequestHandler) {
     let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
@@ -33,7 +33,7 @@
         }
         let counted = CountedConnection::open(stream, open_connections.clone());
         let handler = handler.clone();
-        // Without a thread the connection is closed, and the peer tries again.
+        // If the thread can't be started, the connection is closed and the peer retries.
         let _ = thread::Builder::new()
             .name("peer-connection".to_string())
             .stack_size(THREAD_STACK_BYTES)
@@ -41,7 +41,7 @@
     }
 }
 
-/// A connection that counts as open until it is dropped.
+/// Connection that is counted in `open_connections` until it is dropped.
 struct CountedConnection {
     stream: TcpStream,
     open_connections: Arc<AtomicUsize>,
@@ -63,11 +63,11 @@
     }
 }
 
-/// Answers requests until the peer closes the connection, is silent for too long, or sends something that is no
+/// Answers requests until the peer closes the connection, sends nothing for [`IDLE_TIMEOUT`], or sends a malformed
 /// request.
 fn serve_connection(mut connection: CountedConnection, handler: &PeerRequestHandler) {
     let stream = &mut connection.stream;
-    // A connection that can't be configured fails with the first read or write.
+    // If the connection can't be configured, the first read or write fails.
     let _ = stream.set_nodelay(true);
     let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
--- a/src/peer/tcp_transport.rs
+++ b/src/peer/tcp_transport.rs
@@ -1,4 +1,4 @@
-//! Requests to one controller over TCP.
+//! TCP transport for requests to one other controller.
 
 use super::frame::{read_frame, write_frame};
 use super::transport::{PeerTransport, is_timeout};
@@ -8,10 +8,10 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Idle connections that are kept for further requests.
+/// Maximum number of idle connections that are kept for further requests.
 const MAX_IDLE_CONNECTIONS: usize = 3;
 
-/// A transport to one controller over TCP, with a few idle connections.
+/// Transport to one other controller over TCP, which reuses idle connections.
 #[derive(Debug)]
 pub struct TcpTransport {
     addr: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl TcpTransport {
-    /// A transport to the controller whose peer address is `addr`. It connects with the first request.
+    /// Creates a transport to the controller whose peer address is `addr`. The first request opens a connection.
     pub fn new(addr: SocketAddr) -> Self {
         TcpTransport {
             addr,
@@ -31,7 +31,7 @@
         self.idle.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Sends the request on an open connection, which is kept if the reply arrives.
+    /// Sends the request on an open connection, which is kept for reuse if the reply arrives.
     fn call_on(
         &self,
         mut stream: TcpStream,
@@ -51,8 +51,8 @@
 }
 
 impl PeerTransport for TcpTransport {
-    /// An idle connection may belong to a process that has ended since. The request, which may be repeated, is
-    /// sent on a new connection then.
+    /// Sends the request on an idle connection if there is one. The process at its other end may have ended since, so
+    /// after an error other than a timeout the request, which may be repeated, is sent again on a new connection.
     fn call(&self, request: &PeerRequest, timeout: Duration) -> io::Result<PeerReply> {
         let idle = self.idle().pop();
         let started_at = Instant::now();
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -1,67 +1,67 @@
-//! The messages between controllers. Borsh encodes a variant by its position: variants are only ever added at the
-//! end, and a controller of an earlier version closes the connection when it gets one that it doesn't know.
+//! Messages between controllers. Borsh encodes a variant by its position, so new variants may only be added at the
+//! end. A controller of an earlier version closes the connection when it receives a variant that it doesn't know.
 
 use crate::jobs::JobView;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A request to another controller. All of them may be repeated.
+/// Request to another controller. All requests may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// Asks the leader for the status of a job as it has it in memory.
+    /// Asks the leader for the status of a job that it has in memory.
     Status {
-        /// The job's id.
+        /// Id of the job.
         id: String,
     },
-    /// Asks the leader to cancel a job and to wait for its end.
+    /// Asks the leader to cancel a job, and to wait for its end before replying.
     Cancel {
-        /// The job's id.
+        /// Id of the job.
         id: String,
     },
-    /// Asks for what the store has of a job, on behalf of a controller that the store doesn't answer.
+    /// Asks for the stored state of a job, on behalf of a controller that gets no answer from the store.
     Read {
-        /// The job's id.
+        /// Id of the job.
         id: String,
     },
-    /// Asks whether the controller answers at all.
+    /// Checks whether the controller answers requests.
     Ping,
-    /// Asks to accept a submission, on behalf of a controller that can't write to the store.
+    /// Asks the receiver to accept a submission, on behalf of a controller that can't write to the store.
     Accept {
-        /// The checked submission in CBOR.
+        /// Validated submission, encoded in CBOR.
         body: Vec<u8>,
     },
-    /// Sends the sender's view of its links and asks for the receiver's. Not known to earlier versions.
+    /// Sends the sender's view of its links, and asks for the receiver's view. Earlier versions don't know it.
     Links {
-        /// The encoded view.
+        /// Encoded view of the sender.
         view: Vec<u8>,
     },
-    /// Asks for the controller's report on its links, for an operator. Not known to earlier versions.
+    /// Asks for the receiver's report on its links, which an operator has requested. Earlier versions don't know it.
     LinkReport,
 }
 
-/// The answer to a [`PeerRequest`].
+/// Reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerReply {
-    /// The job's status.
+    /// Status of the job.
     Job(JobView),
-    /// The leader has no status to tell from memory: the job is over, new, was never accepted, or is
-    /// about to end. The store has it. Also the answer to a ping.
+    /// The leader has no status of the job in memory, because the job has ended, is new, was never accepted, or is
+    /// about to end. The status has to be read from the store. Also the reply to a ping.
     Unknown,
-    /// This controller is not the leader.
+    /// The controller that replies is not the leader.
     NotLeading,
     /// The store has no such job.
     Absent,
-    /// This controller can't answer now.
+    /// The controller can't answer the request now.
     Busy,
-    /// The submission was accepted by this request.
+    /// The submission was accepted as a result of this request.
     Accepted,
-    /// The controller's view of its links.
+    /// View that the replying controller has of its links.
     Links {
-        /// The encoded view.
+        /// Encoded view.
         view: Vec<u8>,
     },
-    /// The controller's report on its links.
+    /// Report of the replying controller on its links.
     LinkReport {
-        /// The encoded report.
+        /// Encoded report.
         report: Vec<u8>,
     },
 }
