--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -28,7 +28,7 @@
     #[error("lease expired")]
     LeaseExpired,
     /// The store no longer keeps all changes since the revision of the watch. The caller has to read the keys again.
-    #[error("changes of {prefix} since revision {since} no longer kept")]
+    #[error("store no longer keeps the changes of prefix {prefix} since revision {since}")]
     WatchExpired {
         /// Prefix of the watched keys.
         prefix: String,
@@ -36,7 +36,7 @@
         since: u64,
     },
     /// The value of a key is not in a format that this version reads.
-    #[error("malformed value of {key}")]
+    #[error("malformed value of key {key}")]
     MalformedValue {
         /// Key of the malformed value.
         key: String,
