--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -70,7 +70,7 @@
             "leadership handover started"
         );
         state.handover = Some(record);
-        state.step_down_for_others(now);
+        state.step_down_and_pause_candidacy(now);
     }
 
     /// The record of the handover that is due now. `None` if no handover is due or this controller doesn't lead.
