--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -28,7 +28,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.state().terminal_states.note(id, view);
+            self.state().terminal_states.insert(id, view);
             return known(id, view);
         }
         // Without a leader no job can be cancelled, but jobs that ended or were never accepted can still be reported.
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{DoneRecord, FinalRecord, JobView, LocalStatus, Outcome, Submission};
 use crate::os::time_left;
 use crate::peer::{PeerReply, PeerRequest};
-use crate::store::{KeyValue, Rejection, StoreError, StorePriority, from_value};
+use crate::store::{KeyValue, NotExecutedReason, StoreError, StorePriority, from_value};
 use crate::time::{Micros, Moment};
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
         let found = self.find_status(id);
         let mut state = self.state();
         if let StatusLookup::Job(view) = &found {
-            state.terminal_states.note(id, *view);
+            state.terminal_states.insert(id, *view);
         }
         let terminal = state.terminal_states.get(id);
         terminal.map_or(found, StatusLookup::Job)
@@ -166,7 +166,7 @@
         let Some(left) = time_left(&*self.os, deadline) else {
             return Err(StoreError::NotExecuted {
                 request: format!("GET /store/{key}"),
-                source: Rejection::DeadlinePassed,
+                source: NotExecutedReason::DeadlinePassed,
             });
         };
         self.store
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::jobs::JobTable;
 use crate::placement::PlacementSchedule;
 use crate::provisioning::Provisioning;
-use crate::time::{Micros, Moment, WallTime, at_most};
+use crate::time::{Micros, Moment, WallTime, max_with_drift};
 use crate::workers::fencing::Fencing;
 use crate::workers::{CommandQueue, Machine};
 use aspenreel_link_health::permissions::Permissions;
@@ -101,7 +101,7 @@
     /// Time without a reply after which a worker's agent epoch has certainly ended: the lease, with clock drift and
     /// margin.
     pub fn max_lease_duration(&self) -> Micros {
-        at_most(self.config.worker_lease) + LEASE_MARGIN
+        max_with_drift(self.config.worker_lease) + LEASE_MARGIN
     }
 
     /// Time of day at `now`, computed from the time of day at the start of the term.
--- a/src/workers/revocation.rs
+++ b/src/workers/revocation.rs
@@ -5,7 +5,7 @@
 use super::{DeliveryStatus, FencingToken};
 use crate::invariants::{self, Invariant};
 use crate::scheduler::{LEASE_MARGIN, SchedulerState};
-use crate::time::{Micros, Moment, at_least};
+use crate::time::{Micros, Moment, min_with_drift};
 
 impl SchedulerState {
     /// Fencing token in replies and commands to this machine.
@@ -115,7 +115,7 @@
     /// Maximum time from the request of a job's cancellation until its unconfirmed starts are covered by a higher
     /// token: after it, a full lease must still fit into the time limit of the cancellation.
     fn revocation_time(&self) -> Micros {
-        at_least(self.config.cancellation_bound)
+        min_with_drift(self.config.cancellation_bound)
             .saturating_sub(self.max_lease_duration() + LEASE_MARGIN)
     }
 
