--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -46,7 +46,7 @@
             .unwrap_or(PeerReply::Busy)
     }
 
-    /// Requests the cancellation of a job if this controller leads, and waits up to [`CANCEL_TIMEOUT`] for its
+    /// Requests the cancellation of a job if this controller leads, and waits up to `CANCEL_TIMEOUT` for its
     /// final state to be recorded.
     pub fn cancel_as_leader(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIMEOUT;
