--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use aspenreel::leadership::term_counter::TermCounter;
 use aspenreel::peer::{PeerReply, PeerRequest};
 use aspenreel::provisioning::wire::Catalog;
-use aspenreel::settings::{Settings, StateSettings};
+use aspenreel::settings::{Settings, StoreSettings};
 use aspenreel::store::paged_map::PagedMap;
 use aspenreel::store::{Change, KeyValue, Precondition, from_value, to_value};
 use ciborium::cbor;
@@ -198,7 +198,7 @@
     let as_production = from_value::<Production>(&next.to_value());
     assert_eq!(as_production, Some(Production { term: 7 }));
 
-    let fenced = next.in_form(true);
+    let fenced = next.with_fenced(true);
     assert_eq!(read(fenced.to_value()), fenced);
     assert_eq!(from_value::<Production>(&fenced.to_value()), None);
     assert_eq!(read(fenced.next().to_value()).term, 8);
@@ -226,10 +226,10 @@
     assert_eq!(as_production, Some(Production { term: 8 }));
 
     // The leader that took the lead at 80 raised it, not another one.
-    assert!(raised.is_of_leader(90, 80) && !raised.is_of_leader(90, 85));
-    assert!(taken.is_of_leader(80, 80) && !taken.is_of_leader(90, 80));
+    assert!(raised.was_raised_by_leader(90, 80) && !raised.was_raised_by_leader(90, 85));
+    assert!(taken.was_raised_by_leader(80, 80) && !taken.was_raised_by_leader(90, 80));
     // Its form may change meanwhile; the next leader goes on from there.
-    assert!(raised.in_form(true).is_of_leader(95, 80));
+    assert!(raised.with_fenced(true).was_raised_by_leader(95, 80));
     let next = raised.next();
     assert_eq!((next.term, next.raised_by), (9, None));
 }
@@ -269,11 +269,11 @@
 /// The stricter of the limits of now and later are obeyed, whichever that is, one by one.
 #[test]
 fn the_stricter_limits_hold() {
-    let with = |next: &str| -> StateSettings {
+    let with = |next: &str| -> StoreSettings {
         let text = format!("rps = 120.0\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 12\n{next}");
-        toml::from_str::<StateSettings>(&text).unwrap().strictest()
+        toml::from_str::<StoreSettings>(&text).unwrap().strictest()
     };
-    let told = |s: StateSettings| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
+    let told = |s: StoreSettings| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
     assert_eq!(told(with("")), (120.0, 20.0, 8.0, 12));
     assert_eq!(
         told(with(
@@ -314,7 +314,7 @@
         done.insert(task);
     }
     let mut recorded = TaskSet::new(100_000);
-    for chunk in 0..done.chunks() {
+    for chunk in 0..done.chunk_count() {
         for _ in 0..3 {
             if let Some(text) = done.fitting_text(chunk, &recorded, most - 40) {
                 let record = DoneRecord {
