--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -158,7 +158,7 @@
         self.turnaround.extend(end.turnaround_s.iter().copied());
         let late = end.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
-        self.broken.extend(end.broken.iter().cloned());
+        self.broken.extend(end.violations.iter().cloned());
     }
 }
 
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -65,7 +65,7 @@
     limits: BTreeMap<String, f64>,
     cancel: Time,
     /// Broken rules: when, which and how.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Starts after a user knew that the job is cancelled, within the time for it.
     pub late_starts: Vec<String>,
     /// Starts of tasks so far.
@@ -90,7 +90,7 @@
     }
 
     fn note(&mut self, now: Time, rule: &str, text: String) {
-        self.broken
+        self.violations
             .push(format!("{:.3} {rule}: {text}", now as f64 / 1e6));
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// A user is going to cancel this job.
-    pub fn asks_cancel(&mut self, id: &str) {
+    pub fn cancel_requested(&mut self, id: &str) {
         if let Some(facts) = self.jobs.get_mut(id) {
             facts.cancel_asked = true;
         }
@@ -179,7 +179,7 @@
     }
 
     /// A task has its image and starts.
-    pub fn starts(&mut self, id: &str, task: u32, place: &Place, now: Time) {
+    pub fn task_started(&mut self, id: &str, task: u32, place: &Place, now: Time) {
         self.starts += 1;
         let Some(facts) = self.jobs.get_mut(id) else {
             let text = format!("{id}/{task}: nobody submitted it");
@@ -219,7 +219,7 @@
         }
         let team = p.team.clone();
         facts.on.entry(task).or_default().insert(place.clone());
-        let used = self.used(&team);
+        let used = self.used_cpus(&team);
         if self.limits.get(&team).is_some_and(|l| used > l + 1e-6) {
             found.push(("quota", format!("team {team} uses {used} CPUs")));
         }
@@ -229,7 +229,7 @@
     }
 
     /// A task's place is empty again; `done`: it ended well.
-    pub fn leaves(&mut self, id: &str, task: u32, machine: &str, done: bool) {
+    pub fn task_stopped(&mut self, id: &str, task: u32, machine: &str, done: bool) {
         let Some(facts) = self.jobs.get_mut(id) else {
             return;
         };
@@ -245,7 +245,7 @@
     }
 
     /// What time alone breaks.
-    pub fn look(&mut self, now: Time) {
+    pub fn check_time_limits(&mut self, now: Time) {
         let mut found = Vec::new();
         for (id, facts) in &self.jobs {
             if let Some((state, at)) = &facts.ended
@@ -263,7 +263,7 @@
     }
 
     /// CPUs that tasks of a team hold on machines.
-    pub fn used(&self, team: &str) -> f64 {
+    pub fn used_cpus(&self, team: &str) -> f64 {
         let jobs = self.jobs.values().filter(|facts| facts.plan.team == team);
         jobs.map(|facts| {
             facts.plan.cpus * facts.on.values().map(BTreeSet::len).sum::<usize>() as f64
@@ -272,12 +272,12 @@
     }
 
     /// A team's limit in CPUs.
-    pub fn limit(&self, team: &str) -> f64 {
+    pub fn cpu_limit(&self, team: &str) -> f64 {
         self.limits[team]
     }
 
     /// Accepted jobs that ought to end and that users don't know to have ended.
-    pub fn open(&self) -> Vec<&JobPlan> {
+    pub fn unfinished_jobs(&self) -> Vec<&JobPlan> {
         let ends = |facts: &Facts| !facts.plan.standing || facts.cancel_asked;
         let open =
             |facts: &&Facts| facts.accepted.is_some() && facts.ended.is_none() && ends(facts);
@@ -289,7 +289,7 @@
     }
 
     /// Accepted jobs that nobody cancelled and that have tasks neither done nor on a machine.
-    pub fn waiting(&self) -> Vec<&JobPlan> {
+    pub fn waiting_jobs(&self) -> Vec<&JobPlan> {
         let waits = |facts: &&Facts| {
             let placed: BTreeSet<u32> = facts.done.iter().chain(facts.on.keys()).copied().collect();
             facts.accepted.is_some()
@@ -323,18 +323,21 @@
     }
 
     /// The final state that a user knows of.
-    pub fn ended(&self, id: &str) -> Option<&str> {
+    pub fn final_state(&self, id: &str) -> Option<&str> {
         let (state, _) = self.jobs.get(id)?.ended.as_ref()?;
         Some(state)
     }
 
     /// Replicas of standing jobs that ought to run and don't.
-    pub fn missing(&self) -> Vec<&JobPlan> {
-        self.waiting().into_iter().filter(|p| p.standing).collect()
+    pub fn missing_replicas(&self) -> Vec<&JobPlan> {
+        self.waiting_jobs()
+            .into_iter()
+            .filter(|p| p.standing)
+            .collect()
     }
 
     /// Tasks of a job that are on machines.
-    pub fn on(&self, id: &str) -> usize {
+    pub fn active_tasks(&self, id: &str) -> usize {
         self.jobs
             .get(id)
             .map_or(0, |facts| facts.on.values().map(BTreeSet::len).sum())
--- a/crates/simulation/src/machine_faults.rs
+++ b/crates/simulation/src/machine_faults.rs
@@ -107,7 +107,7 @@
         for ((task_id, _), task) in std::mem::take(&mut m.tasks) {
             if on_machine(&task) {
                 let (id, n) = split_task_id(&task_id);
-                checker.leaves(id, n, name, false);
+                checker.task_stopped(id, n, name, false);
             }
         }
     }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -50,7 +50,7 @@
     let mut broken = Vec::new();
     for (seed, end) in seeds.iter().zip(&ends) {
         println!("seed {seed}: {end:?}");
-        broken.extend(end.broken.iter().map(|b| format!("seed {seed}: {b}")));
+        broken.extend(end.violations.iter().map(|b| format!("seed {seed}: {b}")));
     }
     assert!(broken.is_empty(), "{broken:#?}");
     ends
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -139,7 +139,7 @@
     /// Looks at the rules now and then.
     pub(crate) fn check_rules(self: &Arc<Self>) {
         let now = self.now();
-        self.state().checker.look(now);
+        self.state().checker.check_time_limits(now);
         self.after(secs(0.5), |sim| sim.check_rules());
     }
 
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -93,14 +93,14 @@
         };
         if question == RequestKind::Cancel {
             self.cluster
-                .check(|checker, _| checker.asks_cancel(&plan.id));
+                .check(|checker, _| checker.cancel_requested(&plan.id));
         }
         let body = job(&plan.id, plan.tasks, plan.cpus);
         self.cluster.ask(&plan.id, question, node, &body);
         let cluster = self.cluster;
         self.open.retain(|plan| {
             let mut ended = false;
-            cluster.check(|checker, _| ended = checker.ended(&plan.id).is_some());
+            cluster.check(|checker, _| ended = checker.final_state(&plan.id).is_some());
             !ended
         });
     }
@@ -113,7 +113,7 @@
                 self.submit();
             }
             self.ask_one();
-            self.cluster.check(Checker::look);
+            self.cluster.check(Checker::check_time_limits);
             std::thread::sleep(Duration::from_millis(10));
         }
     }
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -122,12 +122,12 @@
             zone: "east".into(),
             spot: true,
         };
-        self.note(|checker, now| checker.starts(job, task, &place, now));
+        self.note(|checker, now| checker.task_started(job, task, &place, now));
     }
 
     fn note_end(&self, task_id: &str, machine: &str, done: bool) {
         let (job, task) = split_task_id(task_id);
-        self.note(|checker, _| checker.leaves(job, task, machine, done));
+        self.note(|checker, _| checker.task_stopped(job, task, machine, done));
     }
 }
 
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Summary {
     /// Broken rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Starts after a user knew of the cancellation, within the time for it.
     pub late_starts: Vec<String>,
     /// Starts of tasks.
@@ -54,8 +54,8 @@
 impl Summary {
     /// No rule was broken.
     #[track_caller]
-    pub fn kept(&self, what: &str) -> &Self {
-        assert!(self.broken.is_empty(), "{what}: {:#?}", self.broken);
+    pub fn assert_no_violations(&self, what: &str) -> &Self {
+        assert!(self.violations.is_empty(), "{what}: {:#?}", self.violations);
         self
     }
 }
@@ -94,7 +94,9 @@
             }
             self.note_long_waits(&mut waits);
             let state = self.state();
-            if state.checker.open().is_empty() && state.checker.missing().is_empty() {
+            if state.checker.unfinished_jobs().is_empty()
+                && state.checker.missing_replicas().is_empty()
+            {
                 break;
             }
         }
@@ -110,7 +112,7 @@
             if now - since > secs(MAX_WAIT_S) {
                 let seconds = now as f64 / 1e6;
                 let text = format!("{seconds:.3} room: {id} waits for {MAX_WAIT_S} s");
-                self.state().checker.broken.push(text);
+                self.state().checker.violations.push(text);
                 waits.remove(&id);
             }
         }
@@ -121,12 +123,12 @@
         let state = self.state();
         let fits = |p: &&JobPlan| {
             let c = &state.checker;
-            c.used(&p.team) + p.cpus <= c.limit(&p.team)
+            c.used_cpus(&p.team) + p.cpus <= c.cpu_limit(&p.team)
                 && !p.one_zone
                 && !p.spread
                 && state.machines.values().any(|m| m.could_take(p))
         };
-        let waiting = state.checker.waiting();
+        let waiting = state.checker.waiting_jobs();
         waiting
             .into_iter()
             .filter(fits)
@@ -147,7 +149,7 @@
     if violations > 0 {
         // Counted for the whole process: whichever simulations run beside this one, one of them did it.
         let text = format!("controllers saw {violations} invariants violated (MODEL_LOG=error)");
-        checker.broken.push(text);
+        checker.violations.push(text);
     }
 }
 
@@ -156,22 +158,22 @@
     let names = |plans: Vec<&JobPlan>| -> Vec<String> {
         plans.iter().map(|plan| plan.id.clone()).collect()
     };
-    let missing = names(checker.missing());
-    let open = names(checker.open());
+    let missing = names(checker.missing_replicas());
+    let open = names(checker.unfinished_jobs());
     if !missing.is_empty() {
         let text = format!("replicas missing: {}", missing.join(", "));
-        checker.broken.push(text);
+        checker.violations.push(text);
     }
     if !open.is_empty() {
         let text = format!("never ended: {}", open.join(", "));
-        checker.broken.push(text);
+        checker.violations.push(text);
     }
 }
 
 fn summarize(state: &SimulationState, now: Time) -> Summary {
     let checker = &state.checker;
     Summary {
-        broken: checker.broken.clone(),
+        violations: checker.violations.clone(),
         late_starts: checker.late_starts.clone(),
         starts: checker.starts,
         cancelled: checker.answered_cancelled,
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -32,7 +32,7 @@
         let plan = self.state().users.get(id).map(|u| u.plan.clone());
         let request = request_of(id, kind, plan.as_ref());
         if kind == RequestKind::Cancel {
-            self.state().checker.asks_cancel(id);
+            self.state().checker.cancel_requested(id);
         }
         let patience = match kind {
             RequestKind::Status => ASK_TIME,
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -99,7 +99,7 @@
         for ((task_id, _), task) in lost {
             if on_machine(&task) {
                 let (id, n) = split_task_id(&task_id);
-                state.checker.leaves(id, n, name, false);
+                state.checker.task_stopped(id, n, name, false);
             }
         }
         drop(state);
--- a/crates/simulation/src/worker_tasks.rs
+++ b/crates/simulation/src/worker_tasks.rs
@@ -131,7 +131,7 @@
         task.exit_reason = Some(ExitReason::Stopped);
         if was_on_machine {
             let (id, number) = split_task_id(&command.task_id);
-            checker.leaves(id, number, name, false);
+            checker.task_stopped(id, number, name, false);
         }
         true
     }
@@ -189,7 +189,7 @@
                 task.ends =
                     now + secs(plan.map_or(1.0, |p| p.run_s + f64::from(number) * p.more_s));
                 machine.images.insert(IMAGE.into());
-                checker.starts(id, number, &place, now);
+                checker.task_started(id, number, &place, now);
                 let at = task.ends;
                 drop(state);
                 self.task_moves_on_at(at, name, key.clone(), timer);
@@ -198,7 +198,7 @@
                 task.status = TaskStatus::Exited;
                 task.exit_reason = Some(ExitReason::Done);
                 let ends = plan.is_none_or(|p| !p.standing);
-                checker.leaves(id, number, name, ends);
+                checker.task_stopped(id, number, name, ends);
                 let id = id.to_string();
                 drop(state);
                 self.task_ended(&id);
@@ -206,7 +206,7 @@
             TaskStatus::Flushing => {
                 task.status = TaskStatus::Exited;
                 task.exit_reason = Some(ExitReason::Stopped);
-                checker.leaves(id, number, name, false);
+                checker.task_stopped(id, number, name, false);
                 drop(state);
             }
             _ => return,
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -102,6 +102,6 @@
     });
     if !as_wanted {
         let line = format!("wanted {status} {state:?}, got {text}");
-        sim.state().checker.broken.push(line);
+        sim.state().checker.violations.push(line);
     }
 }
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -33,24 +33,24 @@
         "run-1",
         &answer(RequestKind::Submit, 0.0, 1.0, 201, "queued"),
     );
-    assert_eq!(c.broken, Vec::<String>::new());
+    assert_eq!(c.violations, Vec::<String>::new());
     c
 }
 
 fn rules(c: &Checker) -> Vec<&str> {
     let word = |text: &String| -> usize { text.find(' ').unwrap() + 1 };
     let rule = |t| -> &str { &t[word(t)..t.find(": ").unwrap()] };
-    c.broken.iter().map(|t: &String| rule(t)).collect()
+    c.violations.iter().map(|t: &String| rule(t)).collect()
 }
 
 #[test]
 fn a_task_on_two_machines() {
     let mut c = accepted(|_| ());
-    c.starts("run-1", 0, &place("m", "east"), secs(2.0));
-    c.leaves("run-1", 0, "m", false);
-    c.starts("run-1", 0, &place("n", "east"), secs(3.0));
+    c.task_started("run-1", 0, &place("m", "east"), secs(2.0));
+    c.task_stopped("run-1", 0, "m", false);
+    c.task_started("run-1", 0, &place("n", "east"), secs(3.0));
     assert_eq!(rules(&c), [""; 0]);
-    c.starts("run-1", 0, &place("m", "east"), secs(4.0));
+    c.task_started("run-1", 0, &place("m", "east"), secs(4.0));
     assert_eq!(rules(&c), ["ran_twice"]);
 }
 
@@ -58,25 +58,25 @@
 fn more_than_the_team_may_use() {
     let mut c = accepted(|p| p.tasks = 3);
     for task in 0..2 {
-        c.starts("run-1", task, &place("m", "east"), secs(2.0));
+        c.task_started("run-1", task, &place("m", "east"), secs(2.0));
     }
     assert_eq!(rules(&c), [""; 0]);
-    c.starts("run-1", 2, &place("n", "east"), secs(3.0));
+    c.task_started("run-1", 2, &place("n", "east"), secs(3.0));
     assert_eq!(rules(&c), ["quota"]);
 }
 
 #[test]
 fn places_that_the_job_does_not_allow() {
     let mut c = accepted(|p| p.zone = Some("west".into()));
-    c.starts("run-1", 0, &place("m", "east"), secs(2.0));
+    c.task_started("run-1", 0, &place("m", "east"), secs(2.0));
     let mut spot = accepted(|p| p.spot = false);
-    spot.starts("run-1", 0, &place("m", "east"), secs(2.0));
+    spot.task_started("run-1", 0, &place("m", "east"), secs(2.0));
     let mut same = accepted(|p| p.one_zone = true);
-    same.starts("run-1", 0, &place("m", "east"), secs(2.0));
-    same.starts("run-1", 1, &place("n", "west"), secs(3.0));
+    same.task_started("run-1", 0, &place("m", "east"), secs(2.0));
+    same.task_started("run-1", 1, &place("n", "west"), secs(3.0));
     let mut spread = accepted(|p| p.spread = true);
-    spread.starts("run-1", 0, &place("m", "east"), secs(2.0));
-    spread.starts("run-1", 1, &place("n", "east"), secs(3.0));
+    spread.task_started("run-1", 0, &place("m", "east"), secs(2.0));
+    spread.task_started("run-1", 1, &place("n", "east"), secs(3.0));
     for c in [c, spot, same, spread] {
         assert_eq!(rules(&c), ["wrong_place"]);
     }
@@ -85,20 +85,20 @@
 #[test]
 fn tasks_of_a_cancelled_job() {
     let mut c = accepted(|_| ());
-    c.starts("run-1", 0, &place("m", "east"), secs(2.0));
-    c.asks_cancel("run-1");
+    c.task_started("run-1", 0, &place("m", "east"), secs(2.0));
+    c.cancel_requested("run-1");
     c.answered(
         "run-1",
         &answer(RequestKind::Cancel, 3.0, 4.0, 200, "cancelled"),
     );
-    c.starts("run-1", 1, &place("m", "east"), secs(5.0));
-    c.look(secs(44.0));
+    c.task_started("run-1", 1, &place("m", "east"), secs(5.0));
+    c.check_time_limits(secs(44.0));
     assert_eq!((rules(&c), c.late_starts.len()), (vec![], 1));
-    c.leaves("run-1", 1, "m", false);
-    c.look(secs(44.1));
-    c.leaves("run-1", 0, "m", false);
-    c.look(secs(44.2));
-    c.starts("run-1", 1, &place("m", "east"), secs(45.0));
+    c.task_stopped("run-1", 1, "m", false);
+    c.check_time_limits(secs(44.1));
+    c.task_stopped("run-1", 0, "m", false);
+    c.check_time_limits(secs(44.2));
+    c.task_started("run-1", 1, &place("m", "east"), secs(45.0));
     assert_eq!(rules(&c), ["ran_cancelled"; 2]);
 }
 
@@ -134,14 +134,14 @@
         "run-2",
         &answer(RequestKind::Status, 2.0, 3.0, 200, "queued"),
     );
-    c.starts("run-2", 0, &place("m", "east"), secs(2.0));
+    c.task_started("run-2", 0, &place("m", "east"), secs(2.0));
     assert_eq!(rules(&c), ["invented"; 2]);
 }
 
 #[test]
 fn jobs_called_done_too_soon() {
     let mut c = accepted(|_| ());
-    c.leaves("run-1", 0, "m", true);
+    c.task_stopped("run-1", 0, "m", true);
     c.answered("run-1", &answer(RequestKind::Status, 2.0, 3.0, 200, "done"));
     assert_eq!(rules(&c), ["not_done"]);
 }
@@ -150,8 +150,8 @@
 fn answers_that_go_back() {
     let done = || {
         let mut c = accepted(|_| ());
-        c.leaves("run-1", 0, "m", true);
-        c.leaves("run-1", 1, "m", true);
+        c.task_stopped("run-1", 0, "m", true);
+        c.task_stopped("run-1", 1, "m", true);
         c.answered("run-1", &answer(RequestKind::Status, 2.0, 3.0, 200, "done"));
         c
     };
@@ -167,7 +167,7 @@
     );
     assert_eq!(rules(&c), ["went_back"]);
     let mut c = done();
-    c.asks_cancel("run-1");
+    c.cancel_requested("run-1");
     c.answered(
         "run-1",
         &answer(RequestKind::Cancel, 2.9, 3.1, 200, "cancelled"),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -118,8 +118,8 @@
             .map(|node| format!("controller {node} ended by itself")),
     );
     cluster.check(|checker, now| {
-        checker.look(now);
-        report.broken.extend(checker.broken.iter().cloned());
+        checker.check_time_limits(now);
+        report.broken.extend(checker.violations.iter().cloned());
         report.starts = checker.starts;
         report.done = checker.answered_done;
         report.cancelled = checker.answered_cancelled;
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -25,7 +25,7 @@
 fn require(sim: &Arc<Simulation>, holds: bool, problem: impl Fn() -> String) {
     if !holds {
         let text = format!("at {:.0} s: {}", sim.since_start().as_secs_f64(), problem());
-        sim.state().checker.broken.push(text);
+        sim.state().checker.violations.push(text);
     }
 }
 
@@ -48,7 +48,7 @@
         everywhere.priority = "high";
         sim.submit(15.0, everywhere);
         sim.at(60.0, move |sim| {
-            let busy = sim.state().checker.on("run-1");
+            let busy = sim.state().checker.active_tasks("run-1");
             require(sim, busy > all * 9 / 10, || {
                 format!("{busy} of {all} machines have work")
             });
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -730,6 +730,6 @@
         sim.state().faults_until = sim.now();
     });
     let end = sim.finish();
-    let breaks = |rule: &str| end.broken.iter().any(|b| b.contains(rule));
+    let breaks = |rule: &str| end.violations.iter().any(|b| b.contains(rule));
     assert!(breaks("room: ") && breaks("never ended: "), "{end:?}");
 }
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -58,8 +58,8 @@
     }
     users.until_all_ended();
     cluster.check(|checker, now| {
-        checker.look(now);
-        assert_eq!(checker.broken, Vec::<String>::new());
+        checker.check_time_limits(now);
+        assert_eq!(checker.violations, Vec::<String>::new());
         assert!(checker.answered_done > 5, "hardly anything ran");
     });
     let twice = cluster.cloud.environment.broken.lock().unwrap();
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -25,8 +25,8 @@
     users.busy_for(held + BEYOND);
     users.until_all_ended();
     cluster.check(|checker: &mut Checker, now| {
-        checker.look(now);
-        assert_eq!(checker.broken, Vec::<String>::new());
+        checker.check_time_limits(now);
+        assert_eq!(checker.violations, Vec::<String>::new());
         assert!(checker.answered_done > 5, "hardly anything ran");
         assert!(
             checker.answered_cancelled > 5,
