--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -8,7 +8,7 @@
 use aspenreel_simulation::setup::Setup;
 use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::summary::Summary;
-use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
+use aspenreel_simulation::workloads::{cancel_after_acceptance, every_nth, jobs};
 use std::sync::Arc;
 
 /// The fault begins then, and lasts for so long.
@@ -120,7 +120,7 @@
         let ids = jobs(sim, 4.0, 110.0, JOBS, |i, p| {
             p.run_s = 4.0 + f64::from(i % 5) * 4.0
         });
-        cancel_soon(sim, &every_other(&ids, 6), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 6), 15.0, rng);
         sim.at(BEGINS_S, move |sim| fault.begin(sim));
     });
     let mut measured = Measured::default();
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -212,7 +212,7 @@
         let here = others.iter().filter(|o| o.zone == place.zone).count() as u32 + 1;
         if (place.spot && !p.spot)
             || p.zone.as_ref().is_some_and(|z| *z != place.zone)
-            || (p.one_zone && elsewhere)
+            || (p.same_zone && elsewhere)
             || (p.spread && here > p.tasks.div_ceil(2))
         {
             found.push(("wrong_place", format!("{place:?} beside {others:?}")));
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -15,7 +15,7 @@
     /// The cloud's answer to a request.
     pub fn cloud_asked(self: &Arc<Self>, r: &Request) -> (u16, Vec<u8>) {
         let now = self.now();
-        if self.state().cloud.out_until > now {
+        if self.state().cloud.down_until > now {
             return (503, encode(&cbor!({"error" => "trouble"}).unwrap()));
         }
         if !self.cloud_has_room(now) {
@@ -125,7 +125,7 @@
                 if count == 0 {
                     return (503, encode(&cbor!({"error" => "no capacity"}).unwrap()));
                 }
-                let quick = self.state().cloud.quick_until > self.now();
+                let quick = self.state().cloud.fast_boot_until > self.now();
                 let boot = secs(if quick { 1.0 } else { self.setup.boot_s });
                 let names: Vec<String> = (0..count)
                     .map(|_| {
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -30,7 +30,7 @@
     pub(crate) requests: f64,
     pub(crate) counted_at: Time,
     /// It answers nothing but errors until then.
-    pub out_until: Time,
+    pub down_until: Time,
     /// Machines come up within two seconds until then.
-    pub quick_until: Time,
+    pub fast_boot_until: Time,
 }
--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -31,10 +31,10 @@
         plan.team = ["a", "a", "b"][rng.usize(0..3)].into();
         plan.priority = ["low", "normal", "high"][rng.usize(0..3)];
         match rng.u32(0..8) {
-            0 => plan.one_zone = true,
+            0 => plan.same_zone = true,
             1 => plan.spread = true,
             2 => plan.zone = Some("west".into()),
-            3 => plan.save_s = 2.0,
+            3 => plan.checkpoint_s = 2.0,
             _ => {}
         }
         let id = plan.id.clone();
@@ -42,7 +42,7 @@
         if rng.u32(0..3) == 0 {
             let id = id.clone();
             sim.at(at + 0.001, move |sim| {
-                sim.change_user(&id, |u| u.asks_closely = true)
+                sim.change_user(&id, |u| u.queries_all_nodes = true)
             });
         }
         if rng.u32(0..3) == 0 {
@@ -76,11 +76,11 @@
             5 => sim.cut_store(leader, span, own.bool()),
             6 => sim.cut_workers(leader, span),
             7 => sim.store_outage(span),
-            8 => sim.late_writes(0.3 + 0.5 * own.f64(), own.bool(), span),
-            9 => sim.late_heartbeats(0.5, own.bool(), span),
+            8 => sim.leave_writes_unanswered(0.3 + 0.5 * own.f64(), own.bool(), span),
+            9 => sim.duplicate_heartbeats(0.5, own.bool(), span),
             10 => sim.cut_zone("west", span),
             11 => sim.freeze_machines(&some_machines(sim, &mut own), span),
-            12 => sim.cut(&some_machines(sim, &mut own), span, own.bool()),
+            12 => sim.cut_machines(&some_machines(sim, &mut own), span, own.bool()),
             13 => sim.drop_outbound(&some_machines(sim, &mut own), span),
             14 => sim.drop_inbound(&some_machines(sim, &mut own), span),
             15 => sim.kill_machines(&some_machines(sim, &mut own)),
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -24,11 +24,11 @@
     /// Requests and changes since then.
     spent: Option<(TokenBucket, TokenBucket)>,
     /// Transactions that were larger than that.
-    pub refused: u32,
+    pub rejected_transactions: u32,
     /// Requests that were more than that, and all since then.
-    pub throttled: u32,
+    pub throttled_requests: u32,
     /// Requests since the limits hold.
-    pub counted: u32,
+    pub limited_requests: u32,
 }
 
 /// What the key-value store takes.
@@ -84,11 +84,11 @@
 /// What a watch asks for.
 pub struct Watch {
     /// What the keys begin with.
-    pub starts: String,
+    pub prefix: String,
     /// The revision after which changes are wanted.
     pub since: u64,
     /// How long the watch may stay open.
-    pub hold: Duration,
+    pub max_wait: Duration,
 }
 
 impl Watch {
@@ -96,9 +96,9 @@
     pub fn of(path: &str) -> Watch {
         let q = query(path);
         Watch {
-            starts: q["starts"].into(),
+            prefix: q["starts"].into(),
             since: q["since"].parse().unwrap(),
-            hold: Duration::from_millis(q["holdMs"].parse().unwrap()),
+            max_wait: Duration::from_millis(q["holdMs"].parse().unwrap()),
         }
     }
 }
@@ -140,22 +140,22 @@
     }
 
     /// When the next hold runs out.
-    pub fn next_end(&self) -> Option<Duration> {
+    pub fn next_lease_end(&self) -> Option<Duration> {
         self.leases.values().map(|(end, _)| *end).min()
     }
 
     /// After an outage every hold has its full time again.
-    pub fn refresh(&mut self, now: Duration) {
+    pub fn renew_all_leases(&mut self, now: Duration) {
         for (end, life) in self.leases.values_mut() {
             *end = now + *life;
         }
     }
 
     /// Carries out a transaction on preconditions.
-    pub fn multi(&mut self, body: &[u8]) -> StoreResponse {
+    pub fn transaction(&mut self, body: &[u8]) -> StoreResponse {
         let multi: Multi = decode(body).unwrap();
         if self.is_too_large(&multi, body) {
-            self.refused += 1;
+            self.rejected_transactions += 1;
             return answer(400, cbor!({"error" => "too large"}));
         }
         for change in &multi.apply {
@@ -217,9 +217,9 @@
             "/multi" => decode::<Multi>(body).unwrap().apply.len(),
             _ => 0,
         };
-        self.counted += 1;
+        self.limited_requests += 1;
         let granted = requests.take(1.0, now) && changes.take(wanted as f64, now);
-        self.throttled += u32::from(!granted);
+        self.throttled_requests += u32::from(!granted);
         !granted
     }
 
@@ -228,7 +228,7 @@
         let seen = self.log.partition_point(|(e, _, _)| *e <= watch.since);
         let log: Vec<Value> = self.log[seen..]
             .iter()
-            .filter(|(_, key, _)| key.starts_with(&watch.starts))
+            .filter(|(_, key, _)| key.starts_with(&watch.prefix))
             .map(|(e, key, data)| match data {
                 Some(d) => cbor!({"write" => key, "data" => d, "stamp" => e}).unwrap(),
                 None => cbor!({"delete" => key, "stamp" => e}).unwrap(),
@@ -238,7 +238,7 @@
     }
 
     /// What a watch is told when its time is over.
-    pub fn no_changes(&self) -> StoreResponse {
+    pub fn empty_changes(&self) -> StoreResponse {
         let log: [Value; 0] = [];
         answer(200, cbor!({"epoch" => self.revision, "log" => log}))
     }
@@ -315,7 +315,7 @@
             return answer(429, cbor!({"error" => "too many"}));
         }
         match path.split('?').next().unwrap() {
-            "/multi" => self.multi(body),
+            "/multi" => self.transaction(body),
             "/store" => self.range(path),
             plain => match plain.strip_prefix("/holds") {
                 Some(rest) => self.leases(method, rest, body, now),
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::{Time, secs};
 use crate::setup::LEASE_S;
 use crate::simulation::Simulation;
-use crate::state::{LateHeartbeats, LateWrites};
+use crate::state::{DuplicatedHeartbeats, UnansweredWrites};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
             {
                 let mut state = sim.state();
                 state.store_is_down = false;
-                state.store.refresh(now);
+                state.store.renew_all_leases(now);
             }
             sim.store_changed();
         });
@@ -65,9 +65,9 @@
     }
 
     /// That share of the transactions gets no answer; they are carried out at once or later.
-    pub fn late_writes(&self, share: f64, at_once: bool, span: f64) {
+    pub fn leave_writes_unanswered(&self, share: f64, at_once: bool, span: f64) {
         let until = self.now() + secs(span);
-        self.state().late_writes = Some(LateWrites {
+        self.state().unanswered_writes = Some(UnansweredWrites {
             share,
             at_once,
             until,
@@ -76,11 +76,11 @@
     }
 
     /// That share of the heartbeats is copied; copies arrive later, or as the next leader begins.
-    pub fn late_heartbeats(&self, share: f64, for_next: bool, span: f64) {
+    pub fn duplicate_heartbeats(&self, share: f64, for_next_leader: bool, span: f64) {
         let until = self.now() + secs(span);
-        self.state().late_heartbeats = Some(LateHeartbeats {
+        self.state().duplicated_heartbeats = Some(DuplicatedHeartbeats {
             share,
-            for_next,
+            for_next_leader,
             until,
         });
         self.note_fault(span + 1.5 * LEASE_S);
--- a/crates/simulation/src/machine_faults.rs
+++ b/crates/simulation/src/machine_faults.rs
@@ -57,7 +57,7 @@
     }
 
     /// The machines' network is cut; `holds`: what it stops is delivered in the end.
-    pub fn cut(&self, names: &[String], span: f64, holds: bool) {
+    pub fn cut_machines(&self, names: &[String], span: f64, holds: bool) {
         self.change_machines(names, span, |m, until| {
             m.cut_until = until;
             m.holds = holds;
--- a/crates/simulation/src/observations.rs
+++ b/crates/simulation/src/observations.rs
@@ -16,15 +16,15 @@
     /// How long the first task runs, in seconds.
     pub run_s: f64,
     /// Each task runs by so much longer than the one before.
-    pub more_s: f64,
+    pub run_increment_s: f64,
     /// Its tasks are replicas: they run until it is cancelled, and one that ends runs again.
     pub standing: bool,
     /// A task saves within this when it is stopped; 0: it never saves.
-    pub save_s: f64,
+    pub checkpoint_s: f64,
     /// The only zone in which its tasks may run, if it names one.
     pub zone: Option<String>,
     /// Its tasks must all be in one zone.
-    pub one_zone: bool,
+    pub same_zone: bool,
     /// No zone may have more than half of its tasks.
     pub spread: bool,
     /// Its tasks may run on spot machines.
@@ -42,11 +42,11 @@
             tasks,
             cpus,
             run_s,
-            more_s: 0.0,
+            run_increment_s: 0.0,
             standing: false,
-            save_s: 0.0,
+            checkpoint_s: 0.0,
             zone: None,
-            one_zone: false,
+            same_zone: false,
             spread: false,
             spot: true,
             priority: "normal",
--- a/crates/simulation/src/older_version.rs
+++ b/crates/simulation/src/older_version.rs
@@ -32,7 +32,7 @@
 
 /// The node's process ends, and comes back as one of that version, which leads for so long as soon as it
 /// can; then the newer one is back.
-pub fn leads(sim: &Arc<Simulation>, n: usize, span: f64) {
+pub fn lead(sim: &Arc<Simulation>, n: usize, span: f64) {
     sim.crash(n, span + 20.0);
     let give_up = sim.now() + secs(18.0);
     look(sim, n, span, give_up);
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -31,13 +31,13 @@
             state: Mutex::new(SimulationState {
                 store: FakeStore::default(),
                 store_is_down: false,
-                hidden: String::new(),
+                hidden_key: String::new(),
                 watchers: Vec::new(),
                 store_delay: 0,
-                slow_links: 1,
-                late_writes: None,
-                late_heartbeats: None,
-                kept_heartbeats: Vec::new(),
+                latency_factor: 1,
+                unanswered_writes: None,
+                duplicated_heartbeats: None,
+                heartbeats_for_next_leader: Vec::new(),
                 delayed_commands: DelayedCommands::default(),
                 nodes: (0..setup.nodes).map(|_| NodeState::default()).collect(),
                 zone_cuts: BTreeMap::new(),
@@ -133,7 +133,7 @@
             0 => state.rng.u64(2_000..40_000),
             _ => state.rng.u64(200..1_500),
         };
-        span * state.slow_links
+        span * state.latency_factor
     }
 
     /// Looks at the rules now and then.
--- a/crates/simulation/src/stand_ins/store_server.rs
+++ b/crates/simulation/src/stand_ins/store_server.rs
@@ -40,19 +40,26 @@
     /// Puts a record there, as if a controller had written it.
     pub fn write(&self, key: &str, data: Value) {
         let body = cbor!({"guards" => [], "apply" => [{"write" => key, "data" => data}]});
-        let (status, _) = self.store.lock().unwrap().multi(&encode(&body.unwrap()));
+        let (status, _) = self
+            .store
+            .lock()
+            .unwrap()
+            .transaction(&encode(&body.unwrap()));
         assert_eq!(status, 200);
         self.changed.notify_all();
     }
 
     /// The end of an outage.
     pub fn recovers(&self) {
-        self.store.lock().unwrap().refresh(self.since.elapsed());
+        self.store
+            .lock()
+            .unwrap()
+            .renew_all_leases(self.since.elapsed());
         *self.down.lock().unwrap() = false;
     }
 
     fn changes(&self, watch: &Watch) -> StoreResponse {
-        let deadline = Instant::now() + watch.hold;
+        let deadline = Instant::now() + watch.max_wait;
         let mut k = self.store.lock().unwrap();
         loop {
             k.expire(self.since.elapsed());
@@ -61,10 +68,10 @@
             }
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return k.no_changes();
+                return k.empty_changes();
             }
-            let next_end = k.next_end().unwrap_or(Duration::MAX);
-            let wait = left.min(next_end.saturating_sub(self.since.elapsed()));
+            let next_lease_end = k.next_lease_end().unwrap_or(Duration::MAX);
+            let wait = left.min(next_lease_end.saturating_sub(self.since.elapsed()));
             k = self.changed.wait_timeout(k, wait).unwrap().0;
         }
     }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -35,7 +35,7 @@
 
 /// Transactions without an answer: the share, whether they are carried out at once, until when.
 #[derive(Clone, Copy)]
-pub struct LateWrites {
+pub struct UnansweredWrites {
     /// The share of transactions.
     pub share: f64,
     /// They are carried out at once, and not later.
@@ -46,11 +46,11 @@
 
 /// Copies of reports: the share, whether they are kept for the next leader, until when.
 #[derive(Clone, Copy)]
-pub struct LateHeartbeats {
+pub struct DuplicatedHeartbeats {
     /// The share of heartbeats.
     pub share: f64,
     /// Copies are kept until the next leader begins.
-    pub for_next: bool,
+    pub for_next_leader: bool,
     /// When it is over.
     pub until: Time,
 }
@@ -62,19 +62,19 @@
     /// The store refuses everybody.
     pub store_is_down: bool,
     /// A key that is never there, if not empty.
-    pub hidden: String,
+    pub hidden_key: String,
     /// Tasks that wait for changes in the key-value store.
     pub watchers: Vec<(u64, u64)>,
     /// Added to the key-value store's answers.
     pub store_delay: Time,
     /// How many times longer every way takes.
-    pub slow_links: Time,
+    pub latency_factor: Time,
     /// Transactions that get no answer.
-    pub late_writes: Option<LateWrites>,
+    pub unanswered_writes: Option<UnansweredWrites>,
     /// Heartbeats that are copied.
-    pub late_heartbeats: Option<LateHeartbeats>,
+    pub duplicated_heartbeats: Option<DuplicatedHeartbeats>,
     /// Copies of heartbeats for the next leader.
-    pub kept_heartbeats: Vec<Heartbeat>,
+    pub heartbeats_for_next_leader: Vec<Heartbeat>,
     /// Direct commands that the network holds back.
     pub(crate) delayed_commands: DelayedCommands,
     /// The controllers.
--- a/crates/simulation/src/store_api.rs
+++ b/crates/simulation/src/store_api.rs
@@ -5,7 +5,7 @@
 use crate::pending_call::Slot;
 use crate::scheduler::Time;
 use crate::simulation::Simulation;
-use crate::state::LateWrites;
+use crate::state::UnansweredWrites;
 use crate::transcript::Channel;
 use aspenreel::http::cbor::encode;
 use aspenreel::http::server::Request;
@@ -30,7 +30,7 @@
     /// Something changed in the key-value store: watches, holds and new leaders.
     pub fn store_changed(self: &Arc<Self>) {
         let now = self.now();
-        let (watchers, next_end, next_leader) = {
+        let (watchers, next_lease_end, next_leader) = {
             let mut state = self.state();
             if !state.store_is_down {
                 state.store.expire(Duration::from_micros(now));
@@ -44,14 +44,14 @@
             {
                 let n = record.node.strip_prefix("n-").unwrap().parse().unwrap();
                 state.terms.push((now, record.term, n));
-                kept = std::mem::take(&mut state.kept_heartbeats);
+                kept = std::mem::take(&mut state.heartbeats_for_next_leader);
             }
-            (watchers, state.store.next_end(), kept)
+            (watchers, state.store.next_lease_end(), kept)
         };
         for (i, sleeper) in watchers.into_iter().enumerate() {
             self.scheduler.wake(sleeper, now + 100 + 50 * i as Time);
         }
-        if let Some(end) = next_end {
+        if let Some(end) = next_lease_end {
             // It may end up to 100 ms late.
             let late = self.random(0..100_000);
             self.at_time(end.as_micros() as Time + late, |sim| {
@@ -127,7 +127,7 @@
         if link.is_refused {
             return to.arrive(self, back, (503, Vec::new()));
         }
-        match self.draw_late_write(&request) {
+        match self.draw_unanswered_write(&request) {
             Some(late) if late.at_once => drop(self.carry_out(&request)),
             Some(_) => {
                 let later = self.random(2_000_000..12_000_000);
@@ -145,10 +145,10 @@
     }
 
     /// Whether this request is one of the transactions that get no answer.
-    fn draw_late_write(&self, request: &Request) -> Option<LateWrites> {
+    fn draw_unanswered_write(&self, request: &Request) -> Option<UnansweredWrites> {
         let now = self.now();
         let mut state = self.state();
-        let late = state.late_writes.filter(|late| late.until > now);
+        let late = state.unanswered_writes.filter(|late| late.until > now);
         late.filter(|late| request.path == "/multi" && state.rng.f64() < late.share)
     }
 
@@ -156,7 +156,7 @@
         let now = self.since_start();
         let answer = {
             let mut state = self.state();
-            let hidden = state.hidden.clone();
+            let hidden = state.hidden_key.clone();
             state.store.rows.remove(&hidden);
             let keys = &mut state.store;
             keys.call(&request.method, &request.path, &request.body, now)
@@ -175,7 +175,7 @@
         timeout: Time,
     ) -> Option<(u16, Vec<u8>)> {
         let opened = self.now();
-        let deadline = opened + watch.hold.as_micros() as Time;
+        let deadline = opened + watch.max_wait.as_micros() as Time;
         let mut first = true;
         loop {
             let there = self.latency();
@@ -197,7 +197,7 @@
                         return Some(answer);
                     }
                     if now >= deadline {
-                        return Some(state.store.no_changes());
+                        return Some(state.store.empty_changes());
                     }
                 }
                 first = false;
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -124,7 +124,7 @@
         let fits = |p: &&JobPlan| {
             let c = &state.checker;
             c.used_cpus(&p.team) + p.cpus <= c.cpu_limit(&p.team)
-                && !p.one_zone
+                && !p.same_zone
                 && !p.spread
                 && state.machines.values().any(|m| m.could_take(p))
         };
--- a/crates/simulation/src/user_job.rs
+++ b/crates/simulation/src/user_job.rs
@@ -13,7 +13,7 @@
     pub(crate) first_try: Time,
     pub(crate) polls: bool,
     /// Asks at all nodes at once whenever something becomes known.
-    pub asks_closely: bool,
+    pub queries_all_nodes: bool,
     /// Calls the job off at the moment in which its last task ends.
     pub cancels_at_end: bool,
     pub(crate) cancels: bool,
@@ -26,9 +26,9 @@
         "shape" => if p.standing { "standing" } else { "array" },
         "rank" => p.priority, "pieces" => p.tasks, "cpus" => p.cpus, "gpus" => 0.0, "ramGb" => 1.0,
         "bundle" => "img", "imageGb" => 1.0, "yard" => p.zone.clone(),
-        "samePlace" => p.one_zone, "spread" => p.spread, "loaners" => p.spot,
-        "guessS" => if p.standing { 0.0 } else { p.run_s }, "bookmarkS" => if p.save_s > 0.0 { 5.0 } else { 0.0 },
-        "stashS" => p.save_s
+        "samePlace" => p.same_zone, "spread" => p.spread, "loaners" => p.spot,
+        "guessS" => if p.standing { 0.0 } else { p.run_s }, "bookmarkS" => if p.checkpoint_s > 0.0 { 5.0 } else { 0.0 },
+        "stashS" => p.checkpoint_s
     });
     encode(&wire.unwrap())
 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -122,7 +122,7 @@
             plan,
             first_try: self.now(),
             polls: false,
-            asks_closely: false,
+            queries_all_nodes: false,
             cancels_at_end: false,
             cancels: false,
         };
@@ -134,7 +134,7 @@
         self.send_request(&id.clone(), RequestKind::Submit, n, move |sim, told| {
             match told.map(|t| t.status) {
                 Some(200 | 201) => {
-                    sim.ask_closely(&id);
+                    sim.query_all_nodes_if_enabled(&id);
                     sim.begin_polls(&id);
                 }
                 Some(400 | 422) => {}
@@ -168,7 +168,7 @@
         self.send_request(&id.clone(), RequestKind::Status, n, move |sim, told| {
             let ended = |t: &Answer| matches!(t.state.as_deref(), Some("done" | "cancelled"));
             if told.as_ref().is_some_and(ended) {
-                return sim.ask_closely(&id);
+                return sim.query_all_nodes_if_enabled(&id);
             }
             let unknown = told.is_some_and(|t| t.status == 404);
             if !unknown || sim.state().checker.is_accepted(&id) {
@@ -197,7 +197,7 @@
             RequestKind::Cancel,
             n,
             move |sim, told| match told.map(|t| t.status) {
-                Some(200) => sim.ask_closely(&id),
+                Some(200) => sim.query_all_nodes_if_enabled(&id),
                 Some(404) => {}
                 _ if sim.now() - since < secs(RETRIES_FOR_S) => {
                     sim.after(RETRY, move |sim| sim.try_cancel(&id, since));
@@ -216,15 +216,20 @@
 
     /// All nodes are asked within milliseconds, for the status and by repeated submissions, good
     /// and bad ones.
-    pub fn ask_closely(self: &Arc<Self>, id: &str) {
-        if !self.state().users.get(id).is_some_and(|j| j.asks_closely) {
+    pub fn query_all_nodes_if_enabled(self: &Arc<Self>, id: &str) {
+        if !self
+            .state()
+            .users
+            .get(id)
+            .is_some_and(|j| j.queries_all_nodes)
+        {
             return;
         }
-        self.ask_everywhere(id);
+        self.query_all_nodes(id);
     }
 
     /// All questions at all controllers, within milliseconds.
-    pub fn ask_everywhere(self: &Arc<Self>, id: &str) {
+    pub fn query_all_nodes(self: &Arc<Self>, id: &str) {
         for n in 0..self.setup.nodes {
             for kind in [
                 RequestKind::Status,
@@ -245,7 +250,7 @@
                 return;
             };
             let last = state.checker.all_done(id);
-            (job.asks_closely, job.cancels_at_end, last)
+            (job.queries_all_nodes, job.cancels_at_end, last)
         };
         if cancels && last {
             let (id, wait) = (id.to_string(), self.random(0..400_000));
@@ -255,7 +260,7 @@
             // At the moment of the end, and while it is being recorded.
             for k in 0..12 {
                 let id = id.to_string();
-                self.after(k * 40_000, move |sim| sim.ask_everywhere(&id));
+                self.after(k * 40_000, move |sim| sim.query_all_nodes(&id));
             }
         }
     }
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -246,11 +246,13 @@
         let now = self.now();
         let copy = {
             let mut state = self.state();
-            let late = state.late_heartbeats.filter(|l| l.until > now);
+            let late = state.duplicated_heartbeats.filter(|l| l.until > now);
             late.filter(|l| state.rng.f64() < l.share)
         };
         match copy {
-            Some(late) if late.for_next => self.state().kept_heartbeats.push(report.clone()),
+            Some(late) if late.for_next_leader => {
+                self.state().heartbeats_for_next_leader.push(report.clone())
+            }
             Some(_) => {
                 let later = self.random(2_000_000..secs(1.4 * LEASE_S));
                 let report = report.clone();
--- a/crates/simulation/src/worker_tasks.rs
+++ b/crates/simulation/src/worker_tasks.rs
@@ -98,7 +98,7 @@
         let now = self.now();
         let key = (command.task_id.clone(), command.attempt);
         let mut state = self.state();
-        let save_s = state.plan(&command.task_id).map_or(0.0, |p| p.save_s);
+        let checkpoint_s = state.plan(&command.task_id).map_or(0.0, |p| p.checkpoint_s);
         let SimulationState {
             machines, checker, ..
         } = &mut *state;
@@ -113,14 +113,16 @@
         if task.status == TaskStatus::Exited || stops_already {
             return false;
         }
-        let saves = save_s > 0.0
-            && command.grace_period_s.is_some_and(|time| time >= save_s)
+        let saves = checkpoint_s > 0.0
+            && command
+                .grace_period_s
+                .is_some_and(|time| time >= checkpoint_s)
             && task.status == TaskStatus::Running;
         machine.timers += 1;
         task.timer = machine.timers;
         if saves {
             task.status = TaskStatus::Flushing;
-            task.ends = now + secs(save_s);
+            task.ends = now + secs(checkpoint_s);
             let (at, timer) = (task.ends, task.timer);
             drop(state);
             self.task_moves_on_at(at, name, key, timer);
@@ -186,8 +188,8 @@
         match task.status {
             TaskStatus::Fetching => {
                 task.status = TaskStatus::Running;
-                task.ends =
-                    now + secs(plan.map_or(1.0, |p| p.run_s + f64::from(number) * p.more_s));
+                task.ends = now
+                    + secs(plan.map_or(1.0, |p| p.run_s + f64::from(number) * p.run_increment_s));
                 machine.images.insert(IMAGE.into());
                 checker.task_started(id, number, &place, now);
                 let at = task.ends;
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -33,19 +33,19 @@
 }
 
 /// The users of these jobs ask at all nodes at once whenever something becomes known.
-pub fn ask_closely(sim: &Arc<Simulation>, ids: &[String]) {
+pub fn query_all_nodes_on_news(sim: &Arc<Simulation>, ids: &[String]) {
     for id in ids {
         let id = id.clone();
         // Their submissions create them; until then there is nobody to change.
-        sim.at(3.0, move |sim| watch_closely(sim, id));
+        sim.at(3.0, move |sim| enable_queries_to_all_nodes(sim, id));
     }
 }
 
-fn watch_closely(sim: &Arc<Simulation>, id: String) {
+fn enable_queries_to_all_nodes(sim: &Arc<Simulation>, id: String) {
     let known = sim.state().users.contains_key(&id);
-    sim.change_user(&id, |u| u.asks_closely = true);
+    sim.change_user(&id, |u| u.queries_all_nodes = true);
     if !known {
-        sim.after(50_000, move |sim| watch_closely(sim, id));
+        sim.after(50_000, move |sim| enable_queries_to_all_nodes(sim, id));
     }
 }
 
@@ -65,17 +65,22 @@
 }
 
 /// One in so many of these.
-pub fn every_other(ids: &[String], of: usize) -> Vec<String> {
+pub fn every_nth(ids: &[String], of: usize) -> Vec<String> {
     ids.iter().step_by(of).cloned().collect()
 }
 
 /// One in so many of these.
-pub fn share(names: Vec<String>, of: usize) -> Vec<String> {
+pub fn every_nth_of(names: Vec<String>, of: usize) -> Vec<String> {
     names.into_iter().step_by(of).collect()
 }
 
 /// Cancels each job some time after it was accepted.
-pub fn cancel_soon(sim: &Arc<Simulation>, ids: &[String], most_s: f64, rng: &mut fastrand::Rng) {
+pub fn cancel_after_acceptance(
+    sim: &Arc<Simulation>,
+    ids: &[String],
+    most_s: f64,
+    rng: &mut fastrand::Rng,
+) {
     for id in ids {
         let id = id.clone();
         let wait = (rng.f64() * most_s * 1e6) as u64;
@@ -91,7 +96,12 @@
 }
 
 /// Notes a broken rule unless the answer has this status, and this state if one is given.
-pub fn expect(sim: &Arc<Simulation>, answer: Option<Answer>, status: u16, state: Option<&str>) {
+pub fn expect_answer(
+    sim: &Arc<Simulation>,
+    answer: Option<Answer>,
+    status: u16,
+    state: Option<&str>,
+) {
     let (answer, text) = match answer {
         Some(t) => (Some((t.status, t.state.clone())), format!("{t:?}")),
         None => (None, "no answer".into()),
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -71,7 +71,7 @@
     c.task_started("run-1", 0, &place("m", "east"), secs(2.0));
     let mut spot = accepted(|p| p.spot = false);
     spot.task_started("run-1", 0, &place("m", "east"), secs(2.0));
-    let mut same = accepted(|p| p.one_zone = true);
+    let mut same = accepted(|p| p.same_zone = true);
     same.task_started("run-1", 0, &place("m", "east"), secs(2.0));
     same.task_started("run-1", 1, &place("n", "west"), secs(3.0));
     let mut spread = accepted(|p| p.spread = true);
--- a/tests/model/behavior.rs
+++ b/tests/model/behavior.rs
@@ -54,9 +54,9 @@
             sim.delay_commands(0.5, 10.0..CANCEL_S + 50.0, 70.0)
         });
         sim.at(30.0, move |sim| sim.crash(sim.leader_or_any(), 2.0));
-        cancel_soon(sim, &every_other(&ids, 2), 8.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 2), 8.0, rng);
         // Standing jobs run until somebody cancels them.
-        for id in every_other(&ids, 20) {
+        for id in every_nth(&ids, 20) {
             sim.at(110.0, move |sim| sim.user_cancels(&id));
         }
     });
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -25,8 +25,8 @@
     let ids = jobs(sim, 4.0, 100.0, 60, |i, p| {
         p.run_s = 4.0 + f64::from(i % 5) * 4.0
     });
-    ask_closely(sim, &every_other(&ids, 4));
-    cancel_soon(sim, &every_other(&ids, 5), 15.0, rng);
+    query_all_nodes_on_news(sim, &every_nth(&ids, 4));
+    cancel_after_acceptance(sim, &every_nth(&ids, 5), 15.0, rng);
 }
 
 fn leader(sim: &Arc<Simulation>) -> usize {
@@ -441,7 +441,9 @@
                     Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
                     40.0,
                 );
-                sim.after(4_000_000, move |sim| sim.late_writes(share, at_once, 12.0));
+                sim.after(4_000_000, move |sim| {
+                    sim.leave_writes_unanswered(share, at_once, 12.0)
+                });
             });
         });
         for end in ends {
@@ -455,14 +457,14 @@
 fn cancellations_while_stepping_down() {
     let ends = run(16, &watching(3), |sim, rng| {
         let ids = jobs(sim, 4.0, 40.0, 40, |_, p| p.run_s = 25.0);
-        ask_closely(sim, &ids);
+        query_all_nodes_on_news(sim, &ids);
         sim.at(25.0, |sim| {
             sim.cut_direction(
                 Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
                 30.0,
             );
         });
-        cancel_each(sim, &every_other(&ids, 2), 28.0, 42.0, rng);
+        cancel_each(sim, &every_nth(&ids, 2), 28.0, 42.0, rng);
     });
     for end in ends {
         assert!(end.cancelled >= 12, "{end:?}");
--- a/tests/model/meetings.rs
+++ b/tests/model/meetings.rs
@@ -13,8 +13,8 @@
 fn users_ask_at_all_nodes_at_once() {
     let ends = run(SEEDS, &setup(), |sim, rng| {
         let ids = jobs(sim, 4.0, 60.0, 60, |i, p| p.run_s = f64::from(i % 7) * 2.0);
-        ask_closely(sim, &ids);
-        cancel_soon(sim, &every_other(&ids, 3), 4.0, rng);
+        query_all_nodes_on_news(sim, &ids);
+        cancel_after_acceptance(sim, &every_nth(&ids, 3), 4.0, rng);
     });
     for end in ends {
         assert!(end.cancelled > 10 && end.done > 30, "{end:?}");
@@ -27,9 +27,9 @@
 fn only_the_answer_of_a_transaction_is_lost() {
     let ends = run(SEEDS, &setup(), |sim, rng| {
         let ids = jobs(sim, 4.0, 70.0, 50, |i, p| p.run_s = f64::from(i % 7) * 2.0);
-        ask_closely(sim, &ids);
-        cancel_soon(sim, &every_other(&ids, 3), 12.0, rng);
-        sim.at(8.0, |sim| sim.late_writes(0.6, true, 70.0));
+        query_all_nodes_on_news(sim, &ids);
+        cancel_after_acceptance(sim, &every_nth(&ids, 3), 12.0, rng);
+        sim.at(8.0, |sim| sim.leave_writes_unanswered(0.6, true, 70.0));
         // Some can't ask the leader, and read for themselves.
         sim.at(20.0, |sim| {
             let n = (sim.leader_or_any() + 1) % 3;
@@ -60,13 +60,13 @@
         let (hangs, holds, of) = (rng.bool(), rng.bool(), rng.usize(1..4));
         let span = 3.0 + rng.f64() * 25.0;
         sim.at(at, move |sim| {
-            let some = share(sim.machines_up(), of);
+            let some = every_nth_of(sim.machines_up(), of);
             match hangs {
                 true => sim.freeze_machines(&some, span),
-                false => sim.cut(&some, span, holds),
+                false => sim.cut_machines(&some, span, holds),
             }
         });
-        cancel_each(sim, &every_other(&ids, 2), at - 1.0, at + 12.0, rng);
+        cancel_each(sim, &every_nth(&ids, 2), at - 1.0, at + 12.0, rng);
         let back = 0.2 + rng.f64() * 3.0;
         sim.at(at + rng.f64() * 5.0, move |sim| {
             sim.crash(sim.leader_or_any(), back)
@@ -113,7 +113,7 @@
             p.run_s = 2.0 + f64::from(i % 5);
             p.cpus = 1.0;
         });
-        ask_closely(sim, &ids);
+        query_all_nodes_on_news(sim, &ids);
         sim.at(3.0, move |sim| at_the_end(sim, ids));
     });
     for end in ends {
@@ -144,7 +144,7 @@
                 sim.crash(sim.leader_or_any(), 3.0)
             });
         }
-        cancel_soon(sim, &every_other(&ids, 4), 18.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 4), 18.0, rng);
     });
     for end in ends {
         assert!(end.cancelled >= 4 && end.done > 20, "{end:?}");
@@ -158,17 +158,17 @@
         let ids = jobs(sim, 4.0, 110.0, 50, |i, p| {
             p.run_s = 5.0 + f64::from(i % 4) * 6.0
         });
-        ask_closely(sim, &every_other(&ids, 5));
+        query_all_nodes_on_news(sim, &every_nth(&ids, 5));
         for k in 0..11 {
             let at = 10.0 + 11.0 * f64::from(k) + rng.f64() * 4.0;
             let back = 0.2 + rng.f64() * 3.0;
             sim.at(at, move |sim| sim.crash(sim.leader_or_any(), back));
         }
         sim.at(55.0, |sim| sim.store_outage(14.0));
-        cancel_soon(sim, &every_other(&ids, 4), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 4), 15.0, rng);
         let spell = 12.0 + rng.f64() * 8.0;
         sim.at(30.0, move |sim| {
-            sim.cut(&share(sim.machines_up(), 3), spell, true)
+            sim.cut_machines(&every_nth_of(sim.machines_up(), 3), spell, true)
         });
     });
     for end in ends {
@@ -188,9 +188,9 @@
         let span = LEASE_S * (0.5 + 2.0 * rng.f64());
         let of = rng.usize(1..4);
         sim.at(at, move |sim| {
-            sim.drop_outbound(&share(sim.machines_up(), of), span)
+            sim.drop_outbound(&every_nth_of(sim.machines_up(), of), span)
         });
-        cancel_soon(sim, &every_other(&ids, 5), 10.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 5), 10.0, rng);
         if rng.bool() {
             sim.at(at + rng.f64() * span, |sim| {
                 sim.crash(sim.leader_or_any(), 3.0)
@@ -211,15 +211,15 @@
         ..setup()
     };
     let ends = run(SEEDS, &site, |sim, rng| {
-        sim.state().slow_links = 60;
+        sim.state().latency_factor = 60;
         let ids = jobs(sim, 4.0, 60.0, 40, |i, p| {
             p.priority = ["low", "normal", "high", "production"][i as usize % 4];
             p.tasks = 1 + i % 4;
             p.cpus = 4.0;
             p.run_s = 8.0;
-            p.save_s = if i % 3 == 0 { 2.0 } else { 0.0 };
+            p.checkpoint_s = if i % 3 == 0 { 2.0 } else { 0.0 };
         });
-        cancel_each(sim, &every_other(&ids, 5), 10.0, 70.0, rng);
+        cancel_each(sim, &every_nth(&ids, 5), 10.0, 70.0, rng);
         sim.at(30.0 + rng.f64() * 10.0, |sim| {
             sim.crash(sim.leader_or_any(), 3.0)
         });
@@ -246,21 +246,15 @@
                 p.run_s = 120.0;
                 p.tasks = 1;
             });
-            ask_closely(sim, &every_other(&ids, 2));
+            query_all_nodes_on_news(sim, &every_nth(&ids, 2));
             let at = 22.0 + rng.f64();
             let spacing = rng.f64() * 14.0;
             sim.at(at, move |sim| {
                 sim.refuse_node(sim.leader_or_any(), 14.0 + spacing)
             });
             sim.at(at + spacing, |sim| sim.store_outage(CANCEL_S + 12.0));
-            cancel_each(
-                sim,
-                &every_other(&ids, 2),
-                at - 0.2,
-                at + spacing + 3.0,
-                rng,
-            );
-            cancel_each(sim, &every_other(&ids, 3), at + spacing, at + 70.0, rng);
+            cancel_each(sim, &every_nth(&ids, 2), at - 0.2, at + spacing + 3.0, rng);
+            cancel_each(sim, &every_nth(&ids, 3), at + spacing, at + 70.0, rng);
         },
     );
     let confirmed: u32 = ends.iter().map(|e| e.cancelled).sum();
@@ -285,12 +279,12 @@
         let span = 6.0 + rng.f64() * 20.0;
         let holds = rng.bool();
         sim.at(at, move |sim| {
-            sim.cut(&share(sim.machines_up(), 2), span, holds)
+            sim.cut_machines(&every_nth_of(sim.machines_up(), 2), span, holds)
         });
         sim.at(at + 0.5 + rng.f64() * 3.0, |sim| {
             sim.crash(sim.leader_or_any(), 3.0)
         });
-        cancel_each(sim, &every_other(&ids, 2), at + 1.0, at + span, rng);
+        cancel_each(sim, &every_nth(&ids, 2), at + 1.0, at + span, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.cancelled > 1, "{end:?}");
@@ -305,7 +299,7 @@
             p.cpus = 4.0;
             p.run_s = 4.0 + f64::from(i % 5) * 3.0;
         });
-        sim.at(6.0, |sim| sim.late_heartbeats(0.5, true, 80.0));
+        sim.at(6.0, |sim| sim.duplicate_heartbeats(0.5, true, 80.0));
         for k in 0..4 {
             let at = 18.0 + 20.0 * f64::from(k) + rng.f64() * 6.0;
             let (cuts, holds) = (rng.bool(), rng.bool());
@@ -313,12 +307,12 @@
             if cuts {
                 // Sessions end before, and begin anew under the leader that is about to end.
                 sim.at(at - LEASE_S * rng.f64(), move |sim| {
-                    sim.cut(&share(sim.machines_up(), 3), span, holds);
+                    sim.cut_machines(&every_nth_of(sim.machines_up(), 3), span, holds);
                 });
             }
             sim.at(at, |sim| sim.crash(sim.leader_or_any(), 0.3));
         }
-        cancel_soon(sim, &every_other(&ids, 6), 12.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 6), 12.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 4 && end.done > 40, "{end:?}");
@@ -336,14 +330,14 @@
             let at = 8.0 + 8.0 * f64::from(k) + rng.f64() * 4.0;
             let (hangs, of, span) = (rng.bool(), rng.usize(1..4), 1.0 + rng.f64() * 9.0);
             sim.at(at, move |sim| {
-                let some = share(sim.machines_up(), of);
+                let some = every_nth_of(sim.machines_up(), of);
                 match hangs {
                     true => sim.freeze_machines(&some, span),
-                    false => sim.cut(&some, span, true),
+                    false => sim.cut_machines(&some, span, true),
                 }
             });
         }
-        cancel_soon(sim, &every_other(&ids, 3), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 3), 15.0, rng);
     });
     for end in ends {
         assert!(end.cancelled > 1 && end.done > 35, "{end:?}");
@@ -356,10 +350,10 @@
 fn a_leader_has_only_its_workers_and_users() {
     let ends = run(SEEDS, &setup(), |sim, rng| {
         let ids = jobs(sim, 4.0, 60.0, 40, |_, p| p.run_s = 25.0);
-        ask_closely(sim, &every_other(&ids, 2));
+        query_all_nodes_on_news(sim, &every_nth(&ids, 2));
         let at = 18.0 + rng.f64() * 5.0;
         sim.at(at, |sim| sim.cut_store(sim.leader_or_any(), 35.0, true));
-        cancel_each(sim, &every_other(&ids, 2), at - 1.0, at + 25.0, rng);
+        cancel_each(sim, &every_nth(&ids, 2), at - 1.0, at + 25.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.cancelled > 4, "{end:?}");
@@ -375,14 +369,14 @@
         let at = 18.0 + rng.f64() * 5.0;
         let (deaf, holds, span) = (rng.bool(), rng.bool(), 5.0 + rng.f64() * 30.0);
         sim.at(at - rng.f64() * 2.0, move |sim| {
-            let some = share(sim.machines_up(), 2);
+            let some = every_nth_of(sim.machines_up(), 2);
             match deaf {
                 true => sim.drop_inbound(&some, span),
-                false => sim.cut(&some, span, holds),
+                false => sim.cut_machines(&some, span, holds),
             }
         });
         sim.at(at, |sim| sim.crash(sim.leader_or_any(), 3.0));
-        cancel_each(sim, &every_other(&ids, 3), at - 2.0, at + span, rng);
+        cancel_each(sim, &every_nth(&ids, 3), at - 2.0, at + span, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.done > 20, "{end:?}");
@@ -399,7 +393,7 @@
         ..setup()
     };
     let ends = run(2 * SEEDS, &site, |sim, rng| {
-        sim.state().cloud.quick_until = u64::MAX;
+        sim.state().cloud.fast_boot_until = u64::MAX;
         jobs(sim, 4.0, 80.0, 60, |i, p| {
             p.tasks = 2 + i % 6;
             p.cpus = 4.0;
@@ -409,7 +403,7 @@
             let at = 8.0 + 18.0 * f64::from(k) + rng.f64() * 8.0;
             let (slow, late) = (0.2 + rng.f64(), rng.bool());
             sim.at(at, move |sim| match late {
-                true => sim.late_writes(0.7, rng_bool(slow), 8.0),
+                true => sim.leave_writes_unanswered(0.7, rng_bool(slow), 8.0),
                 false => sim.slow_store(slow, 8.0),
             });
             sim.at(at + 1.0 + rng.f64() * 6.0, |sim| {
@@ -433,14 +427,14 @@
         let ids = jobs(sim, 4.0, 50.0, 40, |i, p| {
             p.tasks = 2 + i % 2;
             p.run_s = 3.0;
-            p.more_s = 14.0;
+            p.run_increment_s = 14.0;
         });
-        ask_closely(sim, &ids);
+        query_all_nodes_on_news(sim, &ids);
         for k in 0..4 {
             let at = 14.0 + 14.0 * f64::from(k) + rng.f64() * 6.0;
             sim.at(at, |sim| sim.crash(sim.leader_or_any(), 0.5));
         }
-        cancel_soon(sim, &every_other(&ids, 4), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 4), 15.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 4 && end.done >= 28, "{end:?}");
@@ -454,9 +448,9 @@
         let ids = jobs(sim, 4.0, 80.0, 60, |i, p| {
             p.run_s = 2.0 + f64::from(i % 6) * 2.0
         });
-        ask_closely(sim, &every_other(&ids, 2));
-        sim.at(6.0, |sim| sim.late_writes(0.4, false, 75.0));
-        cancel_soon(sim, &every_other(&ids, 3), 12.0, rng);
+        query_all_nodes_on_news(sim, &every_nth(&ids, 2));
+        sim.at(6.0, |sim| sim.leave_writes_unanswered(0.4, false, 75.0));
+        cancel_after_acceptance(sim, &every_nth(&ids, 3), 12.0, rng);
         sim.at(30.0 + rng.f64() * 20.0, |sim| {
             sim.crash(sim.leader_or_any(), 0.3)
         });
@@ -477,13 +471,13 @@
             let at = 14.0 + 20.0 * f64::from(k) + rng.f64() * 6.0;
             let span = 3.0 + rng.f64() * 20.0;
             sim.at(at, move |sim| {
-                sim.cut(&share(sim.machines_up(), 2), span, true)
+                sim.cut_machines(&every_nth_of(sim.machines_up(), 2), span, true)
             });
             sim.at(at + 0.3 + rng.f64() * 2.0, |sim| {
                 sim.crash(sim.leader_or_any(), 0.3)
             });
         }
-        cancel_soon(sim, &every_other(&ids, 5), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 5), 15.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 3 && end.done > 30, "{end:?}");
@@ -497,7 +491,7 @@
         let ids = jobs(sim, 4.0, 80.0, 50, |i, p| {
             p.run_s = 6.0 + f64::from(i % 4) * 4.0
         });
-        ask_closely(sim, &every_other(&ids, 3));
+        query_all_nodes_on_news(sim, &every_nth(&ids, 3));
         for k in 0..3 {
             let at = 14.0 + 22.0 * f64::from(k) + rng.f64() * 5.0;
             let quick = rng.usize(0..3);
@@ -519,7 +513,7 @@
                 sim.crash(sim.leader_or_any(), 0.2)
             });
         }
-        cancel_soon(sim, &every_other(&ids, 4), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 4), 15.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 4 && end.done > 30, "{end:?}");
@@ -535,7 +529,7 @@
         sim.at(at, |sim| {
             (0..3).for_each(|n| sim.crash(n, LEASE_S + 4.0 + n as f64))
         });
-        cancel_each(sim, &every_other(&ids, 4), at - 2.0, at + LEASE_S, rng);
+        cancel_each(sim, &every_nth(&ids, 4), at - 2.0, at + LEASE_S, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.done > 25, "{end:?}");
@@ -549,16 +543,16 @@
         let ids = jobs(sim, 4.0, 90.0, 60, |i, p| {
             p.run_s = 4.0 + f64::from(i % 5) * 3.0
         });
-        sim.at(6.0, |sim| sim.late_heartbeats(0.6, false, 80.0));
+        sim.at(6.0, |sim| sim.duplicate_heartbeats(0.6, false, 80.0));
         let span = LEASE_S * (1.05 + 0.4 * rng.f64());
         let holds = rng.bool();
         sim.at(20.0 + rng.f64() * 10.0, move |sim| {
-            sim.cut(&share(sim.machines_up(), 2), span, holds)
+            sim.cut_machines(&every_nth_of(sim.machines_up(), 2), span, holds)
         });
         sim.at(40.0 + rng.f64() * 30.0, |sim| {
             sim.crash(sim.leader_or_any(), 0.3)
         });
-        cancel_soon(sim, &every_other(&ids, 4), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 4), 15.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.done > 35, "{end:?}");
@@ -574,7 +568,7 @@
             p.cpus = 4.0;
             p.run_s = 12.0;
             match i % 3 {
-                0 => p.one_zone = true,
+                0 => p.same_zone = true,
                 1 => p.spread = true,
                 _ => p.zone = Some(["east", "west"][i as usize % 2].into()),
             }
@@ -582,16 +576,16 @@
         let at = 16.0 + rng.f64() * 8.0;
         let (dies, holds, span) = (rng.bool(), rng.bool(), 4.0 + rng.f64() * 20.0);
         sim.at(at, move |sim| {
-            let some = share(sim.machines_up(), 2);
+            let some = every_nth_of(sim.machines_up(), 2);
             match dies {
                 true => sim.kill_machines(&some),
-                false => sim.cut(&some, span, holds),
+                false => sim.cut_machines(&some, span, holds),
             }
         });
         sim.at(at + rng.f64() * 4.0, |sim| {
             sim.crash(sim.leader_or_any(), 1.0)
         });
-        cancel_each(sim, &every_other(&ids, 5), at, at + 20.0, rng);
+        cancel_each(sim, &every_nth(&ids, 5), at, at + 20.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 2 && end.done > 15, "{end:?}");
@@ -604,7 +598,7 @@
 fn a_slow_or_refusing_state_service_while_users_cancel() {
     let ends = run(2 * SEEDS, &setup(), |sim, rng| {
         let ids = jobs(sim, 4.0, 60.0, 36, |_, p| p.run_s = 20.0);
-        ask_closely(sim, &ids);
+        query_all_nodes_on_news(sim, &ids);
         let at = 16.0 + rng.f64() * 5.0;
         match rng.bool() {
             true => sim.at(at, |sim| sim.slow_store(0.9, 50.0)),
@@ -615,7 +609,7 @@
                 });
             }
         }
-        cancel_each(sim, &every_other(&ids, 2), at - 1.0, at + 30.0, rng);
+        cancel_each(sim, &every_nth(&ids, 2), at - 1.0, at + 30.0, rng);
     });
     for end in ends {
         assert!(end.done + end.cancelled > 20, "{end:?}");
@@ -629,7 +623,7 @@
         let ids = jobs(sim, 4.0, 60.0, 50, |i, p| {
             p.run_s = 8.0 + f64::from(i % 3) * 8.0
         });
-        ask_closely(sim, &every_other(&ids, 2));
+        query_all_nodes_on_news(sim, &every_nth(&ids, 2));
         for (k, some) in ids.chunks(12).enumerate() {
             let at = 16.0 + 14.0 * k as f64 + rng.f64() * 4.0;
             let (freezes, back) = (rng.bool(), 0.2 + rng.f64() * 3.0);
@@ -673,7 +667,7 @@
                         return;
                     }
                     sim.send_request(&id, RequestKind::Submit, n, move |sim, told| {
-                        expect(sim, told, status, state);
+                        expect_answer(sim, told, status, state);
                     });
                 });
             }
@@ -684,7 +678,7 @@
                 }
                 let ask = |id: &str, question, status, state| {
                     sim.send_request(id, question, n, move |sim, told| {
-                        expect(sim, told, status, state)
+                        expect_answer(sim, told, status, state)
                     });
                 };
                 ask(&ended, RequestKind::Cancel, 200, Some("done"));
--- a/tests/model/orders.rs
+++ b/tests/model/orders.rs
@@ -14,7 +14,7 @@
         });
         let held = CANCEL_S + 4.0..CANCEL_S + 50.0;
         sim.at(6.0, move |sim| sim.delay_commands(0.5, held, 70.0));
-        cancel_soon(sim, &every_other(&ids, 2), 8.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 2), 8.0, rng);
     });
     for end in ends {
         assert!(end.cancelled > 10 && end.done > 20, "{end:?}");
@@ -35,7 +35,7 @@
             let back = 0.2 + rng.f64() * 3.0;
             sim.at(at, move |sim| sim.crash(sim.leader_or_any(), back));
         }
-        cancel_soon(sim, &every_other(&ids, 2), 8.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 2), 8.0, rng);
     });
     for end in ends {
         assert!(end.leaders >= 5 && end.cancelled > 10, "{end:?}");
--- a/tests/model/services.rs
+++ b/tests/model/services.rs
@@ -28,9 +28,9 @@
         p.cpus = 2.0;
         p.run_s = 5.0 + f64::from(i % 5) * 3.0;
     });
-    cancel_soon(sim, &every_other(&arrays, 5), 10.0, rng);
-    cancel_each(sim, &every_other(&standing, 3), 40.0, 90.0, rng);
-    ask_closely(sim, &every_other(&standing, 2));
+    cancel_after_acceptance(sim, &every_nth(&arrays, 5), 10.0, rng);
+    cancel_each(sim, &every_nth(&standing, 3), 40.0, 90.0, rng);
+    query_all_nodes_on_news(sim, &every_nth(&standing, 2));
     standing
 }
 
@@ -50,10 +50,10 @@
             let at = 30.0 + 20.0 * f64::from(k) + rng.f64() * 8.0;
             let (kind, span, of) = (rng.u32(0..6), 4.0 + rng.f64() * 20.0, rng.usize(2..5));
             sim.at(at, move |sim| {
-                let some = share(sim.machines_up(), of);
+                let some = every_nth_of(sim.machines_up(), of);
                 match kind {
                     0 => sim.kill_machines(&some),
-                    1 => sim.cut(&some, span, true),
+                    1 => sim.cut_machines(&some, span, true),
                     2 => sim.freeze_machines(&some, span),
                     3 => sim.drop_outbound(&some, span),
                     4 => sim.drop_inbound(&some, span),
@@ -83,12 +83,12 @@
         p.run_s = 100_000.0;
         match i {
             0 => p.zone = Some("west".into()),
-            1 => p.one_zone = true,
+            1 => p.same_zone = true,
             2 => p.spread = true,
             3 => p.spot = false,
             4 => (p.team, p.tasks, p.cpus) = ("b".into(), 24, 1.0),
             5 => p.run_s = 0.3,
-            6 => (p.one_zone, p.spot) = (true, false),
+            6 => (p.same_zone, p.spot) = (true, false),
             _ => (p.zone, p.spot) = (Some("east".into()), false),
         }
     })
@@ -106,7 +106,7 @@
             p.run_s = 4.0 + f64::from(i % 4) * 4.0;
             p.priority = "low";
         });
-        ask_closely(sim, &services);
+        query_all_nodes_on_news(sim, &services);
         for (n, id) in services.iter().enumerate() {
             let at = 30.0 + 8.0 * n as f64 + rng.f64() * 3.0;
             let (kind, span) = (rng.u32(0..6), 2.0 + rng.f64() * 20.0);
@@ -119,8 +119,8 @@
                 match kind {
                     0 => sim.give_preemption_notice(&on, span),
                     1 => sim.freeze_machines(&on, span),
-                    2 => sim.cut(&on, span, false),
-                    3 => sim.cut(&on, span, true),
+                    2 => sim.cut_machines(&on, span, false),
+                    3 => sim.cut_machines(&on, span, true),
                     4 => sim.kill_machines(&on),
                     _ => sim.drop_outbound(&on, span),
                 }
@@ -130,7 +130,7 @@
                 sim.user_cancels(&cancelled)
             });
             let again = id.clone();
-            sim.at(150.0 + n as f64, move |sim| sim.ask_everywhere(&again));
+            sim.at(150.0 + n as f64, move |sim| sim.query_all_nodes(&again));
         }
         sim.at(160.0, move |sim| {
             let on_unreached = |start: &String| {
@@ -177,12 +177,12 @@
             p.cpus = 1.0;
             p.run_s = 8.0 + f64::from(i % 5) * 2.0;
         });
-        cancel_each(sim, &every_other(&arrays, 8), 40.0, 70.0, rng);
+        cancel_each(sim, &every_nth(&arrays, 8), 40.0, 70.0, rng);
         sim.at(45.0 + rng.f64() * 4.0, |sim| {
             sim.crash(sim.leader_or_any(), 0.5)
         });
         sim.at(60.0 + rng.f64() * 4.0, |sim| {
-            let some = share(sim.machines_up(), 3);
+            let some = every_nth_of(sim.machines_up(), 3);
             sim.give_preemption_notice(&some, 6.0);
         });
         sim.at(62.0 + rng.f64() * 6.0, |sim| {
--- a/tests/model/upgrades.rs
+++ b/tests/model/upgrades.rs
@@ -53,8 +53,11 @@
         sim.at(125.0, |sim| {
             let state = sim.state();
             let keys = &state.store;
-            assert_eq!(keys.refused, 0, "transactions beyond the limits");
-            let (over, all) = (keys.throttled, keys.counted);
+            assert_eq!(
+                keys.rejected_transactions, 0,
+                "transactions beyond the limits"
+            );
+            let (over, all) = (keys.throttled_requests, keys.limited_requests);
             assert!(over * 200 < all, "{over} of {all} requests too many");
         });
     });
@@ -81,11 +84,11 @@
         let growing_id = growing.id.clone();
         sim.submit(16.0, growing);
         sim.at(115.0, move |sim| sim.user_cancels(&growing_id));
-        cancel_each(sim, &every_other(&ids, 7), 60.0, 80.0, rng);
+        cancel_each(sim, &every_nth(&ids, 7), 60.0, 80.0, rng);
         let at = 24.0 + rng.f64() * 6.0;
         sim.at(at, |sim| {
             let leader = sim.leader_or_any();
-            older_version::leads(sim, leader, 2.0);
+            older_version::lead(sim, leader, 2.0);
             sim.after(11_000_000, |sim| {
                 let mut state = sim.state();
                 let keys = &mut state.store;
@@ -102,7 +105,9 @@
                 );
             });
         });
-        sim.at(110.0, |sim| assert_eq!(sim.state().store.refused, 0));
+        sim.at(110.0, |sim| {
+            assert_eq!(sim.state().store.rejected_transactions, 0)
+        });
     });
     for end in ends {
         assert!(end.starts > 450 && end.leaders >= 2, "{end:?}");
@@ -126,12 +131,12 @@
                 sim.insert_user(plan);
                 for n in 0..3 {
                     sim.send_request("run-1", RequestKind::Submit, n, |sim, told| {
-                        expect(sim, told, 503, None);
+                        expect_answer(sim, told, 503, None);
                     });
                 }
             });
         }
-        sim.at(12.5, |sim| sim.state().hidden.clear());
+        sim.at(12.5, |sim| sim.state().hidden_key.clear());
         sim.at(20.0, move |sim| sim.user_submits(plan));
         sim.at(28.0, |sim| {
             assert!(sim.state().checker.is_accepted("run-1"));
@@ -141,7 +146,7 @@
 }
 
 fn hide_statement(sim: &Arc<Simulation>, n: usize) {
-    sim.state().hidden = format!("members/n-{n}");
+    sim.state().hidden_key = format!("members/n-{n}");
 }
 
 /// A controller of the version in production takes the lead while standing jobs are on record, as where
@@ -159,14 +164,14 @@
         let at = 34.0 + rng.f64() * 8.0;
         let (of, span) = (rng.usize(2..4), 10.0 + rng.f64() * 5.0);
         sim.at(at, move |sim| {
-            let some = share(sim.machines_up(), of);
-            sim.cut(&some, span, false);
+            let some = every_nth_of(sim.machines_up(), of);
+            sim.cut_machines(&some, span, false);
         });
         let lead = 0.5 + rng.f64() * 3.0;
         sim.at(at + rng.f64(), move |sim| {
             let leader = sim.leader_or_any();
             sim.crash(leader, 0.3);
-            older_version::leads(sim, (leader + 1) % 3, lead);
+            older_version::lead(sim, (leader + 1) % 3, lead);
         });
     });
     let led = ends.iter().filter(|end| end.leaders >= 3).count();
@@ -187,12 +192,12 @@
             sim.at(0.0, |sim| hide_statement(sim, 2));
         }
         let ids = jobs(sim, 4.0, 60.0, 30, |_, _| ());
-        ask_closely(sim, &every_other(&ids, 3));
+        query_all_nodes_on_news(sim, &every_nth(&ids, 3));
         let before = 20.0 + rng.f64() * 10.0;
         sim.at(before, move |sim| {
             let leader = sim.leader_or_any();
             let terms = sim.state().terms.len();
-            older_version::leads(sim, leader, 3.0);
+            older_version::lead(sim, leader, 3.0);
             sim.after(16_000_000, move |sim| {
                 let state = sim.state();
                 let older_led = state.terms[terms..].iter().any(|t| t.2 == leader);
