--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,28 +1,34 @@
-//! The protocol's rules, as somebody sees them who only knows what users were told and what is on
-//! machines. It knows nothing of what controllers hold in memory or on record.
+//! Checker of the protocol's rules, which sees only the answers that users get and the tasks that run on machines.
+//! It has no access to the memory of controllers or to the records in the store.
 
 use crate::scheduler::{Time, secs};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub use crate::observations::{Answer, JobPlan, Place, RequestKind};
 
+/// Job with everything that was observed of it.
 #[derive(Debug)]
 struct ObservedJob {
     plan: JobPlan,
+    /// Time at which a user first knew that the job is accepted.
     accepted_at: Option<Time>,
-    /// A final state, and when a user knew it.
+    /// Final state, with the time at which a user first knew it.
     final_state: Option<(String, Time)>,
+    /// Time at which the first request that got an answer was sent.
     first_answered_request_at: Option<Time>,
-    cancel_asked: bool,
+    /// True once a user has begun to cancel the job.
+    cancel_requested: bool,
+    /// Tasks that have ended successfully.
     done: BTreeSet<u32>,
+    /// Places of the tasks that are on machines, by task number.
     active: BTreeMap<u32, BTreeSet<Place>>,
-    /// When it was last answered about, and since when users asked in vain.
+    /// Time of the first status request since the last successful answer that got none.
     unanswered_since: Option<Time>,
 }
 
 impl ObservedJob {
-    /// Rules that this answer breaks, by what was known before it.
-    fn rules_broken_by(&self, answer: &Answer) -> Vec<&'static str> {
+    /// Rules that this answer violates, given what was known before it.
+    fn rules_violated_by(&self, answer: &Answer) -> Vec<&'static str> {
         let mut rules = Vec::new();
         let was_known = self.accepted_at.is_some_and(|at| at <= answer.sent);
         match (answer.kind, answer.status) {
@@ -30,7 +36,7 @@
             | (RequestKind::Status | RequestKind::Cancel, 404)
                 if was_known =>
             {
-                rules.push("forgotten");
+                rules.push("job_lost");
             }
             _ => {}
         }
@@ -41,49 +47,55 @@
             && *at <= answer.sent
             && ended != state
         {
-            rules.push("went_back");
+            rules.push("state_reverted");
         }
-        if state == "cancelled" && !self.cancel_asked {
-            rules.push("went_back");
+        if state == "cancelled" && !self.cancel_requested {
+            rules.push("state_reverted");
         }
         if state == "done" && self.done.len() < self.plan.tasks as usize {
-            rules.push("not_done");
+            rules.push("done_too_early");
         }
-        // Whatever the order of the questions, no job ends in two ways.
-        let ended_otherwise = self
+        // A job has at most one final state, whatever the order of the requests.
+        let has_other_final_state = self
             .final_state
             .as_ref()
             .is_some_and(|(ended, _)| ended != state);
-        if answer.final_state().is_some() && ended_otherwise && !rules.contains(&"went_back") {
-            rules.push("went_back");
+        if answer.final_state().is_some()
+            && has_other_final_state
+            && !rules.contains(&"state_reverted")
+        {
+            rules.push("state_reverted");
         }
         rules
     }
 }
 
-/// Watches the rules of one cluster, and notes what breaks them.
+/// Checks the rules for one cluster and records violations.
 #[derive(Debug, Default)]
 pub struct Checker {
     jobs: BTreeMap<String, ObservedJob>,
+    /// Limits of the teams, in CPUs.
     limits: BTreeMap<String, f64>,
+    /// Time after a user knew of the cancellation within which all tasks of the job must have stopped.
     cancel_time: Time,
-    /// Broken rules: when, which and how.
+    /// Violations of rules: the time, the rule and what was observed.
     pub violations: Vec<String>,
-    /// Starts after a user knew that the job is cancelled, within the time for it.
+    /// Starts of tasks after a user knew that their job is cancelled, but within the time for a cancellation.
     pub late_starts: Vec<String>,
-    /// Starts of tasks so far.
+    /// Number of starts of tasks so far.
     pub starts: u32,
-    /// Jobs that users know to be cancelled.
+    /// Number of jobs that users know to be cancelled.
     pub answered_cancelled: u32,
-    /// Jobs that users know to be done.
+    /// Number of jobs that users know to be done.
     pub answered_done: u32,
-    /// Questions without an answer in time, or with one that tells nothing.
+    /// Number of requests that got no answer in time, or an answer that says nothing of the job, such as 503.
     pub unanswered_requests: u32,
+    /// For each job that is done: time from its first answered request until a user knew that.
     turnaround: Vec<Time>,
 }
 
 impl Checker {
-    /// A checker of teams with these limits in CPUs; a cancellation may take `cancel_s`.
+    /// Creates a checker for teams with these limits in CPUs. A cancellation may take `cancel_s` seconds.
     pub fn new(limits: &[(&str, f64)], cancel_s: f64) -> Checker {
         Checker {
             limits: limits.iter().map(|(n, l)| (n.to_string(), *l)).collect(),
@@ -92,19 +104,20 @@
         }
     }
 
+    /// Records a violation.
     fn note(&mut self, now: Time, rule: &str, text: String) {
         self.violations
             .push(format!("{:.3} {rule}: {text}", now as f64 / 1e6));
     }
 
-    /// A user is going to submit this job.
+    /// Records that a user is about to submit this job.
     pub fn submitted(&mut self, plan: &JobPlan) {
         let job = ObservedJob {
             plan: plan.clone(),
             accepted_at: None,
             final_state: None,
             first_answered_request_at: None,
-            cancel_asked: false,
+            cancel_requested: false,
             done: BTreeSet::new(),
             active: BTreeMap::new(),
             unanswered_since: None,
@@ -112,14 +125,14 @@
         self.jobs.entry(plan.id.clone()).or_insert(job);
     }
 
-    /// A user is going to cancel this job.
+    /// Records that a user is about to cancel this job.
     pub fn cancel_requested(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.cancel_asked = true;
+            job.cancel_requested = true;
         }
     }
 
-    /// No answer in time, or one that tells nothing.
+    /// Records that a request got no answer in time, or an answer that says nothing of the job, such as 503.
     pub fn unanswered(&mut self, id: &str, kind: RequestKind, sent: Time, now: Time) {
         self.unanswered_requests += 1;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -128,17 +141,17 @@
         if kind == RequestKind::Status && job.accepted_at.is_some_and(|t| t <= sent) {
             let since = *job.unanswered_since.get_or_insert(sent);
             if now - since > secs(90.0) {
-                let text = format!("{id}: not answered about for 90 s");
-                self.note(now, "forgotten", text);
+                let text = format!("{id}: no status request answered for 90 s");
+                self.note(now, "job_lost", text);
             }
         }
     }
 
-    /// A user got an answer.
+    /// Records an answer that a user received.
     pub fn answered(&mut self, id: &str, answer: &Answer) {
         let now = answer.got;
         let text = format!(
-            "{id}: {:?} at node {} got {} {:?}, asked at {:.3}",
+            "{id}: {:?} request to node {} answered with status {} and state {:?}, sent at {:.3}",
             answer.kind,
             answer.node,
             answer.status,
@@ -147,11 +160,11 @@
         );
         let Some(job) = self.jobs.get_mut(id) else {
             if matches!(answer.status, 200 | 201) {
-                self.note(now, "invented", text);
+                self.note(now, "unknown_job", text);
             }
             return;
         };
-        let rules = job.rules_broken_by(answer);
+        let rules = job.rules_violated_by(answer);
         job.first_answered_request_at.get_or_insert(answer.sent);
         if matches!(answer.status, 200 | 201) {
             job.unanswered_since = None;
@@ -165,8 +178,8 @@
             job.final_state = Some((state.to_string(), now));
             if state == "done" {
                 self.answered_done += 1;
-                let asked = job.first_answered_request_at.unwrap_or(now);
-                self.turnaround.push(now - asked);
+                let first_request_at = job.first_answered_request_at.unwrap_or(now);
+                self.turnaround.push(now - first_request_at);
             } else {
                 self.answered_cancelled += 1;
             }
@@ -176,17 +189,17 @@
         }
     }
 
-    /// From each job's first answered request until its user knew that it is done, in seconds.
+    /// For each job that is done: time from its first answered request until a user knew that, in seconds.
     pub fn turnaround_s(&self) -> Vec<f64> {
         self.turnaround.iter().map(|t| *t as f64 / 1e6).collect()
     }
 
-    /// A task has its image and starts.
+    /// Records that a task has its image and starts.
     pub fn task_started(&mut self, id: &str, task: u32, place: &Place, now: Time) {
         self.starts += 1;
         let Some(job) = self.jobs.get_mut(id) else {
-            let text = format!("{id}/{task}: nobody submitted it");
-            return self.note(now, "invented", text);
+            let text = format!("{id}/{task} started, but the job was never submitted");
+            return self.note(now, "unknown_job", text);
         };
         let mut found = Vec::new();
         if let Some(others) = job.active.get(&task)
@@ -200,38 +213,42 @@
             if now > at + self.cancel_time {
                 found.push(("ran_cancelled", format!("starts on {}", place.machine)));
             } else {
-                let text = format!("{id}/{task} on {} after {} us", place.machine, now - at);
+                let text = format!(
+                    "{id}/{task} starts on {} after {} us",
+                    place.machine,
+                    now - at
+                );
                 self.late_starts.push(text);
             }
         }
-        let p = &job.plan;
+        let plan = &job.plan;
         let others: Vec<&Place> = job
             .active
             .iter()
             .filter(|(t, _)| **t != task)
             .flat_map(|(_, places)| places)
             .collect();
-        let elsewhere = others.iter().any(|o| o.zone != place.zone);
+        let is_elsewhere = others.iter().any(|o| o.zone != place.zone);
         let here = others.iter().filter(|o| o.zone == place.zone).count() as u32 + 1;
-        if (place.spot && !p.spot)
-            || p.zone.as_ref().is_some_and(|z| *z != place.zone)
-            || (p.same_zone && elsewhere)
-            || (p.spread && here > p.tasks.div_ceil(2))
+        if (place.spot && !plan.spot)
+            || plan.zone.as_ref().is_some_and(|z| *z != place.zone)
+            || (plan.same_zone && is_elsewhere)
+            || (plan.spread && here > plan.tasks.div_ceil(2))
         {
             found.push(("wrong_place", format!("{place:?} beside {others:?}")));
         }
-        let team = p.team.clone();
+        let team = plan.team.clone();
         job.active.entry(task).or_default().insert(place.clone());
         let used = self.used_cpus(&team);
         if self.limits.get(&team).is_some_and(|l| used > l + 1e-6) {
-            found.push(("quota", format!("team {team} uses {used} CPUs")));
+            found.push(("quota_exceeded", format!("team {team} uses {used} CPUs")));
         }
         for (rule, text) in found {
             self.note(now, rule, format!("{id}/{task} {text}"));
         }
     }
 
-    /// A task's place is empty again; `done`: it ended well.
+    /// Records that a task is no longer on a machine; `done` is true if it ended successfully.
     pub fn task_stopped(&mut self, id: &str, task: u32, machine: &str, done: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -247,7 +264,7 @@
         }
     }
 
-    /// What time alone breaks.
+    /// Checks the rules that the passage of time alone can violate: tasks of cancelled jobs must stop in time.
     pub fn check_time_limits(&mut self, now: Time) {
         let mut found = Vec::new();
         for (id, job) in &self.jobs {
@@ -256,7 +273,7 @@
                 && now > at + self.cancel_time
             {
                 for (task, places) in &job.active {
-                    found.push(format!("{id}/{task} is on {places:?}"));
+                    found.push(format!("{id}/{task} is still on {places:?}"));
                 }
             }
         }
@@ -265,72 +282,72 @@
         }
     }
 
-    /// CPUs that tasks of a team hold on machines.
+    /// Number of CPUs that the team's tasks use on machines.
     pub fn used_cpus(&self, team: &str) -> f64 {
         let jobs = self.jobs.values().filter(|job| job.plan.team == team);
         jobs.map(|job| job.plan.cpus * job.active.values().map(BTreeSet::len).sum::<usize>() as f64)
             .sum()
     }
 
-    /// A team's limit in CPUs.
+    /// Limit of a team, in CPUs.
     pub fn cpu_limit(&self, team: &str) -> f64 {
         self.limits[team]
     }
 
-    /// Accepted jobs that ought to end and that users don't know to have ended.
+    /// Accepted jobs that should end (arrays and cancelled standing jobs) but whose end no user knows yet.
     pub fn unfinished_jobs(&self) -> Vec<&JobPlan> {
-        let ends = |job: &ObservedJob| !job.plan.standing || job.cancel_asked;
-        let open = |job: &&ObservedJob| {
-            job.accepted_at.is_some() && job.final_state.is_none() && ends(job)
+        let should_end = |job: &ObservedJob| !job.plan.standing || job.cancel_requested;
+        let is_unfinished = |job: &&ObservedJob| {
+            job.accepted_at.is_some() && job.final_state.is_none() && should_end(job)
         };
         self.jobs
             .values()
-            .filter(open)
+            .filter(is_unfinished)
             .map(|job| &job.plan)
             .collect()
     }
 
-    /// Accepted jobs that nobody cancelled and that have tasks neither done nor on a machine.
+    /// Accepted, uncancelled jobs that have tasks which are neither done nor on a machine.
     pub fn waiting_jobs(&self) -> Vec<&JobPlan> {
-        let waits = |job: &&ObservedJob| {
+        let is_waiting = |job: &&ObservedJob| {
             let placed: BTreeSet<u32> = job.done.iter().chain(job.active.keys()).copied().collect();
             job.accepted_at.is_some()
                 && job.final_state.is_none()
-                && !job.cancel_asked
+                && !job.cancel_requested
                 && placed.len() < job.plan.tasks as usize
         };
         self.jobs
             .values()
-            .filter(waits)
+            .filter(is_waiting)
             .map(|job| &job.plan)
             .collect()
     }
 
-    /// A user knows that the job was accepted.
+    /// True if a user knows that the job was accepted.
     pub fn is_accepted(&self, id: &str) -> bool {
         self.jobs
             .get(id)
             .is_some_and(|job| job.accepted_at.is_some())
     }
 
-    /// All of its tasks have ended well.
+    /// True if all tasks of the job have ended successfully.
     pub fn all_done(&self, id: &str) -> bool {
-        let full = |job: &ObservedJob| job.done.len() == job.plan.tasks as usize;
-        self.jobs.get(id).is_some_and(full)
+        let is_complete = |job: &ObservedJob| job.done.len() == job.plan.tasks as usize;
+        self.jobs.get(id).is_some_and(is_complete)
     }
 
-    /// Tasks of all jobs that ended well.
+    /// Number of tasks of all jobs that have ended successfully.
     pub fn tasks_done(&self) -> usize {
         self.jobs.values().map(|job| job.done.len()).sum()
     }
 
-    /// The final state that a user knows of.
+    /// Final state of the job, if a user knows it.
     pub fn final_state(&self, id: &str) -> Option<&str> {
         let (state, _) = self.jobs.get(id)?.final_state.as_ref()?;
         Some(state)
     }
 
-    /// Replicas of standing jobs that ought to run and don't.
+    /// Standing jobs that should run but have replicas that are on no machine.
     pub fn missing_replicas(&self) -> Vec<&JobPlan> {
         self.waiting_jobs()
             .into_iter()
@@ -338,7 +355,7 @@
             .collect()
     }
 
-    /// Tasks of a job that are on machines.
+    /// Number of places on machines that the job's tasks have.
     pub fn active_tasks(&self, id: &str) -> usize {
         self.jobs
             .get(id)
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -1,12 +1,13 @@
-//! What the simulated cloud remembers, and the pages of its machine list.
+//! State of the simulated cloud, and paging of its machine list.
 
 use crate::scheduler::Time;
 use std::collections::BTreeMap;
 
-/// Machines on one page of the list, at most.
-const MAX_LISTED: usize = 500;
+/// Maximum number of machines on one page of the list.
+const MAX_PAGE_SIZE: usize = 500;
 
-/// Where a page of the machine list begins, and how many it may hold.
+/// Parses the path of a request for a page of the machine list: the name after which the page begins, and the
+/// maximum number of machines on it.
 pub fn parse_page_query(path: &str) -> (String, usize) {
     let query = path.split_once('?').map_or("", |(_, query)| query);
     let value = |name: &str| {
@@ -16,21 +17,23 @@
     let since = value("since").unwrap_or("").to_string();
     let most = value("most")
         .and_then(|m| m.parse().ok())
-        .unwrap_or(MAX_LISTED);
-    (since, most.min(MAX_LISTED))
+        .unwrap_or(MAX_PAGE_SIZE);
+    (since, most.min(MAX_PAGE_SIZE))
 }
 
-/// What the simulated cloud remembers.
+/// State of the simulated cloud.
 #[derive(Default)]
 pub struct CloudState {
+    /// Number of machines created so far; it determines their names and addresses.
     pub(crate) machines_created: u32,
-    /// The machines that each provisioning request got, by the request's name.
+    /// Machines that each provisioning request got, by the id of the request.
     pub(crate) provisioning_requests: BTreeMap<String, Vec<String>>,
-    /// Requests that count against the limit, and when that was worked out.
+    /// Number of requests that count against the rate limit, as of `counted_at`.
     pub(crate) recent_requests: f64,
+    /// Time at which `recent_requests` was computed.
     pub(crate) counted_at: Time,
-    /// It answers nothing but errors until then.
+    /// Time until which the cloud answers every request with an error.
     pub down_until: Time,
-    /// Machines come up within two seconds until then.
+    /// Time until which new machines boot within two seconds.
     pub fast_boot_until: Time,
 }
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: their settings, starts, crashes and pauses.
+//! Processes of the simulated controllers: settings, starts, crashes and pauses.
 
 use crate::network::SimOs;
 use crate::scheduler::secs;
@@ -13,18 +13,19 @@
 use std::sync::Arc;
 
 impl Simulation {
-    /// The zone of a controller.
-    pub fn zone_of_node(&self, n: usize) -> &'static str {
-        ["east", "west"][n % 2]
+    /// Zone of a controller.
+    pub fn zone_of_node(&self, node: usize) -> &'static str {
+        ["east", "west"][node % 2]
     }
 
-    pub(crate) fn settings_of(&self, n: usize) -> Settings {
+    /// Settings of a controller.
+    pub(crate) fn settings_of(&self, node: usize) -> Settings {
         let members: String = (0..self.setup.nodes)
-            .filter(|m| *m != n)
-            .map(|m| {
+            .filter(|peer| *peer != node)
+            .map(|peer| {
                 format!(
-                    "[[members]]\nnode = \"n-{m}\"\nlocation = \"{}\"\npeer_addr = \"10.0.0.{m}:8081\"\n",
-                    self.zone_of_node(m)
+                    "[[members]]\nnode = \"n-{peer}\"\nlocation = \"{}\"\npeer_addr = \"10.0.0.{peer}:8081\"\n",
+                    self.zone_of_node(peer)
                 )
             })
             .collect();
@@ -40,15 +41,15 @@
             })
             .collect();
         Settings::parse(&format!(
-            "node = \"n-{n}\"\nlocation = \"{}\"\npublic_addr = \"10.0.0.{n}:8080\"\n\
-             peer_listen = \"10.0.0.{n}:8081\"\n{members}\
+            "node = \"n-{node}\"\nlocation = \"{}\"\npublic_addr = \"10.0.0.{node}:8080\"\n\
+             peer_listen = \"10.0.0.{node}:8081\"\n{members}\
              [endpoints]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n\
              [settings]\nzones = [\"east\", \"west\"]\nskew_ms = 5.0\nteams = [{}]\n\
              workers = {{ report_s = {HEARTBEAT_S}, lease_s = {LEASE_S}, cancel_s = {CANCEL_S} }}\n\
              state = {{ rps = 150.0, write_rps = {}, value_kb = 8.0, txn_ops = 12, \
              next = {{ {} }} }}\n\
              cloud = {{ rps = {CLOUD_RPS:?}, list_lag_s = 3.0 }}\nquota = {{ sockets = 200 }}\n",
-            self.zone_of_node(n),
+            self.zone_of_node(node),
             teams.join(", "),
             self.setup.write_rps,
             self.setup.next_store_limits,
@@ -56,8 +57,8 @@
         .unwrap()
     }
 
-    /// Starts a controller's process, with all its threads.
-    pub fn start_node(self: &Arc<Self>, n: usize) {
+    /// Starts the process of a controller with all its threads. Its clock's drift and skew are drawn.
+    pub fn start_node(self: &Arc<Self>, node: usize) {
         let (process, seed, drift, skew) = {
             let mut state = self.state();
             state.processes += 1;
@@ -66,59 +67,59 @@
             let skew = state.rng.i64(-5_000..5_000);
             (state.processes, seed, drift, skew)
         };
-        let hold = self.setup.leader_lease_ms.to_string();
-        let mut words = vec![
+        let lease_ms = self.setup.leader_lease_ms.to_string();
+        let mut args = vec![
             "aspenreel",
             "serve",
             "--config",
             "-",
             "--leader-lease-ms",
-            &hold,
+            &lease_ms,
         ];
-        words.extend((self.setup.flags)(n));
-        let Command::Serve(options) = Cli::parse_from(words).command else {
-            unreachable!("the words say serve");
+        args.extend((self.setup.flags)(node));
+        let Command::Serve(options) = Cli::parse_from(args).command else {
+            unreachable!("the arguments contain the command serve");
         };
-        let os = Arc::new(SimOs::new(self, n, process, drift, skew));
-        let node = Arc::new(Controller::new(self.settings_of(n), options, os).unwrap());
-        for (i, thread) in node.threads().into_iter().enumerate() {
+        let os = Arc::new(SimOs::new(self, node, process, drift, skew));
+        let controller = Arc::new(Controller::new(self.settings_of(node), options, os).unwrap());
+        for (i, thread) in controller.threads().into_iter().enumerate() {
             self.scheduler.spawn(process, seed ^ i as u64, thread.body);
         }
         let mut state = self.state();
-        state.nodes[n].process = Some(process);
-        state.nodes[n].node = Some(node);
+        state.nodes[node].process = Some(process);
+        state.nodes[node].controller = Some(controller);
     }
 
-    /// Kills a node's process; it is started again after so long.
-    pub fn crash(self: &Arc<Self>, n: usize, back_after: f64) {
+    /// Kills the process of a node and starts it again after `back_after` seconds.
+    pub fn crash(self: &Arc<Self>, node: usize, back_after: f64) {
         let process = {
             let mut state = self.state();
-            state.nodes[n].node = None;
-            state.nodes[n].process.take()
+            state.nodes[node].controller = None;
+            state.nodes[node].process.take()
         };
         if let Some(process) = process {
             self.scheduler.kill(process);
             self.note_fault(back_after);
-            self.after(secs(back_after), move |sim| sim.start_node(n));
+            self.after(secs(back_after), move |sim| sim.start_node(node));
         }
     }
 
-    /// A controller's process stands still for so many seconds.
-    pub fn freeze(self: &Arc<Self>, n: usize, span: f64) {
-        if let Some(process) = self.state().nodes[n].process {
+    /// Freezes the process of a node for `span` seconds.
+    pub fn freeze(self: &Arc<Self>, node: usize, span: f64) {
+        if let Some(process) = self.state().nodes[node].process {
             self.scheduler.freeze(process, self.now() + secs(span));
         }
         self.note_fault(span);
     }
 
-    /// The node that the key-value store names as leader.
+    /// Node that the record in the key-value store names as leader.
     pub fn leader(&self) -> Option<usize> {
         let data = self.state().store.data("leader")?;
         let record: LeaderRecord = from_value(&data)?;
         record.node.strip_prefix("n-")?.parse().ok()
     }
 
-    /// The node that leads, or any that is up.
+    /// Node that leads according to the store, or node 0 if there is no leader.
     pub fn leader_or_any(&self) -> usize {
         self.leader().unwrap_or(0)
     }
--- a/crates/simulation/src/directions.rs
+++ b/crates/simulation/src/directions.rs
@@ -1,35 +1,36 @@
-//! Directions of links, and until when each is cut: what one end sends does not reach the other, while the way back may be open.
+//! Directions of links, and cuts of single directions: messages from one endpoint to the other are lost, while the
+//! opposite direction may work.
 
 use crate::scheduler::Time;
 use std::collections::BTreeMap;
 
-/// One end of a link.
+/// Endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
-    /// A controller, by number.
+    /// Controller with this number.
     Node(usize),
-    /// The key-value store.
+    /// Key-value store.
     Store,
     /// All workers.
     Workers,
 }
 
-/// One direction of a link.
+/// Direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
-    /// The end that sends.
+    /// Endpoint that sends.
     pub from: Endpoint,
-    /// The end that receives.
+    /// Endpoint that receives.
     pub to: Endpoint,
 }
 
 impl Direction {
-    /// The direction from one end to the other.
+    /// Creates the direction from one endpoint to another.
     pub fn new(from: Endpoint, to: Endpoint) -> Direction {
         Direction { from, to }
     }
 
-    /// Every directed link of a controller of a cluster of so many.
+    /// All directions of the links of a controller in a cluster of `nodes` controllers.
     pub fn all_of(node: usize, nodes: usize) -> Vec<Direction> {
         let own = Endpoint::Node(node);
         let peers = (0..nodes).filter(|n| *n != node).map(Endpoint::Node);
@@ -41,22 +42,23 @@
     }
 }
 
-/// Until when each way is cut.
+/// Cuts of single directions, and refusals of single nodes' transactions.
 #[derive(Debug, Default)]
 pub struct Cuts {
+    /// For each direction, time at which its last cut ends.
     pub(crate) until: BTreeMap<Direction, Time>,
-    /// Transactions of these nodes alone are refused until then.
+    /// For each node whose transactions, but no other requests, the store refuses: time at which that ends.
     pub(crate) writes_refused: BTreeMap<usize, Time>,
 }
 
 impl Cuts {
-    /// This direction is cut now.
+    /// True if this direction is cut now.
     pub fn blocks(&self, from: Endpoint, to: Endpoint, now: Time) -> bool {
         let until = self.until.get(&Direction::new(from, to));
         until.is_some_and(|until| *until > now)
     }
 
-    /// This controller's transactions are refused now.
+    /// True if the store refuses this controller's transactions now.
     pub fn refuses_writes(&self, node: usize, now: Time) -> bool {
         let until = self.writes_refused.get(&node);
         until.is_some_and(|until| *until > now)
--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -1,19 +1,20 @@
-//! Days of faults drawn by a seed.
+//! Random workloads and faults that a seed determines.
 
 use crate::checker::JobPlan;
 use crate::simulation::Simulation;
 use std::sync::Arc;
 
-/// How long jobs come and faults begin, in seconds.
+/// End of the period in which jobs are submitted and faults begin, in seconds.
 const WORKLOAD_S: f64 = 130.0;
 
+/// Random subset of the machines that are up; the share is random too.
 fn some_machines(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) -> Vec<String> {
     let up = sim.machines_up();
     let share = rng.f64();
     up.into_iter().filter(|_| rng.f64() < share).collect()
 }
 
-/// Jobs of all kinds, users of all kinds, and faults.
+/// Schedules random jobs, random behavior of their users, and random faults.
 pub fn draw(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) {
     let mut at = 3.0;
     for i in 0.. {
@@ -52,7 +53,7 @@
     }
     let mut at = 10.0 + rng.f64() * 10.0;
     while at < WORKLOAD_S {
-        // Two or three at a time, close together.
+        // One to three faults that begin within three seconds, so that they can overlap.
         for _ in 0..rng.u32(1..4) {
             schedule_fault(sim, at + rng.f64() * 3.0, rng);
         }
@@ -60,6 +61,7 @@
     }
 }
 
+/// Schedules a random fault at this second. Its details are drawn when it begins, from a generator of its own.
 fn schedule_fault(sim: &Arc<Simulation>, at: f64, rng: &mut fastrand::Rng) {
     let mut fault_rng = fastrand::Rng::with_seed(rng.u64(..));
     let span = [0.5, 4.0, 12.0, 25.0][rng.usize(0..4)] * (0.5 + rng.f64());
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -1,5 +1,5 @@
-//! The key-value store's keys, holds and log, as the published protocol tells of them. Time is handed
-//! in, so that stand-ins on real time and the simulation on simulated time share it.
+//! Key-value store with keys, leases and a log of changes, according to the published protocol. The current time is
+//! a parameter, so that the simulation on simulated time and the stand-ins on real time can share the store.
 
 use aspenreel::http::cbor::{decode, encode, json_len};
 use aspenreel::store::token_bucket::TokenBucket;
@@ -9,57 +9,62 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The store: keys, leases and the log of changes.
+/// Key-value store: rows, leases and the log of changes.
 #[derive(Default)]
 pub struct FakeStore {
-    /// Data, revision, hold.
+    /// For each key: its data, the revision of its last change, and the lease that it is attached to.
     pub rows: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// Log of changes: revision, key, and data unless the key was deleted.
     log: Vec<(u64, String, Option<Value>)>,
-    /// When each hold ends, and its life.
+    /// For each lease: the time of its end, and its duration.
     leases: BTreeMap<u64, (Duration, Duration)>,
     next_lease: u64,
     revision: u64,
-    /// What the service takes, where that is limited.
+    /// Limits of requests, if there are any.
     pub limits: Option<Limits>,
-    /// Requests and changes since then.
+    /// Remaining budgets of requests and of changes, since the first request with limits.
     rate_budgets: Option<(TokenBucket, TokenBucket)>,
-    /// Transactions that were larger than that.
+    /// Number of transactions that were rejected because they exceed the limits of size.
     pub rejected_transactions: u32,
-    /// Requests that were more than that, and all since then.
+    /// Number of requests that were rejected because they exceed the limits of rate.
     pub throttled_requests: u32,
-    /// Requests since the limits hold.
+    /// Number of all requests since the limits were set.
     pub limited_requests: u32,
 }
 
-/// What the key-value store takes.
+/// Limits of the key-value store.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// Bytes of a value, at most.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Changes of a transaction, at most.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Requests per second.
+    /// Maximum rate of requests, per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum rate of changes, per second.
     pub write_rps: f64,
 }
 
-/// Bytes of a transaction, and how many conditions it may have for each change.
-const TRANSACTION_BYTES: usize = 64 * 1024;
-const GUARDS_OF_OPS: usize = 4;
+/// Maximum size of a transaction, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// A transaction may have this many times [`Limits::txn_ops`] preconditions.
+const PRECONDITIONS_PER_OP: usize = 4;
 
+/// Body of a transaction.
 #[derive(Deserialize)]
 struct Multi {
     guards: Vec<GuardIn>,
     apply: Vec<ChangeIn>,
 }
 
+/// Precondition of a transaction: the revision that a key must have, 0 if it must not exist.
 #[derive(Deserialize)]
 struct GuardIn {
     key: String,
     stamp: u64,
 }
 
+/// Change of a transaction: the key to write or to delete, the data to write, and the lease to attach the key to.
 #[derive(Deserialize)]
 struct ChangeIn {
     write: Option<String>,
@@ -68,31 +73,32 @@
     permit: Option<u64>,
 }
 
-/// An HTTP status and a body.
+/// HTTP status and body of a response.
 pub type StoreResponse = (u16, Vec<u8>);
 
-/// A response with this body.
+/// Response with this status and the encoded value as its body.
 pub fn response(status: u16, value: Result<Value, ciborium::value::Error>) -> StoreResponse {
     (status, encode(&value.unwrap()))
 }
 
+/// Parameters in the query of a request path.
 fn query(path: &str) -> HashMap<&str, &str> {
     let text = path.split_once('?').map_or("", |(_, q)| q);
     text.split('&').filter_map(|p| p.split_once('=')).collect()
 }
 
-/// What a watch asks for.
+/// Parameters of a watch request.
 pub struct Watch {
-    /// What the keys begin with.
+    /// Prefix of the keys to watch.
     pub prefix: String,
-    /// The revision after which changes are wanted.
+    /// Revision after which changes are returned.
     pub since: u64,
-    /// How long the watch may stay open.
+    /// Maximum time that the watch waits for a change.
     pub max_wait: Duration,
 }
 
 impl Watch {
-    /// A watch, as a request's path tells it.
+    /// Parses the path of a watch request.
     pub fn parse(path: &str) -> Watch {
         let q = query(path);
         Watch {
@@ -104,13 +110,14 @@
 }
 
 impl FakeStore {
-    /// The value of a key.
+    /// Data of a key, if it exists.
     pub fn data(&self, key: &str) -> Option<Value> {
         self.rows.get(key).map(|r| r.0.clone())
     }
 
+    /// Ends a lease and deletes the keys attached to it. False if there is no such lease.
     fn end_lease(&mut self, permit: u64) -> bool {
-        let had = self.leases.remove(&permit).is_some();
+        let existed = self.leases.remove(&permit).is_some();
         let keys: Vec<String> = self
             .rows
             .iter()
@@ -122,36 +129,36 @@
             self.rows.remove(&key);
             self.log.push((self.revision, key, None));
         }
-        had
+        existed
     }
 
-    /// Ends the holds that have run out; true if there were any.
+    /// Ends the leases that have expired; true if there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (end, _))| *end <= now)
             .map(|(p, _)| *p)
             .collect();
-        for permit in &over {
+        for permit in &expired {
             self.end_lease(*permit);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
-    /// When the next hold runs out.
+    /// Time at which the next lease expires.
     pub fn next_lease_end(&self) -> Option<Duration> {
         self.leases.values().map(|(end, _)| *end).min()
     }
 
-    /// After an outage every hold has its full time again.
+    /// Gives every lease its full duration again, as the service does after an outage.
     pub fn renew_all_leases(&mut self, now: Duration) {
         for (end, life) in self.leases.values_mut() {
             *end = now + *life;
         }
     }
 
-    /// Carries out a transaction on preconditions.
+    /// Executes a transaction if its preconditions hold.
     pub fn transaction(&mut self, body: &[u8]) -> StoreResponse {
         let multi: Multi = decode(body).unwrap();
         if self.exceeds_size_limits(&multi, body) {
@@ -188,30 +195,31 @@
         response(200, cbor!({"epoch" => revision}))
     }
 
+    /// True if the transaction exceeds a limit of size.
     fn exceeds_size_limits(&self, multi: &Multi, body: &[u8]) -> bool {
         let Some(limits) = self.limits else {
             return false;
         };
-        let large = |c: &ChangeIn| {
+        let is_large = |c: &ChangeIn| {
             let data = c.data.as_ref();
             data.is_some_and(|d| json_len(d) > limits.value_bytes)
         };
         let whole: Value = decode(body).unwrap();
         multi.apply.len() > limits.txn_ops
-            || multi.guards.len() > GUARDS_OF_OPS * limits.txn_ops
-            || multi.apply.iter().any(large)
-            || json_len(&whole) > TRANSACTION_BYTES
+            || multi.guards.len() > PRECONDITIONS_PER_OP * limits.txn_ops
+            || multi.apply.iter().any(is_large)
+            || json_len(&whole) > MAX_TRANSACTION_BYTES
     }
 
-    /// True if the request, or its changes, are more than the service takes now.
+    /// Counts the request, and returns true if it or its changes exceed a limit of rate now.
     fn exceeds_rate_limits(&mut self, path: &str, body: &[u8], now: Duration) -> bool {
         let Some(limits) = self.limits else {
             return false;
         };
         let now = Moment(now.as_micros() as u64);
         let (requests, changes) = self.rate_budgets.get_or_insert_with(|| {
-            let full = |rate| TokenBucket::new(rate, rate, now);
-            (full(limits.rps), full(limits.write_rps))
+            let full_bucket = |rate| TokenBucket::new(rate, rate, now);
+            (full_bucket(limits.rps), full_bucket(limits.write_rps))
         });
         let wanted = match path {
             "/multi" => decode::<Multi>(body).unwrap().apply.len(),
@@ -223,7 +231,7 @@
         !granted
     }
 
-    /// What a watch is told now; None if there is nothing yet.
+    /// Response to a watch with the changes so far; `None` if there are none yet.
     pub fn changes(&self, watch: &Watch) -> Option<StoreResponse> {
         let seen = self.log.partition_point(|(e, _, _)| *e <= watch.since);
         let log: Vec<Value> = self.log[seen..]
@@ -237,13 +245,13 @@
         (!log.is_empty()).then(|| response(200, cbor!({"epoch" => self.revision, "log" => log})))
     }
 
-    /// What a watch is told when its time is over.
+    /// Response to a watch that ends without changes.
     pub fn empty_changes(&self) -> StoreResponse {
         let log: [Value; 0] = [];
         response(200, cbor!({"epoch" => self.revision, "log" => log}))
     }
 
-    /// One page of the keys with a prefix.
+    /// Response to a request for one page of the keys with a prefix.
     pub fn range(&self, path: &str) -> StoreResponse {
         let q = query(path);
         let most: usize = q["most"].parse().unwrap();
@@ -263,7 +271,7 @@
         )
     }
 
-    /// One key.
+    /// Response to a request for one key.
     pub fn get(&self, key: &str) -> StoreResponse {
         match self.rows.get(key) {
             Some((data, stamp, permit)) => response(
@@ -274,7 +282,7 @@
         }
     }
 
-    /// `/leases`, and what follows that in the path.
+    /// Handles requests to `/holds`: grants, renews and ends leases. `rest` is the path after the prefix.
     pub fn leases(
         &mut self,
         method: &str,
@@ -308,7 +316,7 @@
         }
     }
 
-    /// Everything but watches.
+    /// Handles all requests except watches.
     pub fn call(&mut self, method: &str, path: &str, body: &[u8], now: Duration) -> StoreResponse {
         self.expire(now);
         if self.exceeds_rate_limits(path, body, now) {
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the services and of the network, as a test brings them about.
+//! Faults of the store, the network and the controllers' links that tests can inject.
 
 use crate::delayed_commands::DelayedCommands;
 use crate::directions::Direction;
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 
 impl Simulation {
-    /// Notes that some fault lasts for so long.
+    /// Records that a fault lasts for the next `span` seconds.
     pub fn note_fault(&self, span: f64) {
         let mut state = self.state();
         state.faults_until = state.faults_until.max(self.now() + secs(span));
     }
 
-    /// The store refuses everybody for so many seconds.
+    /// Makes the store refuse all requests for `span` seconds.
     pub fn store_outage(self: &Arc<Self>, span: f64) {
         self.state().store_is_down = true;
         self.note_fault(span);
@@ -32,39 +32,41 @@
         });
     }
 
-    /// The key-value store refuses this node alone.
-    pub fn refuse_node(self: &Arc<Self>, n: usize, span: f64) {
+    /// Makes the store refuse the requests of one node, and of no other, for `span` seconds.
+    pub fn refuse_node(self: &Arc<Self>, node: usize, span: f64) {
         let until = self.now() + secs(span);
-        self.state().nodes[n].refused_until = until;
+        self.state().nodes[node].refused_until = until;
         self.note_fault(span);
         self.at_time(until, |sim| sim.store_changed());
     }
 
-    /// A node loses the key-value store (nothing answers) and, if told so, the other nodes.
-    pub fn cut_store(self: &Arc<Self>, n: usize, span: f64, peers: bool) {
+    /// Cuts the connection between a node and the store for `span` seconds: its requests get no answer and are
+    /// executed after the cut. If `peers` is true, the connections to the other nodes are cut too.
+    pub fn cut_store(self: &Arc<Self>, node: usize, span: f64, peers: bool) {
         let until = self.now() + secs(span);
-        self.state().nodes[n].store_cut_until = until;
+        self.state().nodes[node].store_cut_until = until;
         if peers {
-            self.state().nodes[n].peers_cut_until = until;
+            self.state().nodes[node].peers_cut_until = until;
         }
         self.note_fault(span);
         self.at_time(until, |sim| sim.store_changed());
     }
 
-    /// A controller and the workers lose each other.
-    pub fn cut_workers(self: &Arc<Self>, n: usize, span: f64) {
-        self.state().nodes[n].workers_cut_until = self.now() + secs(span);
+    /// Cuts the connections between a node and all workers, in both directions, for `span` seconds.
+    pub fn cut_workers(self: &Arc<Self>, node: usize, span: f64) {
+        self.state().nodes[node].workers_cut_until = self.now() + secs(span);
         self.note_fault(span);
     }
 
-    /// A zone and the others lose each other.
+    /// Cuts the connections between a zone and all other zones for `span` seconds.
     pub fn cut_zone(self: &Arc<Self>, zone: &str, span: f64) {
         let until = self.now() + secs(span);
         self.state().zone_cuts.insert(zone.into(), until);
         self.note_fault(span);
     }
 
-    /// That share of the transactions gets no answer; they are carried out at once or later.
+    /// Leaves a random share of the store's transactions unanswered for `span` seconds. They are executed at once if
+    /// `at_once` is true, or else 2 to 12 seconds later.
     pub fn leave_writes_unanswered(&self, share: f64, at_once: bool, span: f64) {
         let until = self.now() + secs(span);
         self.state().unanswered_writes = Some(UnansweredWrites {
@@ -75,7 +77,8 @@
         self.note_fault(span + 12.0);
     }
 
-    /// That share of the heartbeats is copied; copies arrive later, or as the next leader begins.
+    /// Duplicates a random share of the heartbeats for `span` seconds. The copies arrive when the next leader is
+    /// elected if `for_next_leader` is true, or else after 2 seconds to 1.4 worker leases.
     pub fn duplicate_heartbeats(&self, share: f64, for_next_leader: bool, span: f64) {
         let until = self.now() + secs(span);
         self.state().duplicated_heartbeats = Some(DuplicatedHeartbeats {
@@ -86,14 +89,14 @@
         self.note_fault(span + 1.5 * LEASE_S);
     }
 
-    /// The store answers by `time` seconds later.
-    pub fn slow_store(self: &Arc<Self>, time: f64, span: f64) {
-        self.state().store_delay = secs(time);
+    /// Delays each answer of the store by `delay` seconds, for `span` seconds.
+    pub fn slow_store(self: &Arc<Self>, delay: f64, span: f64) {
+        self.state().store_delay = secs(delay);
         self.note_fault(span);
         self.after(secs(span), |sim| sim.state().store_delay = 0);
     }
 
-    /// Cuts one direction for so long.
+    /// Cuts one direction of a link for `span` seconds.
     pub fn cut_direction(self: &Arc<Self>, direction: Direction, span: f64) {
         let until = self.now() + secs(span);
         self.state().cuts.until.insert(direction, until);
@@ -101,13 +104,14 @@
         self.at_time(until, |sim| sim.store_changed());
     }
 
-    /// Cuts these ways together, now and then: half of each period they are open.
+    /// Cuts these directions together for the first half of each period, for `span` seconds. `period` is in seconds.
     pub fn flap_directions(self: &Arc<Self>, directions: Vec<Direction>, period: f64, span: f64) {
         let end = self.now() + secs(span);
         self.note_fault(span);
         self.flap_until(directions, period, end);
     }
 
+    /// Cuts these directions for half a period, and schedules the next cut after a period unless `end` has come.
     pub(crate) fn flap_until(self: &Arc<Self>, directions: Vec<Direction>, period: f64, end: Time) {
         if self.now() >= end {
             return;
@@ -120,15 +124,16 @@
         });
     }
 
-    /// The key-value store refuses this node's transactions, and nothing else.
+    /// Makes the store refuse the transactions of one node, but no other requests, for `span` seconds.
     pub fn refuse_writes(self: &Arc<Self>, node: usize, span: f64) {
         let until = self.now() + secs(span);
         self.state().cuts.writes_refused.insert(node, until);
         self.note_fault(span);
     }
 
-    /// For `span` seconds that share of direct commands is held back, each for a time in the range, in
-    /// order on each way, and delivered once. Nobody gets their answers. Heartbeats are not touched.
+    /// Delays a random share of the direct commands for `span` seconds, each by a time drawn from `delay_s`, in
+    /// seconds. Delayed commands from one node to one worker keep their order, are delivered once, and their answers
+    /// are lost. Heartbeats are not affected.
     pub fn delay_commands(&self, share: f64, delay_s: Range<f64>, span: f64) {
         let longest = delay_s.end;
         self.state().delayed_commands = DelayedCommands {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,16 +1,18 @@
-//! What the tests of all crates share.
+//! Test support shared by all crates.
 //!
-//! - A simulation of whole clusters: the production code of several controllers, with all of its threads, in one
-//!   process on simulated time ([`simulation`], [`scheduler`], [`network`], [`machine`], [`cloud`], [`users`]).
-//! - Stand-ins for what real controller processes talk to on loopback, and relays between them that cut single
-//!   directions ([`stand_ins`]). Both share the key-value store ([`fake_store`]).
-//! - A digest of everything that crosses the network of a simulation ([`transcript`]).
-//! - An independent checker of the protocol's rules ([`checker`]), which knows only what users were told and what
-//!   runs on machines.
+//! - A deterministic simulation of whole clusters: the production code of several controllers, with all of its
+//!   threads, runs in one process on simulated time ([`simulation`], [`scheduler`], [`network`], [`machine`],
+//!   [`cloud`], [`users`]).
+//! - Stand-ins for the services that real controller processes talk to over loopback, and relays that cut single
+//!   directions of the links between them ([`stand_ins`]). The simulation and the stand-ins use the same key-value
+//!   store ([`fake_store`]).
+//! - A digest of all messages that cross the network of a simulation ([`transcript`]).
+//! - An independent checker of the protocol's rules ([`checker`]), which sees only the answers that users get and
+//!   the tasks that run on machines.
 
 #![allow(
     clippy::unwrap_used,
-    reason = "a test fails at the place where something unexpected happens"
+    reason = "a test should panic where the unexpected value appears"
 )]
 
 pub mod checker;
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,9 +1,10 @@
-//! What the controllers of the simulation log, with simulated time, when `MODEL_LOG` asks for it.
+//! Log output of the simulated controllers with simulated time, enabled by the environment variable `MODEL_LOG`.
 
 use crate::scheduler::DeterministicScheduler;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::sync::{Arc, Mutex, Weak};
 
+/// Logger that prints events with the time of one simulation.
 struct SimulationLog(Mutex<Weak<DeterministicScheduler>>);
 
 static LOG: SimulationLog = SimulationLog(Mutex::new(Weak::new()));
@@ -24,13 +25,14 @@
     fn flush(&self) {}
 }
 
-/// Prints what controllers log from now on, with the time of this simulation, if `MODEL_LOG` is set.
+/// Prints log events from now on with the time of this simulation, if `MODEL_LOG` is set: those of level debug too if
+/// it is `debug`, otherwise from info on.
 pub fn init(scheduler: &Arc<DeterministicScheduler>) {
     let Ok(level) = std::env::var("MODEL_LOG") else {
         return;
     };
-    let debug = level == "debug";
-    log::set_max_level(if debug {
+    let is_debug = level == "debug";
+    log::set_max_level(if is_debug {
         LevelFilter::Debug
     } else {
         LevelFilter::Info
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,4 +1,4 @@
-//! A machine and the state of its worker, as the protocol's page tells of them.
+//! Simulated machine and the state of its worker, according to the published protocol.
 
 use crate::checker::{JobPlan, Place};
 use crate::scheduler::Time;
@@ -8,77 +8,104 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A machine that dies stays listed for this long.
+/// Time for which the cloud still lists a machine that has died, in seconds.
 pub(crate) const LISTED_AFTER_DEATH_S: f64 = 30.0;
 
+/// Attempt of a task on a simulated worker.
 #[derive(Clone, Debug)]
 pub(crate) struct SimulatedTask {
+    /// Current phase of the attempt.
     pub(crate) status: TaskStatus,
+    /// Reason of the exit, once it has exited.
     pub(crate) exit_reason: Option<ExitReason>,
-    /// When what it does now ends, and a count that tells its timers apart.
+    /// Time at which the current phase ends.
     pub(crate) phase_ends_at: Time,
+    /// Number of the timer for the end of the phase. Timers with other numbers are out of date.
     pub(crate) timer: u64,
 }
 
-/// A machine and its worker.
+/// Machine and its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Name, assigned by the cloud.
     pub name: String,
+    /// Machine type.
     pub(crate) type_name: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
+    /// True for a spot machine.
     pub(crate) spot: bool,
+    /// Number of CPUs.
     pub(crate) cpus: f64,
+    /// Address of the worker for direct commands.
     pub(crate) addr: SocketAddr,
+    /// Time of the provisioning request that created the machine.
     pub(crate) created: Time,
+    /// Time at which it has booted.
     pub(crate) up_at: Time,
+    /// Time at which it was returned or taken back by the cloud.
     pub(crate) gone_at: Option<Time>,
+    /// Time at which it failed for good.
     pub(crate) died_at: Option<Time>,
+    /// Current agent epoch of the worker.
     pub(crate) agent_epoch: AgentEpoch,
+    /// Sequence number of the last heartbeat.
     pub(crate) sequence: u64,
+    /// Highest fencing token that the worker has accepted.
     pub(crate) fencing_token: FencingToken,
-    /// When the last answered report was sent, or the agent epoch began.
+    /// Start of the worker's lease: time at which the last accepted heartbeat was sent, or the agent epoch began.
     pub(crate) lease_started_at: Time,
+    /// Attempts that the worker knows, by task id and attempt number.
     pub(crate) tasks: BTreeMap<(String, u64), SimulatedTask>,
+    /// Images that have been fetched.
     pub(crate) images: BTreeSet<String>,
-    /// The node that it reports to.
+    /// Controller that it sends heartbeats to.
     pub(crate) node: usize,
+    /// Number of the heartbeat that awaits an answer, if there is one.
     pub(crate) in_flight: Option<u64>,
+    /// Time at which the last heartbeat was sent.
     pub(crate) last_sent_at: Time,
+    /// Number of heartbeats sent so far.
     pub(crate) sent_heartbeats: u64,
+    /// Number of the timer for the next heartbeat. Timers with other numbers are out of date.
     pub(crate) heartbeat_timer: u64,
+    /// Number of task timers created so far.
     pub(crate) timers: u64,
-    /// The machine stands still until then.
+    /// Time until which the machine is frozen.
     pub frozen_until: Time,
+    /// Time at which the last freeze began.
     pub(crate) frozen_since: Time,
-    /// Its network is cut in both directions until then.
+    /// Time until which its network is cut in both directions.
     pub cut_until: Time,
-    /// Whether what a cut stops is held back and delivered in the end.
+    /// True if messages that a cut stops are delivered after it, false if they are lost.
     pub(crate) delivers_after_cut: bool,
-    /// What it sends is lost until then.
+    /// Time until which all messages that it sends are lost.
     pub outbound_dropped_until: Time,
-    /// What is sent to it is lost until then.
+    /// Time until which all messages to it are lost.
     pub inbound_dropped_until: Time,
-    /// When the cloud takes it, once it has said so.
+    /// Time at which the cloud takes the machine back, once it has given notice.
     pub(crate) preempted_at: Option<Time>,
 }
 
 impl Machine {
+    /// True if the machine has neither been taken back nor failed.
     pub(crate) fn alive(&self) -> bool {
         self.gone_at.is_none() && self.died_at.is_none()
     }
 
+    /// True if the machine has booted and is alive.
     pub(crate) fn up(&self, now: Time) -> bool {
         self.alive() && self.up_at <= now
     }
 
-    pub(crate) fn free_cpus(&self, plans: impl Fn(&str) -> f64) -> f64 {
+    /// Number of CPUs that no attempt uses. `cpus_of` returns the CPUs of a task.
+    pub(crate) fn free_cpus(&self, cpus_of: impl Fn(&str) -> f64) -> f64 {
         let held = self.tasks.iter();
         let held = held.filter(|(_, task)| task.status != TaskStatus::Exited);
-        self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
+        self.cpus - held.map(|((task_id, _), _)| cpus_of(task_id)).sum::<f64>()
     }
 
+    /// Creates the next heartbeat.
     pub(crate) fn heartbeat(&mut self, now: Time) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -107,6 +134,7 @@
         }
     }
 
+    /// Place of the tasks on this machine, as the checker sees it.
     pub(crate) fn place(&self) -> Place {
         Place {
             machine: self.name.clone(),
@@ -115,11 +143,12 @@
         }
     }
 
-    /// True if the job could start one more task here: the worker serves and has room.
+    /// True if the worker serves, the job allows the machine, and there is room for one more task of the job.
     pub fn has_room_for(&self, plan: &JobPlan) -> bool {
         let serves =
             self.alive() && self.lease_started_at > 0 && self.fencing_token > FencingToken::NONE;
-        // Whatever runs here takes as much at least: good enough for a bound on waits.
+        // Each active attempt is counted as 8 CPUs, the size of a small machine, so the room may be underestimated.
+        // This is good enough for a limit on waits.
         let held = self.tasks.values();
         let held = held
             .filter(|task| task.status != TaskStatus::Exited)
@@ -131,7 +160,7 @@
     }
 }
 
-/// It has its image and has not ended.
+/// True if the task has its image and has not exited.
 pub(crate) fn is_active(task: &SimulatedTask) -> bool {
     matches!(task.status, TaskStatus::Running | TaskStatus::Flushing)
 }
--- a/crates/simulation/src/machine_faults.rs
+++ b/crates/simulation/src/machine_faults.rs
@@ -1,4 +1,4 @@
-//! What happens to machines: they freeze, lose their network, are taken back or die.
+//! Faults of machines that tests can inject: freezes, network cuts, preemption and failure.
 
 use crate::machine::{LISTED_AFTER_DEATH_S, Machine, is_active};
 use crate::scheduler::{Time, secs};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Simulation {
-    /// Machines that are up now, by name.
+    /// Names of the machines that are up now.
     pub fn machines_up(&self) -> Vec<String> {
         let now = self.now();
         let state = self.state();
@@ -17,18 +17,22 @@
         up.map(|m| m.name.clone()).collect()
     }
 
-    /// Machines that hold a task of the job.
+    /// Names of the machines with an attempt of a task of the job that has not exited.
     pub fn machines_with_tasks_of(&self, id: &str) -> Vec<String> {
         let state = self.state();
-        let holds = |m: &&Machine| {
+        let has_task = |m: &&Machine| {
             let mut held = m.tasks.iter();
             held.any(|((p, _), t)| split_task_id(p).0 == id && t.status != TaskStatus::Exited)
         };
-        let found = state.machines.values().filter(|m| m.alive()).filter(holds);
+        let found = state
+            .machines
+            .values()
+            .filter(|m| m.alive())
+            .filter(has_task);
         found.map(|m| m.name.clone()).collect()
     }
 
-    /// Changes these machines, for `span` seconds.
+    /// Applies a change to these machines. `change` gets the time `span` seconds from now, when the fault ends.
     pub fn change_machines(
         &self,
         names: &[String],
@@ -47,7 +51,7 @@
         self.note_fault(span);
     }
 
-    /// The machines stand still, and go on after it.
+    /// Freezes the machines for `span` seconds. They resume after it.
     pub fn freeze_machines(&self, names: &[String], span: f64) {
         let now = self.now();
         self.change_machines(names, span, |m, until| {
@@ -56,7 +60,8 @@
         });
     }
 
-    /// The machines' network is cut; `holds`: what it stops is delivered in the end.
+    /// Cuts the network of the machines for `span` seconds. The messages that it stops are delivered after it if
+    /// `delivers_after_cut` is true, otherwise they are lost.
     pub fn cut_machines(&self, names: &[String], span: f64, delivers_after_cut: bool) {
         self.change_machines(names, span, |m, until| {
             m.cut_until = until;
@@ -64,17 +69,17 @@
         });
     }
 
-    /// What the machines send is lost.
+    /// Drops all messages that the machines send, for `span` seconds.
     pub fn drop_outbound(&self, names: &[String], span: f64) {
         self.change_machines(names, span, |m, until| m.outbound_dropped_until = until);
     }
 
-    /// What is sent to the machines is lost.
+    /// Drops all messages that are sent to the machines, for `span` seconds.
     pub fn drop_inbound(&self, names: &[String], span: f64) {
         self.change_machines(names, span, |m, until| m.inbound_dropped_until = until);
     }
 
-    /// The cloud takes spot machines, after a notice.
+    /// Gives the machines a preemption notice, and takes them back `notice` seconds later.
     pub fn give_preemption_notice(self: &Arc<Self>, names: &[String], notice: f64) {
         self.change_machines(names, notice, |m, until| m.preempted_at = Some(until));
         for name in names {
@@ -86,7 +91,7 @@
         }
     }
 
-    /// Machines stop for good; nobody is told.
+    /// Makes machines fail for good, without any message about it.
     pub fn kill_machines(&self, names: &[String]) {
         for name in names {
             self.remove_machine(name, |m, now| m.died_at = Some(now));
@@ -94,6 +99,7 @@
         self.note_fault(LISTED_AFTER_DEATH_S);
     }
 
+    /// Removes a machine together with its tasks, unless it is gone already. `change` records the time and the cause.
     pub(crate) fn remove_machine(&self, name: &str, change: impl Fn(&mut Machine, Time)) {
         let now = self.now();
         let mut state = self.state();
@@ -106,8 +112,8 @@
         change(m, now);
         for ((task_id, _), task) in std::mem::take(&mut m.tasks) {
             if is_active(&task) {
-                let (id, n) = split_task_id(&task_id);
-                checker.task_stopped(id, n, name, false);
+                let (id, number) = split_task_id(&task_id);
+                checker.task_stopped(id, number, name, false);
             }
         }
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! What a controller of the simulation takes for its operating system.
+//! Operating system interface of a simulated controller.
 
 use crate::scheduler::{Time, lock};
 use crate::sim_http::SimHttp;
@@ -12,19 +12,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// Microseconds in a year.
 const YEAR: u64 = 365 * 24 * 3600 * 1_000_000;
 
-/// What one controller of a simulation takes for its operating system.
+/// Operating system interface of one process of a simulated controller.
 pub struct SimOs {
     simulation: Arc<Simulation>,
     node: usize,
+    /// Time at which the process started.
     started: Time,
+    /// Error of the monotonic clock, in seconds per second.
     drift: f64,
+    /// Error of the wall clock, in microseconds.
     skew: i64,
 }
 
 impl SimOs {
-    /// For a process that starts now; `drift` is the error of its clock per second, `skew` that of its wall clock in microseconds.
+    /// Creates the interface of a process that starts now. `drift` is the error of its monotonic clock in seconds per
+    /// second, `skew` the error of its wall clock in microseconds.
     pub fn new(
         simulation: &Arc<Simulation>,
         node: usize,
@@ -76,7 +81,7 @@
 
     fn peer_link(&self, addr: SocketAddr) -> Arc<dyn PeerTransport> {
         let IpAddr::V4(ip) = addr.ip() else {
-            panic!("peers have IPv4 addresses");
+            panic!("peer address {addr} is not IPv4");
         };
         Arc::new(SimPeer {
             simulation: self.simulation.clone(),
@@ -86,9 +91,10 @@
     }
 }
 
-/// Counts notifications; who sleeps is woken by the scheduler.
+/// Event count whose waiting threads are woken by the scheduler.
 struct SimEventCount {
     simulation: Arc<Simulation>,
+    /// Number of notifications, and the waiting threads in the order in which they began to wait.
     state: Mutex<(u64, Vec<(u64, u64)>)>,
 }
 
--- a/crates/simulation/src/observations.rs
+++ b/crates/simulation/src/observations.rs
@@ -1,40 +1,40 @@
-//! What a checker is told: jobs, places of tasks, questions and answers.
+//! Observations that the checker gets: jobs, places of tasks, and answers to requests.
 
 use crate::scheduler::Time;
 
-/// What a user submits, as far as the rules and the machines need it.
+/// Job as a user submits it, with the properties that the rules and the simulated machines need.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
-    /// The id under which it is submitted.
+    /// Id of the job, assigned by the user.
     pub id: String,
-    /// The team that it is charged to.
+    /// Team whose quota the job's tasks count against.
     pub team: String,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of each task.
+    /// Number of CPUs that one task needs.
     pub cpus: f64,
-    /// How long the first task runs, in seconds.
+    /// Run time of the first task, in seconds.
     pub run_s: f64,
-    /// Each task runs by so much longer than the one before.
+    /// Difference between the run times of a task and the one before it, in seconds.
     pub run_increment_s: f64,
-    /// Its tasks are replicas: they run until it is cancelled, and one that ends runs again.
+    /// True for a standing job: its tasks are replicas that run until it is cancelled, and one that ends runs again.
     pub standing: bool,
-    /// A task saves within this when it is stopped; 0: it never saves.
+    /// Time that a stopped task needs to write a checkpoint, in seconds; 0 if it makes none.
     pub checkpoint_s: f64,
-    /// The only zone in which its tasks may run, if it names one.
+    /// Zone in which the tasks must run; `None` allows all.
     pub zone: Option<String>,
-    /// Its tasks must all be in one zone.
+    /// True if all tasks must run in the same zone, which can be any zone.
     pub same_zone: bool,
-    /// No zone may have more than half of its tasks.
+    /// True if the tasks must be spread: no zone may run more than half of them, rounded up.
     pub spread: bool,
-    /// Its tasks may run on spot machines.
+    /// True if the tasks may run on spot machines.
     pub spot: bool,
-    /// Its priority, by the name on the wire.
+    /// Name of the priority on the wire.
     pub priority: &'static str,
 }
 
 impl JobPlan {
-    /// An array of team `a`, with no demands on places.
+    /// Job array of team `a` whose tasks may run on any machine.
     pub fn new(id: u32, tasks: u32, cpus: f64, run_s: f64) -> JobPlan {
         JobPlan {
             id: format!("run-{id}"),
@@ -54,49 +54,49 @@
     }
 }
 
-/// Where a task is.
+/// Machine on which a task runs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// True for a spot machine.
     pub spot: bool,
 }
 
-/// What a user asks a controller.
+/// Kind of a user's request to a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// The submission of the job, perhaps once more.
+    /// Submission of the job, possibly repeated.
     Submit,
-    /// A body with the job's name that can't be accepted by itself.
+    /// Submission with the job's id whose body is malformed, so that it can't be accepted.
     MalformedSubmit,
-    /// How far the job is.
+    /// Query of the job's state.
     Status,
-    /// To cancel the job.
+    /// Cancellation of the job.
     Cancel,
 }
 
-/// An answer that a user got in time.
+/// Answer that a user received before the timeout of the request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// What was asked.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// The controller that was asked.
+    /// Number of the controller that got the request.
     pub node: usize,
-    /// When the question was sent.
+    /// Time at which the request was sent.
     pub sent: Time,
-    /// When the answer arrived.
+    /// Time at which the answer arrived.
     pub got: Time,
-    /// The HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// The job's state, if the answer tells one.
+    /// State of the job, if the answer contains one.
     pub state: Option<String>,
 }
 
 impl Answer {
-    /// The final state that it tells, if it tells one.
+    /// State of the job, if the answer contains one and it is final.
     pub(crate) fn final_state(&self) -> Option<&str> {
         let state = self.state.as_deref();
         state.filter(|state| matches!(*state, "done" | "cancelled"))
--- a/crates/simulation/src/older_version.rs
+++ b/crates/simulation/src/older_version.rs
@@ -1,6 +1,6 @@
-//! A controller of the version in production that takes the lead for a while, as far as the records show
-//! it: it raises the term in the form that it knows, drops the claims of jobs that it can't read, and writes
-//! pages as large as values may be before the limits are lowered.
+//! Imitation of a controller of the version in production that leads for a while, as far as it shows in the records:
+//! it raises the term in the format that it knows, drops the claims of jobs that it can't read, and writes pages as
+//! large as values may be before the limits are lowered.
 
 use crate::fake_store::FakeStore;
 use crate::scheduler::secs;
@@ -15,59 +15,61 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often it looks whether the lead is free.
+/// Interval at which it checks whether the leadership is free, in microseconds.
 const POLL_INTERVAL_US: u64 = 20_000;
 
-/// The counter of terms as that version reads and writes it.
+/// Term record in the format of the version in production.
 #[derive(Serialize, Deserialize)]
 struct OlderTerm {
     term: u64,
 }
 
+/// Transaction in the store's format.
 #[derive(Serialize)]
 struct Transaction {
     guards: Vec<Precondition>,
     apply: Vec<Change>,
 }
 
-/// The node's process ends, and comes back as one of that version, which leads for so long as soon as it
-/// can; then the newer one is back.
-pub fn lead(sim: &Arc<Simulation>, n: usize, span: f64) {
-    sim.crash(n, span + 20.0);
+/// Replaces the process of a node by one of the version in production, which takes the leadership as soon as it can
+/// and leads for `span` seconds. The process of the present version starts `span` + 20 seconds from now.
+pub fn lead(sim: &Arc<Simulation>, node: usize, span: f64) {
+    sim.crash(node, span + 20.0);
     let give_up = sim.now() + secs(18.0);
-    poll_for_lead(sim, n, span, give_up);
+    poll_for_lead(sim, node, span, give_up);
 }
 
-fn poll_for_lead(sim: &Arc<Simulation>, n: usize, span: f64, give_up: u64) {
-    if !try_take_lead(sim, n, span) && sim.now() < give_up {
+/// Tries to take the leadership at intervals until it succeeds or the time `give_up` has come.
+fn poll_for_lead(sim: &Arc<Simulation>, node: usize, span: f64, give_up: u64) {
+    if !try_take_lead(sim, node, span) && sim.now() < give_up {
         sim.after(POLL_INTERVAL_US, move |sim| {
-            poll_for_lead(sim, n, span, give_up)
+            poll_for_lead(sim, node, span, give_up)
         });
     }
 }
 
-/// Takes the lead, if it is free and the term can be read.
-fn try_take_lead(sim: &Arc<Simulation>, n: usize, span: f64) -> bool {
+/// Takes the leadership if it is free and the term record can be read; true if it did.
+fn try_take_lead(sim: &Arc<Simulation>, node: usize, span: f64) -> bool {
     let now = Duration::from_micros(sim.now());
     {
         let mut state = sim.state();
-        let keys = &mut state.store;
-        let Some((data, revision, _)) = keys.rows.get("term").cloned() else {
+        let store = &mut state.store;
+        let Some((data, revision, _)) = store.rows.get("term").cloned() else {
             return false;
         };
         let Some(OlderTerm { term }) = from_value(&data) else {
             return false;
         };
-        if keys.data("leader").is_some() {
+        if store.data("leader").is_some() {
             return false;
         }
         let life = encode(&to_value(&Life {
             life_ms: (span * 1000.0) as u64,
         }));
-        let (_, body) = keys.call("POST", "/holds", &life, now);
+        let (_, body) = store.call("POST", "/holds", &life, now);
         let Permit { permit } = decode(&body).unwrap();
         let leader = LeaderRecord {
-            node: format!("n-{n}"),
+            node: format!("n-{node}"),
             term: term + 1,
             lease_id: permit,
         };
@@ -79,39 +81,40 @@
                 lease_id: Some(permit),
             },
         ];
-        apply.extend(rewritten_claims(keys));
+        apply.extend(rewritten_claims(store));
         let guards = vec![
             Precondition::new("leader", 0),
             Precondition::new("term", revision),
         ];
         let body = encode(&to_value(&Transaction { guards, apply }));
-        let (status, _) = keys.call("POST", "/multi", &body, now);
+        let (status, _) = store.call("POST", "/multi", &body, now);
         assert_eq!(status, 200);
     }
     sim.store_changed();
     true
 }
 
-/// All claims but those of jobs that the version in production can't read, on pages of 64 entries.
-fn rewritten_claims(keys: &FakeStore) -> Vec<Change> {
-    let unknown = |id: &str| {
-        let job = keys.data(&format!("jobs/{id}"));
+/// Changes that rewrite all claims, except those of jobs that the version in production can't read, on pages of
+/// [`PAGE_ENTRIES`] entries.
+fn rewritten_claims(store: &FakeStore) -> Vec<Change> {
+    let is_unreadable = |id: &str| {
+        let job = store.data(&format!("jobs/{id}"));
         job.is_some_and(|data| kind_of(&data) != "array")
     };
-    let stored: Vec<&String> = keys
+    let stored: Vec<&String> = store
         .rows
         .keys()
         .filter(|key| key.starts_with("claims/"))
         .collect();
     let mut claims: BTreeMap<String, u32> = BTreeMap::new();
     for key in &stored {
-        let entries: Vec<(String, u32)> = from_value(&keys.rows[*key].0).unwrap();
+        let entries: Vec<(String, u32)> = from_value(&store.rows[*key].0).unwrap();
         for (id, below) in entries {
             let known = claims.entry(id).or_insert(0);
             *known = below.max(*known);
         }
     }
-    claims.retain(|id, _| !unknown(id));
+    claims.retain(|id, _| !is_unreadable(id));
     let claims: Vec<(String, u32)> = claims.into_iter().collect();
     let pages = claims.chunks(PAGE_ENTRIES).enumerate();
     let written = pages.map(|(n, page)| Change::write(format!("claims/{n}"), to_value(&page)));
@@ -119,6 +122,7 @@
     deleted.chain(written).collect()
 }
 
+/// Kind of a job by its record; empty if the record can't be decoded.
 fn kind_of(data: &Value) -> String {
     #[derive(Deserialize)]
     struct Job {
@@ -128,12 +132,14 @@
     from_value::<Job>(data).map_or(String::new(), |job| job.kind)
 }
 
+/// Body of a request for a lease.
 #[derive(Serialize)]
 struct Life {
     #[serde(rename = "lifeMs")]
     life_ms: u64,
 }
 
+/// Response to a request for a lease.
 #[derive(Deserialize)]
 struct Permit {
     permit: u64,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan on many seeds at once.
+//! Runs of a test plan with many seeds in parallel.
 
 use crate::scheduler;
 use crate::setup::Setup;
@@ -7,7 +7,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
-/// Room to play one model: whatever tests run at once, no more than there are processors.
+/// Permit to run one simulation. The tests of a process share as many permits as there are processors, so that
+/// tests that run in parallel don't run more simulations than that at once.
 struct Permit;
 
 static PERMITS_TAKEN: Mutex<usize> = Mutex::new(0);
@@ -34,8 +35,12 @@
     }
 }
 
-/// Runs a simulation with each seed, or with the one that `MODEL_SEED` names, several at once, and
-/// returns how each ended. No rule may break in any.
+/// Runs a simulation with each seed from 1 to `seeds`, or only with the seed in the environment variable
+/// `MODEL_SEED`, and returns the summaries in the order of the seeds. Simulations run in parallel.
+///
+/// # Panics
+///
+/// If a rule was violated in any of the simulations.
 #[track_caller]
 pub fn run(
     seeds: u64,
@@ -46,24 +51,29 @@
         Ok(seed) => vec![seed.parse().unwrap()],
         Err(_) => (1..=seeds).collect(),
     };
-    let ends = run_seeds(&seeds, setup, plan);
-    let mut broken = Vec::new();
-    for (seed, end) in seeds.iter().zip(&ends) {
-        println!("seed {seed}: {end:?}");
-        broken.extend(end.violations.iter().map(|b| format!("seed {seed}: {b}")));
+    let summaries = run_seeds(&seeds, setup, plan);
+    let mut violations = Vec::new();
+    for (seed, summary) in seeds.iter().zip(&summaries) {
+        println!("seed {seed}: {summary:?}");
+        violations.extend(
+            summary
+                .violations
+                .iter()
+                .map(|v| format!("seed {seed}: {v}")),
+        );
     }
-    assert!(broken.is_empty(), "{broken:#?}");
-    ends
+    assert!(violations.is_empty(), "{violations:#?}");
+    summaries
 }
 
-/// Runs a simulation with each of these seeds, several at once; how each ended, in their order.
+/// Runs a simulation with each of these seeds in parallel, and returns the summaries ordered by seed.
 pub fn run_seeds(
     seeds: &[u64],
     setup: &Setup,
     plan: impl Fn(&Arc<Simulation>, &mut fastrand::Rng) + Sync,
 ) -> Vec<Summary> {
     let next = AtomicUsize::new(0);
-    let ends: Mutex<Vec<(u64, Summary)>> = Mutex::default();
+    let summaries: Mutex<Vec<(u64, Summary)>> = Mutex::default();
     std::thread::scope(|scope| {
         let workers = std::thread::available_parallelism().map_or(2, |n| n.get());
         for _ in 0..workers.min(seeds.len()) {
@@ -72,13 +82,13 @@
                     let _permit = Permit::acquire();
                     let sim = Simulation::new(*seed, setup.clone());
                     plan(&sim, &mut fastrand::Rng::with_seed(*seed));
-                    let end = sim.finish();
-                    scheduler::lock(&ends).push((*seed, end));
+                    let summary = sim.finish();
+                    scheduler::lock(&summaries).push((*seed, summary));
                 }
             });
         }
     });
-    let mut ends = std::mem::take(&mut *scheduler::lock(&ends));
-    ends.sort_by_key(|(seed, _)| *seed);
-    ends.into_iter().map(|(_, end)| end).collect()
+    let mut summaries = std::mem::take(&mut *scheduler::lock(&summaries));
+    summaries.sort_by_key(|(seed, _)| *seed);
+    summaries.into_iter().map(|(_, summary)| summary).collect()
 }
--- a/crates/simulation/src/scheduler.rs
+++ b/crates/simulation/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Simulated time: threads that run one at a time, and events, in a command that only the seed decides.
+//! Simulated time: runs threads, one at a time, and events in an order that depends on the seed alone.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -9,12 +9,12 @@
 /// Microseconds since the simulation began.
 pub type Time = u64;
 
-/// Seconds as simulated time.
+/// Converts seconds to simulated time.
 pub fn secs(s: f64) -> Time {
     (s * 1e6) as Time
 }
 
-/// Locks, also after a panic of another holder.
+/// Locks a mutex, also if another holder panicked.
 pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -22,11 +22,13 @@
 type Work = Box<dyn FnOnce() + Send>;
 
 enum Event {
-    /// Wakes a task, if it still sleeps the sleep that this was made for.
+    /// Wakes the task with the first number if its current sleep has the second number.
     Wake(u64, u64),
+    /// Runs a function in the thread of the scheduler.
     Run(Work),
 }
 
+/// Side that runs now: the task or the scheduler.
 #[derive(PartialEq)]
 enum Turn {
     Task,
@@ -35,7 +37,7 @@
 
 struct TaskState {
     turn: Turn,
-    /// Counts sleeps.
+    /// Number of sleeps that the task has begun.
     sleep: u64,
     killed: bool,
     finished: bool,
@@ -43,13 +45,13 @@
 
 struct Task {
     id: u64,
-    /// The process that it belongs to.
+    /// Number of the simulated process that the task belongs to.
     process: u64,
     state: Mutex<TaskState>,
-    turned: Condvar,
+    turn_changed: Condvar,
 }
 
-/// How a killed task ends: it unwinds from where it sleeps.
+/// Panic payload of a killed task, which unwinds from its current sleep.
 struct Killed;
 
 thread_local! {
@@ -59,15 +61,17 @@
 #[derive(Default)]
 struct Inner {
     queue: BTreeMap<(Time, u64), Event>,
-    order: u64,
+    /// Number of events that were scheduled. It orders events of the same time.
+    scheduled: u64,
     tasks: HashMap<u64, Arc<Task>>,
     next_task: u64,
-    /// Processes that stand still, and until when.
+    /// Frozen processes, with the time at which each resumes.
     frozen: HashMap<u64, Time>,
     panics: Vec<String>,
 }
 
-/// Runs threads one at a time and events in the order of simulated time, and of their making where that is equal.
+/// Runs threads, one at a time, and events in the order of simulated time. Events of the same time run in the order
+/// in which they were scheduled.
 #[derive(Default)]
 pub struct DeterministicScheduler {
     now: AtomicU64,
@@ -75,24 +79,24 @@
 }
 
 impl DeterministicScheduler {
-    /// The simulated time.
+    /// Current simulated time.
     pub fn now(&self) -> Time {
         self.now.load(Ordering::Relaxed)
     }
 
     fn push(&self, at: Time, event: Event) {
         let mut inner = lock(&self.inner);
-        inner.order += 1;
-        let key = (at.max(self.now()), inner.order);
+        inner.scheduled += 1;
+        let key = (at.max(self.now()), inner.scheduled);
         inner.queue.insert(key, event);
     }
 
-    /// Does this work then.
+    /// Schedules `work` at a point in simulated time, or now if that has passed.
     pub fn at(&self, at: Time, work: impl FnOnce() + Send + 'static) {
         self.push(at, Event::Run(Box::new(work)));
     }
 
-    /// Starts a thread of a process.
+    /// Starts a thread of a simulated process. Its thread-local random generator is seeded with `seed`.
     pub fn spawn(self: &Arc<Self>, process: u64, seed: u64, work: Work) {
         let task = {
             let mut inner = lock(&self.inner);
@@ -106,7 +110,7 @@
                     killed: false,
                     finished: false,
                 }),
-                turned: Condvar::new(),
+                turn_changed: Condvar::new(),
             });
             inner.tasks.insert(task.id, task.clone());
             task
@@ -130,16 +134,16 @@
             let mut state = lock(&this.state);
             state.finished = true;
             state.turn = Turn::Scheduler;
-            this.turned.notify_all();
+            this.turn_changed.notify_all();
         });
         spawned.unwrap();
         self.push(self.now(), Event::Wake(task.id, 0));
     }
 
-    /// Sleeps until woken by [`DeterministicScheduler::wake`], at the latest until then.
+    /// Sleeps until [`DeterministicScheduler::wake`] ends the sleep, but no longer than until `at`.
     pub fn sleep_until(&self, at: Time) {
         let task = CURRENT.with(|c| c.borrow().clone());
-        let task = task.expect("only tasks of the model sleep");
+        let task = task.expect("the caller is not a simulated thread");
         let sleep = {
             let mut state = lock(&task.state);
             state.sleep += 1;
@@ -149,34 +153,38 @@
         task.yield_turn();
     }
 
-    /// The running task and the sleep that it will sleep next, for whoever is to wake it.
+    /// Numbers of the running task and of its next sleep, which [`DeterministicScheduler::wake`] needs to end it.
     pub fn sleeper(&self) -> (u64, u64) {
         let task = CURRENT.with(|c| c.borrow().clone());
-        let task = task.expect("only tasks of the model sleep");
+        let task = task.expect("the caller is not a simulated thread");
         let sleep = lock(&task.state).sleep + 1;
         (task.id, sleep)
     }
 
-    /// Wakes a task from that sleep then, if it still sleeps it.
+    /// Wakes a task at `at` if it is still in the sleep that `sleeper` names.
     pub fn wake(&self, sleeper: (u64, u64), at: Time) {
         self.push(at, Event::Wake(sleeper.0, sleeper.1));
     }
 
+    /// Lets a task run until it sleeps or ends.
     fn resume(&self, task: &Arc<Task>) {
         let mut state = lock(&task.state);
         state.turn = Turn::Task;
-        task.turned.notify_all();
+        task.turn_changed.notify_all();
         while state.turn == Turn::Task {
-            state = task.turned.wait(state).unwrap_or_else(|e| e.into_inner());
+            state = task
+                .turn_changed
+                .wait(state)
+                .unwrap_or_else(|e| e.into_inner());
         }
-        let over = state.finished;
+        let finished = state.finished;
         drop(state);
-        if over {
+        if finished {
             lock(&self.inner).tasks.remove(&task.id);
         }
     }
 
-    /// Ends a process: its threads do nothing more.
+    /// Ends the threads of a process.
     pub fn kill(&self, process: u64) {
         let tasks: Vec<Arc<Task>> = {
             let mut inner = lock(&self.inner);
@@ -192,18 +200,22 @@
         }
     }
 
-    /// Threads of a process do not run until then.
+    /// Freezes a process: its threads don't run before `until`.
     pub fn freeze(&self, process: u64, until: Time) {
         lock(&self.inner).frozen.insert(process, until);
     }
 
-    /// Until when a process stands still, if it does.
+    /// Time until which a process is frozen, if it is frozen now.
     pub fn frozen_until(&self, process: u64) -> Option<Time> {
         let until = lock(&self.inner).frozen.get(&process).copied()?;
         (until > self.now()).then_some(until)
     }
 
-    /// Runs everything up to then.
+    /// Runs all threads and events that are due up to `end`.
+    ///
+    /// # Panics
+    ///
+    /// If a simulated thread has panicked.
     pub fn run_until(&self, end: Time) {
         loop {
             let event = {
@@ -237,7 +249,7 @@
         self.now.store(end, Ordering::Relaxed);
     }
 
-    /// Ends everything.
+    /// Ends all threads and drops all events.
     pub fn shut_down(&self) {
         let processes: std::collections::BTreeSet<u64> = {
             let inner = lock(&self.inner);
@@ -251,23 +263,27 @@
 }
 
 impl Task {
-    /// Gives the turn back and waits for the next one.
+    /// Lets the scheduler run and waits for the task's next turn.
     fn yield_turn(&self) {
         let mut state = lock(&self.state);
         if state.killed {
-            // Something that unwinds would sleep.
+            // A destructor that runs while the killed task unwinds must not sleep.
             return;
         }
         state.turn = Turn::Scheduler;
-        self.turned.notify_all();
+        self.turn_changed.notify_all();
         drop(state);
         self.await_turn();
     }
 
+    /// Waits for the task's turn; unwinds if the task was killed.
     fn await_turn(&self) {
         let mut state = lock(&self.state);
         while state.turn == Turn::Scheduler {
-            state = self.turned.wait(state).unwrap_or_else(|e| e.into_inner());
+            state = self
+                .turn_changed
+                .wait(state)
+                .unwrap_or_else(|e| e.into_inner());
         }
         if state.killed {
             drop(state);
--- a/crates/simulation/src/setup.rs
+++ b/crates/simulation/src/setup.rs
@@ -1,39 +1,39 @@
-//! What a simulation is made of.
+//! Configuration of a simulated cluster.
 
-/// A worker's lease, in seconds.
+/// Duration of a worker's lease, in seconds.
 pub const LEASE_S: f64 = 16.0;
 
-/// The time for a cancellation, in seconds.
+/// Time within which all tasks of a cancelled job must have stopped, in seconds.
 pub const CANCEL_S: f64 = 41.0;
 
-/// Time between two heartbeats of a worker, in seconds.
+/// Interval between two heartbeats of a worker, in seconds.
 pub const HEARTBEAT_S: f64 = 3.0;
 
-/// Requests per second that the cloud takes.
+/// Maximum rate of requests that the cloud accepts, per second.
 pub const CLOUD_RPS: f64 = 5.0;
 
-/// What a simulation is made of.
+/// Configuration of a simulated cluster.
 #[derive(Clone)]
 pub struct Setup {
-    /// How many controllers there are.
+    /// Number of controllers.
     pub nodes: usize,
-    /// (type, zone, spot, how many) that are up at the start.
+    /// Machines that are up at the start: machine type, zone, whether they are spot machines, and their number.
     pub machines: Vec<(&'static str, &'static str, bool, usize)>,
-    /// Team and its limit in CPUs; half of it is guaranteed.
+    /// Teams and their limits in CPUs. Half of each limit is guaranteed.
     pub teams: Vec<(&'static str, f64)>,
-    /// Machines that the cloud has at most, of each kind and zone.
+    /// Maximum number of machines that the cloud provides in each zone.
     pub capacity: usize,
-    /// How long a machine boots, about, in seconds.
+    /// Mean boot time of a machine, in seconds; drawn times vary by half of it.
     pub boot_s: f64,
-    /// How long an image takes to arrive, about, in seconds.
+    /// Typical time to fetch an image, in seconds; drawn times are between half and twice of it.
     pub fetch_s: f64,
-    /// Changes per second, by the controllers' settings.
+    /// Maximum rate of changes in the key-value store according to the controllers' settings, per second.
     pub write_rps: f64,
-    /// The leader's lease, in milliseconds.
+    /// Duration of the leader's lease, in milliseconds.
     pub leader_lease_ms: u64,
-    /// Limits of the key-value store to come, as the settings tell them.
+    /// Announced next limits of the key-value store, as the fields of `state.next` in the controllers' settings.
     pub next_store_limits: &'static str,
-    /// Further flags of the controllers with these numbers.
+    /// Additional command-line flags of the controller with this number.
     pub flags: fn(usize) -> &'static [&'static str],
 }
 
--- a/crates/simulation/src/sim_http.rs
+++ b/crates/simulation/src/sim_http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of a controller: to the store, the cloud and workers; and of users and workers to it.
+//! HTTP calls of controllers to the store, the cloud and workers, and of users to controllers.
 
 use crate::fake_store::Watch;
 use crate::pending_call::Slot;
@@ -14,10 +14,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// HTTP client of a simulated controller for one address.
 pub(crate) struct SimHttp {
     pub(crate) simulation: Arc<Simulation>,
+    /// Number of the calling controller.
     pub(crate) node: usize,
+    /// Address of the called service; its port tells the kind of service.
     pub(crate) addr: SocketAddr,
+    /// True if there is a connection to the worker with this address.
     pub(crate) connected: AtomicBool,
 }
 
@@ -42,9 +46,9 @@
             2379 => {
                 let slot = Slot::new(&self.simulation);
                 let there = self.simulation.latency();
-                let (n, to) = (self.node, slot.clone());
+                let (node, to) = (self.node, slot.clone());
                 self.simulation
-                    .after(there, move |sim| sim.store_receives(n, request, to));
+                    .after(there, move |sim| sim.store_receives(node, request, to));
                 slot.wait(&self.simulation, timeout)
             }
             8443 => {
@@ -60,13 +64,13 @@
             }
             _ => return self.call_worker(&request.body, timeout),
         };
-        self.received(answer)
+        self.call_result(answer)
     }
 }
 
 impl SimHttp {
-    /// The response that arrived, or else the end of its time.
-    pub(crate) fn received(
+    /// Result of a call: the response that arrived, or the timeout.
+    pub(crate) fn call_result(
         &self,
         answer: Option<(u16, Vec<u8>)>,
     ) -> Result<ClientResponse, CallError> {
@@ -77,13 +81,14 @@
         })
     }
 
+    /// Sends direct commands to a worker. Fails with `Unreachable` if no connection can be opened before the timeout.
     pub(crate) fn call_worker(
         &self,
         body: &[u8],
         timeout: Duration,
     ) -> Result<ClientResponse, CallError> {
-        let reached = self.simulation.can_connect_to_worker(self.node, self.addr);
-        if !reached && !self.connected.load(Ordering::Relaxed) {
+        let is_reachable = self.simulation.can_connect_to_worker(self.node, self.addr);
+        if !is_reachable && !self.connected.load(Ordering::Relaxed) {
             let until = self.simulation.now() + timeout.as_micros() as Time;
             self.simulation.scheduler.sleep_until(until);
             return Err(CallError::Unreachable {
@@ -94,10 +99,10 @@
         self.connected.store(true, Ordering::Relaxed);
         let slot = Slot::new(&self.simulation);
         let there = self.simulation.latency();
-        let (to, n, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
+        let (to, node, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
         self.simulation.after(there, move |sim| {
             sim.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
-            sim.commands_sent(n, addr, body, move |sim, answer| {
+            sim.commands_sent(node, addr, body, move |sim, answer| {
                 to.arrive(sim, sim.latency(), answer);
             });
         });
@@ -105,39 +110,40 @@
         if answer.is_none() {
             self.connected.store(false, Ordering::Relaxed);
         }
-        self.received(answer)
+        self.call_result(answer)
     }
 }
 
 impl Simulation {
-    /// A request reaches a node: its answer, if any, comes back through `then`.
+    /// Sends a request to a node. `then` gets the response, or `None` if the node is down when the request arrives.
     pub fn call_node(
         self: &Arc<Self>,
-        n: usize,
+        node: usize,
         request: Request,
         then: impl FnOnce(&Arc<Simulation>, Option<Response>) + Send + 'static,
     ) {
         let there = self.latency();
         self.after(there, move |sim| {
-            let (process, node) = {
+            let (process, controller) = {
                 let state = sim.state();
-                (state.nodes[n].process, state.nodes[n].node.clone())
+                let node = &state.nodes[node];
+                (node.process, node.controller.clone())
             };
-            let (Some(process), Some(node)) = (process, node) else {
+            let (Some(process), Some(controller)) = (process, controller) else {
                 return then(sim, None);
             };
             let seed = sim.state().rng.u64(..);
             let simulation = sim.clone();
             let work = move || {
-                let os = node.os.clone();
+                let os = controller.os.clone();
                 let asked = Request {
                     method: request.method.clone(),
                     path: request.path.clone(),
                     body: request.body.clone(),
                 };
-                let response = node
+                let response = controller
                     .handle_without_blocking(request)
-                    .unwrap_or_else(|r| node.handle(r));
+                    .unwrap_or_else(|r| controller.handle(r));
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
--- a/crates/simulation/src/sim_peer.rs
+++ b/crates/simulation/src/sim_peer.rs
@@ -1,4 +1,4 @@
-//! Calls from one controller to another.
+//! Calls between simulated controllers.
 
 use crate::directions::Endpoint;
 use crate::pending_call::Slot;
@@ -10,23 +10,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Transport of one controller to another.
 pub(crate) struct SimPeer {
     pub(crate) simulation: Arc<Simulation>,
+    /// Number of the calling controller.
     pub(crate) from: usize,
+    /// Number of the called controller.
     pub(crate) to: usize,
 }
 
 impl SimPeer {
-    /// Requests don't get through now. Replies may be lost on their way all the same.
+    /// True if requests are lost now. Replies can be lost even if requests are not.
     fn is_request_cut(&self) -> bool {
         let simulation = &self.simulation;
         let now = simulation.now();
         let zones = [self.from, self.to].map(|n| simulation.zone_of_node(n));
-        let joined = simulation.zones_connected(zones[0], zones[1]);
+        let is_connected = simulation.zones_connected(zones[0], zones[1]);
         let state = simulation.state();
         let cut = |n: usize| state.nodes[n].peers_cut_until > now;
         let (from, to) = (Endpoint::Node(self.from), Endpoint::Node(self.to));
-        !joined || cut(self.from) || cut(self.to) || state.is_cut(from, to, now)
+        !is_connected || cut(self.from) || cut(self.to) || state.is_cut(from, to, now)
     }
 }
 
@@ -50,7 +53,7 @@
     }
 }
 
-/// A request reaches the other controller, whose process answers it on a thread of its own.
+/// Delivers a request to the called controller, whose process answers it on a thread of its own.
 fn peer_receives(
     simulation: &Arc<Simulation>,
     from: usize,
@@ -58,11 +61,11 @@
     request: PeerRequest,
     reply_to: Arc<Slot<std::io::Result<PeerReply>>>,
 ) {
-    let (process, node) = {
+    let (process, controller) = {
         let state = simulation.state();
-        (state.nodes[to].process, state.nodes[to].node.clone())
+        (state.nodes[to].process, state.nodes[to].controller.clone())
     };
-    let (Some(process), Some(node)) = (process, node) else {
+    let (Some(process), Some(controller)) = (process, controller) else {
         let refused = Err(std::io::Error::from(ErrorKind::ConnectionRefused));
         return reply_to.arrive(simulation, simulation.latency(), refused);
     };
@@ -70,7 +73,7 @@
     let sim = simulation.clone();
     let work = move || {
         let asked = borsh::to_vec(&request).unwrap();
-        let reply = node.answer_peer(request);
+        let reply = controller.answer_peer(request);
         let replied = borsh::to_vec(&reply).unwrap();
         sim.note_message(Channel::Peer, &[&[from as u8, to as u8], &asked, &replied]);
         let back = sim.latency();
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Several controllers, and all that they talk to, in one process on simulated time.
+//! Simulation of several controllers and the services that they talk to, in one process on simulated time.
 
 use crate::checker::{Checker, JobPlan};
 use crate::cloud_state::CloudState;
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// One cluster on simulated time.
+/// Cluster on simulated time.
 pub struct Simulation {
-    /// What runs its threads and events.
+    /// Scheduler of the simulation's threads and events.
     pub scheduler: Arc<DeterministicScheduler>,
-    /// What it is made of.
+    /// Configuration of the cluster.
     pub setup: Setup,
     pub(crate) state: Mutex<SimulationState>,
 }
 
 impl Simulation {
-    /// A cluster whose controllers start now; the seed decides everything that is drawn.
+    /// Creates a cluster and starts its machines and controllers. All random draws depend on the seed alone.
     pub fn new(seed: u64, setup: Setup) -> Arc<Simulation> {
         let limits = setup.teams.clone();
         let simulation = Arc::new(Simulation {
@@ -61,29 +61,29 @@
                 simulation.add_machine(type_name, zone, spot, 0);
             }
         }
-        for n in 0..simulation.setup.nodes {
-            simulation.start_node(n);
+        for node in 0..simulation.setup.nodes {
+            simulation.start_node(node);
         }
         simulation.check_time_limits_periodically();
         simulation
     }
 
-    /// The world's state. Never held while a controller's code runs.
+    /// Locks the state of the simulation. The lock must not be held while a controller's code runs.
     pub fn state(&self) -> MutexGuard<'_, SimulationState> {
         lock(&self.state)
     }
 
-    /// The simulated time.
+    /// Current simulated time.
     pub fn now(&self) -> Time {
         self.scheduler.now()
     }
 
-    /// The simulated time, as a duration.
+    /// Simulated time since the start, as a duration.
     pub fn since_start(&self) -> Duration {
         Duration::from_micros(self.now())
     }
 
-    /// Part of a test's plan: nothing is over before it.
+    /// Schedules a step of a test at this second. The simulation doesn't finish before its last step.
     pub fn at(
         self: &Arc<Self>,
         seconds: f64,
@@ -96,7 +96,7 @@
         self.at_time(secs(seconds), work);
     }
 
-    /// Does this work then.
+    /// Schedules `work` at a point in simulated time.
     pub fn at_time(
         self: &Arc<Self>,
         at: Time,
@@ -106,7 +106,7 @@
         self.scheduler.at(at, move || work(&simulation));
     }
 
-    /// Does this work after so long.
+    /// Schedules `work` after a span of simulated time.
     pub fn after(
         self: &Arc<Self>,
         span: Time,
@@ -115,7 +115,7 @@
         self.at_time(self.now() + span, work);
     }
 
-    /// A time in this range, drawn.
+    /// Draws a random time from this range.
     pub fn random(&self, range: std::ops::Range<Time>) -> Time {
         self.state().rng.u64(range)
     }
@@ -126,7 +126,8 @@
         self.state().transcript.add(now, channel, parts);
     }
 
-    /// One way through the network.
+    /// Draws the latency of one message: 0.2 to 1.5 ms, and for one message in 50, 2 to 40 ms. It is multiplied by
+    /// the state's `latency_factor`.
     pub fn latency(&self) -> Time {
         let mut state = self.state();
         let span = match state.rng.u32(0..50) {
@@ -136,19 +137,19 @@
         span * state.latency_factor
     }
 
-    /// Looks at the rules now and then.
+    /// Checks the rules that have time limits now, and schedules the next check after half a second.
     pub(crate) fn check_time_limits_periodically(self: &Arc<Self>) {
         let now = self.now();
         self.state().checker.check_time_limits(now);
         self.after(secs(0.5), |sim| sim.check_time_limits_periodically());
     }
 
-    /// A user submits this job at that second.
+    /// Schedules the submission of a job by a user at this second.
     pub fn submit(self: &Arc<Self>, at: f64, plan: JobPlan) {
         self.at(at, move |sim| sim.user_submits(plan));
     }
 
-    /// Runs up to this second.
+    /// Runs the simulation up to this second.
     pub fn run(&self, seconds: f64) -> &Self {
         self.scheduler.run_until(secs(seconds));
         self
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,4 +1,4 @@
-//! What changes in a simulation: the services, machines, users and controllers, and the faults in force.
+//! Mutable state of a simulation: services, machines, users, controllers, and the faults in effect.
 
 use crate::checker::{Checker, JobPlan};
 use crate::cloud_state::CloudState;
@@ -16,107 +16,110 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One controller, as the simulation sees it. Faults last until the time of their field.
+/// Simulated controller. Each `_until` field is the time at which a fault of this controller ends.
 #[derive(Default)]
 pub struct NodeState {
-    /// Which of its processes runs, if one does.
+    /// Number of the running process; `None` while the controller is down.
     pub process: Option<u64>,
-    /// The running process's controller.
-    pub node: Option<Arc<Controller>>,
-    /// The store refuses its requests.
+    /// Controller object of the running process.
+    pub controller: Option<Arc<Controller>>,
+    /// End of a fault in which the store refuses its requests.
     pub refused_until: Time,
-    /// It and the store lose each other.
+    /// End of a cut between it and the store.
     pub store_cut_until: Time,
-    /// It and the other controllers lose each other.
+    /// End of a cut between it and the other controllers.
     pub peers_cut_until: Time,
-    /// It and the workers lose each other.
+    /// End of a cut between it and all workers.
     pub workers_cut_until: Time,
 }
 
-/// Transactions without an answer: the share, whether they are carried out at once, until when.
+/// Fault in which some transactions get no answer.
 #[derive(Clone, Copy)]
 pub struct UnansweredWrites {
-    /// The share of transactions.
+    /// Share of the transactions that are affected.
     pub share: f64,
-    /// They are carried out at once, and not later.
+    /// True if they are executed at once, false if later.
     pub at_once: bool,
-    /// When it is over.
+    /// Time at which the fault ends.
     pub until: Time,
 }
 
-/// Copies of reports: the share, whether they are kept for the next leader, until when.
+/// Fault in which some heartbeats are duplicated.
 #[derive(Clone, Copy)]
 pub struct DuplicatedHeartbeats {
-    /// The share of heartbeats.
+    /// Share of the heartbeats that are affected.
     pub share: f64,
-    /// Copies are kept until the next leader begins.
+    /// True if the copies arrive when the next leader is elected, false if after a random delay.
     pub for_next_leader: bool,
-    /// When it is over.
+    /// Time at which the fault ends.
     pub until: Time,
 }
 
-/// Everything that changes in a simulation.
+/// Mutable state of a simulation.
 pub struct SimulationState {
-    /// The key-value store.
+    /// Key-value store.
     pub store: FakeStore,
-    /// The store refuses everybody.
+    /// True while the store refuses all requests.
     pub store_is_down: bool,
-    /// A key that is never there, if not empty.
+    /// Key that is deleted from the store before each request, so that nobody can read it; none if empty.
     pub hidden_key: String,
-    /// Tasks that wait for changes in the key-value store.
+    /// Sleeping tasks (task and sleep numbers) that wait for changes in the key-value store.
     pub watchers: Vec<(u64, u64)>,
-    /// Added to the key-value store's answers.
+    /// Additional delay of the key-value store's answers.
     pub store_delay: Time,
-    /// How many times longer every way takes.
+    /// Factor by which the latency of all messages is multiplied.
     pub latency_factor: Time,
-    /// Transactions that get no answer.
+    /// Fault in which transactions get no answer.
     pub unanswered_writes: Option<UnansweredWrites>,
-    /// Heartbeats that are copied.
+    /// Fault in which heartbeats are duplicated.
     pub duplicated_heartbeats: Option<DuplicatedHeartbeats>,
-    /// Copies of heartbeats for the next leader.
+    /// Copies of heartbeats that arrive when the next leader is elected.
     pub heartbeats_for_next_leader: Vec<Heartbeat>,
-    /// Direct commands that the network holds back.
+    /// Fault in which direct commands are delayed.
     pub(crate) delayed_commands: DelayedCommands,
-    /// The controllers.
+    /// Controllers, by number.
     pub nodes: Vec<NodeState>,
-    /// Zones that the others do not reach, and until when.
+    /// Zones that are cut off from all others, with the end of each cut.
     pub zone_cuts: BTreeMap<String, Time>,
-    /// Cuts of single directions.
+    /// Cuts of single directions of links.
     pub cuts: Cuts,
-    /// All machines that there ever were, by name.
+    /// All machines that were ever created, by name.
     pub machines: BTreeMap<String, Machine>,
-    /// The cloud.
+    /// Cloud.
     pub cloud: CloudState,
-    /// Users, by job.
+    /// Users, by job id.
     pub users: BTreeMap<String, UserJob>,
-    /// The checker of the rules.
+    /// Checker of the protocol's rules.
     pub checker: Checker,
-    /// Draws everything that chance decides, in the order of simulated time.
+    /// Source of all random draws, which are made in the order of simulated time.
     pub rng: fastrand::Rng,
-    /// Processes of controllers so far.
+    /// Number of controller processes started so far.
     pub processes: u64,
-    /// Leaders so far, as the key-value store's records tell.
+    /// Time, term and node of each leader so far, from the leader records in the store.
     pub terms: Vec<(Time, u64, usize)>,
-    /// When machines first saw commands to start, and the term that they were given in.
+    /// For each start command that a machine received for the first time: the time, and the term in which the start
+    /// was decided.
     pub starts_by_term: Vec<(Time, u64)>,
-    /// When the last fault is over, as far as it was said.
+    /// End of the last fault or test step that was recorded.
     pub faults_until: Time,
-    /// All messages so far.
+    /// Digest of all messages so far.
     pub transcript: Transcript,
 }
 
 impl SimulationState {
+    /// Job that a task belongs to.
     pub(crate) fn plan(&self, task_id: &str) -> Option<&JobPlan> {
         Some(&self.users.get(split_task_id(task_id).0)?.plan)
     }
 
+    /// Machine whose worker has this address.
     pub(crate) fn machine_at(&mut self, addr: SocketAddr) -> Option<&mut Machine> {
         self.machines.values_mut().find(|m| m.addr == addr)
     }
 }
 
 impl SimulationState {
-    /// Nothing gets through from one end to the other now.
+    /// True if messages from one endpoint to the other are lost now.
     pub fn is_cut(&self, from: Endpoint, to: Endpoint, now: Time) -> bool {
         self.cuts.blocks(from, to, now)
     }
--- a/crates/simulation/src/store_api.rs
+++ b/crates/simulation/src/store_api.rs
@@ -1,4 +1,4 @@
-//! The key-value store, as controllers reach it.
+//! Access of the simulated controllers to the key-value store.
 
 use crate::directions::Endpoint;
 use crate::fake_store::Watch;
@@ -15,22 +15,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What happens to requests of one controller to the store.
+/// State of the link between one controller and the store at the time of a request.
 struct StoreLink {
-    /// Requests are held back until then.
+    /// Time until which requests are held back.
     cut_until: Time,
+    /// True if the store refuses the request.
     is_refused: bool,
-    /// Added to the way of each response.
+    /// Additional latency of the response.
     delay: Time,
+    /// True if the request is lost.
     loses_request: bool,
+    /// True if the response is lost.
     loses_response: bool,
 }
 
 impl Simulation {
-    /// Something changed in the key-value store: watches, holds and new leaders.
+    /// Reacts to a possible change in the store: ends expired leases and schedules the next expiry, wakes watches,
+    /// and records a new leader.
     pub fn store_changed(self: &Arc<Self>) {
         let now = self.now();
-        let (watchers, next_lease_end, next_leader) = {
+        let (watchers, next_lease_end, kept_heartbeats) = {
             let mut state = self.state();
             if !state.store_is_down {
                 state.store.expire(Duration::from_micros(now));
@@ -42,8 +46,8 @@
             if let Some(record) = record
                 && state.terms.last().is_none_or(|t| t.1 != record.term)
             {
-                let n = record.node.strip_prefix("n-").unwrap().parse().unwrap();
-                state.terms.push((now, record.term, n));
+                let node = record.node.strip_prefix("n-").unwrap().parse().unwrap();
+                state.terms.push((now, record.term, node));
                 kept = std::mem::take(&mut state.heartbeats_for_next_leader);
             }
             (watchers, state.store.next_lease_end(), kept)
@@ -52,31 +56,31 @@
             self.scheduler.wake(sleeper, now + 100 + 50 * i as Time);
         }
         if let Some(end) = next_lease_end {
-            // It may end up to 100 ms late.
+            // The store ends a lease up to 100 ms after its expiry.
             let late = self.random(0..100_000);
             self.at_time(end.as_micros() as Time + late, |sim| {
                 let now = sim.since_start();
-                let over = {
+                let has_expired = {
                     let mut state = sim.state();
                     !state.store_is_down && state.store.expire(now)
                 };
-                if over {
+                if has_expired {
                     sim.store_changed();
                 }
             });
         }
-        // Old reports reach every controller as a new leader begins.
-        for report in next_leader {
-            for n in 0..self.setup.nodes {
-                let (sim, report) = (self.clone(), report.clone());
+        // The duplicated heartbeats reach every controller within 3 seconds of the new leader's election.
+        for heartbeat in kept_heartbeats {
+            for node in 0..self.setup.nodes {
+                let (sim, heartbeat) = (self.clone(), heartbeat.clone());
                 let at = now + self.random(0..3_000_000);
                 self.scheduler
-                    .at(at, move || sim.heartbeat_copy_arrives(n, &report));
+                    .at(at, move || sim.heartbeat_copy_arrives(node, &heartbeat));
             }
         }
     }
 
-    /// Puts a record into the key-value store, as if a controller had written it.
+    /// Writes a record to the key-value store, as if a controller had written it.
     pub fn write_record(self: &Arc<Self>, key: &str, value: &impl serde::Serialize) {
         let change = cbor!({"write" => key, "data" => to_value(value)}).unwrap();
         let none: [u64; 0] = [];
@@ -87,80 +91,81 @@
         self.store_changed();
     }
 
-    /// How a controller reaches the store now, for this request.
-    fn store_link(&self, n: usize, request: &Request) -> StoreLink {
+    /// State of the link between a controller and the store now, for this request.
+    fn store_link(&self, node: usize, request: &Request) -> StoreLink {
         let now = self.now();
         let state = self.state();
-        let node = &state.nodes[n];
-        let writes_refused = request.path == "/multi" && state.cuts.refuses_writes(n, now);
+        let link = &state.nodes[node];
+        let writes_refused = request.path == "/multi" && state.cuts.refuses_writes(node, now);
         StoreLink {
-            cut_until: node.store_cut_until,
-            is_refused: state.store_is_down || node.refused_until > now || writes_refused,
+            cut_until: link.store_cut_until,
+            is_refused: state.store_is_down || link.refused_until > now || writes_refused,
             delay: state.store_delay,
-            loses_request: state.is_cut(Endpoint::Node(n), Endpoint::Store, now),
-            loses_response: state.is_cut(Endpoint::Store, Endpoint::Node(n), now),
+            loses_request: state.is_cut(Endpoint::Node(node), Endpoint::Store, now),
+            loses_response: state.is_cut(Endpoint::Store, Endpoint::Node(node), now),
         }
     }
 
-    /// A request of a node reaches the store, or doesn't.
+    /// Handles a request that a node sent to the store, subject to the faults in effect.
     pub(crate) fn store_receives(
         self: &Arc<Self>,
-        n: usize,
+        node: usize,
         request: Request,
         to: Arc<Slot<(u16, Vec<u8>)>>,
     ) {
-        let link = self.store_link(n, &request);
+        let link = self.store_link(node, &request);
         let back = self.latency() + link.delay;
         if link.cut_until > self.now() {
-            // Held back, and carried out once the way is free.
+            // The request is held back and executed after the cut; its answer is dropped.
             let later = link.cut_until + self.latency();
-            return self.at_time(later, move |sim| drop(sim.carry_out(&request)));
+            return self.at_time(later, move |sim| drop(sim.execute_store_request(&request)));
         }
         if link.loses_request {
             return;
         }
         if link.loses_response {
             if !link.is_refused {
-                drop(self.carry_out(&request));
+                drop(self.execute_store_request(&request));
             }
             return;
         }
         if link.is_refused {
             return to.arrive(self, back, (503, Vec::new()));
         }
-        match self.draw_unanswered_write(&request) {
-            Some(late) if late.at_once => drop(self.carry_out(&request)),
+        match self.choose_unanswered_write(&request) {
+            Some(late) if late.at_once => drop(self.execute_store_request(&request)),
             Some(_) => {
                 let later = self.random(2_000_000..12_000_000);
                 self.after(later, move |sim| {
                     if !sim.state().store_is_down {
-                        drop(sim.carry_out(&request));
+                        drop(sim.execute_store_request(&request));
                     }
                 });
             }
             None => {
-                let answer = self.carry_out(&request);
+                let answer = self.execute_store_request(&request);
                 to.arrive(self, back, answer);
             }
         }
     }
 
-    /// Whether this request is one of the transactions that get no answer.
-    fn draw_unanswered_write(&self, request: &Request) -> Option<UnansweredWrites> {
+    /// Decides whether this request is one of the transactions that get no answer.
+    fn choose_unanswered_write(&self, request: &Request) -> Option<UnansweredWrites> {
         let now = self.now();
         let mut state = self.state();
         let late = state.unanswered_writes.filter(|late| late.until > now);
         late.filter(|late| request.path == "/multi" && state.rng.f64() < late.share)
     }
 
-    pub(crate) fn carry_out(self: &Arc<Self>, request: &Request) -> (u16, Vec<u8>) {
+    /// Executes a request in the store and records it in the transcript.
+    pub(crate) fn execute_store_request(self: &Arc<Self>, request: &Request) -> (u16, Vec<u8>) {
         let now = self.since_start();
         let answer = {
             let mut state = self.state();
             let hidden = state.hidden_key.clone();
             state.store.rows.remove(&hidden);
-            let keys = &mut state.store;
-            keys.call(&request.method, &request.path, &request.body, now)
+            let store = &mut state.store;
+            store.call(&request.method, &request.path, &request.body, now)
         };
         self.note_call(Channel::Store, request, &answer);
         if request.method != "GET" {
@@ -169,9 +174,10 @@
         answer
     }
 
+    /// Runs a watch of a node in the calling simulated thread; `None` if there is no answer before the timeout.
     pub(crate) fn watch(
         self: &Arc<Self>,
-        n: usize,
+        node: usize,
         watch: Watch,
         timeout: Time,
     ) -> Option<(u16, Vec<u8>)> {
@@ -184,12 +190,12 @@
             let now = self.now();
             {
                 let mut state = self.state();
-                let node = &state.nodes[n];
-                let own = Endpoint::Node(n);
-                let one_way = state.is_cut(own, Endpoint::Store, now)
+                let link = &state.nodes[node];
+                let own = Endpoint::Node(node);
+                let cut_one_way = state.is_cut(own, Endpoint::Store, now)
                     || state.is_cut(Endpoint::Store, own, now);
-                let cut = node.store_cut_until > now || one_way;
-                let refused = state.store_is_down || node.refused_until > now;
+                let cut = link.store_cut_until > now || cut_one_way;
+                let refused = state.store_is_down || link.refused_until > now;
                 if refused && first && !cut {
                     return Some((503, Vec::new()));
                 }
@@ -217,6 +223,7 @@
         }
     }
 
+    /// Adds an HTTP request and its answer to the transcript.
     pub(crate) fn note_call(&self, channel: Channel, request: &Request, answer: &(u16, Vec<u8>)) {
         let Request { method, path, body } = request;
         let status = answer.0.to_le_bytes();
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -1,4 +1,4 @@
-//! How a simulation ends, and what it has shown by then.
+//! End of a simulation and the summary of its results.
 
 use crate::checker::{Checker, JobPlan};
 use crate::scheduler::{Time, secs};
@@ -9,65 +9,71 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// TaskStarts that machines saw: when, and in which term they were decided.
+/// Start commands that machines received for the first time: the time, and the term in which the start was decided.
 #[derive(Clone)]
 pub struct TaskStarts(pub Vec<(Time, u64)>);
 
 impl std::fmt::Debug for TaskStarts {
-    /// There may be thousands: their number is enough for a line.
+    /// Prints only the number of starts, since there may be thousands.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} starts", self.0.len())
     }
 }
 
-/// How a simulation ended.
+/// Results of a simulation.
 #[derive(Debug)]
 pub struct Summary {
-    /// Broken rules.
+    /// Violations of rules.
     pub violations: Vec<String>,
-    /// TaskStarts after a user knew of the cancellation, within the time for it.
+    /// Starts of tasks after a user knew that their job is cancelled, but within the time for a cancellation.
     pub late_starts: Vec<String>,
-    /// TaskStarts of tasks.
+    /// Number of starts of tasks.
     pub starts: u32,
-    /// Jobs that users knew to be cancelled.
+    /// Number of jobs that users knew to be cancelled.
     pub cancelled: u32,
-    /// Jobs that users knew to be done.
+    /// Number of jobs that users knew to be done.
     pub done: u32,
-    /// How many terms there were.
+    /// Number of terms.
     pub leaders: usize,
-    /// When each term began, its number and its leader.
+    /// Time, number and leading node of each term.
     pub terms: Vec<(Time, u64, usize)>,
-    /// When machines first saw commands to start, and the term that they were given in.
+    /// For each start command that a machine received for the first time: the time, and the term in which the start
+    /// was decided.
     pub starts_by_term: TaskStarts,
-    /// Users' questions that got no answer in time, or none that tells anything.
+    /// Number of users' requests that got no answer in time, or an answer that says nothing of the job.
     pub unanswered_requests: u32,
-    /// From each accepted job's submission until its user knew that it is done.
+    /// For each job that is done: time from its first answered request until a user knew that, in seconds.
     pub turnaround_s: Vec<f64>,
-    /// How long it took, in simulated seconds.
+    /// Duration in simulated seconds.
     pub seconds: u64,
-    /// What the last leader counted of its commands.
+    /// Counters of commands of the first node that has a scheduler at the end, usually the last leader.
     pub commands: CommandCounters,
-    /// The digest of all messages.
+    /// Number and digest of all messages.
     pub transcript: String,
 }
 
 impl Summary {
-    /// No rule was broken.
+    /// Panics with `context` if a rule was violated.
     #[track_caller]
-    pub fn assert_no_violations(&self, what: &str) -> &Self {
-        assert!(self.violations.is_empty(), "{what}: {:#?}", self.violations);
+    pub fn assert_no_violations(&self, context: &str) -> &Self {
+        assert!(
+            self.violations.is_empty(),
+            "{context}: {:#?}",
+            self.violations
+        );
         self
     }
 }
 
-/// After the last fault, jobs have so long to end.
+/// Time after the last fault within which all jobs must end, in seconds.
 const SETTLE_S: f64 = 360.0;
-/// A job that could run may wait for so long.
+/// Maximum time that a job may wait although it could run, in seconds.
 const MAX_WAIT_S: f64 = 90.0;
 
 impl Simulation {
-    /// Runs until the faults are over and all accepted jobs have ended; then ends everything.
-    /// A task that could run and waits for long, or a job that never ends, breaks a rule as well.
+    /// Runs until the faults are over and all accepted jobs have ended, then shuts the simulation down.
+    ///
+    /// A job that could run but waits too long, and a job that never ends, are violations too.
     pub fn finish(self: &Arc<Self>) -> Summary {
         self.run_until_settled();
         let summary = {
@@ -82,17 +88,17 @@
         summary
     }
 
-    /// Runs until every accepted job has ended after the last fault, or for [`SETTLE_S`] after it.
+    /// Runs until every accepted job has ended after the last fault, but no longer than [`SETTLE_S`] after it.
     fn run_until_settled(&self) {
-        let calm = self.state().faults_until.max(self.now());
-        let end = calm + secs(SETTLE_S);
-        let mut waits: BTreeMap<String, Time> = BTreeMap::new();
+        let faults_end = self.state().faults_until.max(self.now());
+        let end = faults_end + secs(SETTLE_S);
+        let mut waiting_since: BTreeMap<String, Time> = BTreeMap::new();
         while self.now() < end {
             self.scheduler.run_until(self.now() + secs(2.0));
-            if self.now() <= calm {
+            if self.now() <= faults_end {
                 continue;
             }
-            self.note_long_waits(&mut waits);
+            self.note_long_waits(&mut waiting_since);
             let state = self.state();
             if state.checker.unfinished_jobs().is_empty()
                 && state.checker.missing_replicas().is_empty()
@@ -102,23 +108,27 @@
         }
     }
 
-    /// Breaks a rule for each job that could have run for [`MAX_WAIT_S`]; `waits` has since when they can.
-    fn note_long_waits(&self, waits: &mut BTreeMap<String, Time>) {
+    /// Records a violation for each job that has waited for [`MAX_WAIT_S`] although it could run. `waiting_since`
+    /// holds the time since which each job could run.
+    fn note_long_waits(&self, waiting_since: &mut BTreeMap<String, Time>) {
         let now = self.now();
         let runnable = self.runnable_jobs();
-        waits.retain(|id, _| runnable.contains(id));
+        waiting_since.retain(|id, _| runnable.contains(id));
         for id in runnable {
-            let since = *waits.entry(id.clone()).or_insert(now);
+            let since = *waiting_since.entry(id.clone()).or_insert(now);
             if now - since > secs(MAX_WAIT_S) {
                 let seconds = now as f64 / 1e6;
-                let text = format!("{seconds:.3} room: {id} waits for {MAX_WAIT_S} s");
+                let text = format!(
+                    "{seconds:.3} room: {id} could run but waits for more than {MAX_WAIT_S} s"
+                );
                 self.state().checker.violations.push(text);
-                waits.remove(&id);
+                waiting_since.remove(&id);
             }
         }
     }
 
-    /// Jobs with waiting tasks for which some machine that serves has room, below their team's limit.
+    /// Jobs with a waiting task for which a serving machine has room, below the limit of the job's team. Jobs that
+    /// must run in one zone or be spread are left out.
     pub(crate) fn runnable_jobs(&self) -> Vec<String> {
         let state = self.state();
         let fits = |p: &&JobPlan| {
@@ -137,23 +147,28 @@
     }
 }
 
+/// Counters of commands of the first running node that has a scheduler.
 fn command_counters(nodes: &[NodeState]) -> CommandCounters {
-    let counters = |node: &Arc<Controller>| Some(node.state().scheduler.as_ref()?.fencing.counters);
-    let running = nodes.iter().filter_map(|n| n.node.as_ref());
+    let counters = |controller: &Arc<Controller>| {
+        Some(controller.state().scheduler.as_ref()?.fencing.counters)
+    };
+    let running = nodes.iter().filter_map(|n| n.controller.as_ref());
     running.filter_map(counters).next().unwrap_or_default()
 }
 
-/// Invariants that controllers found violated.
+/// Records a violation if controllers found violated invariants.
 fn note_violations(checker: &mut Checker) {
     let violations = aspenreel::invariants::violation_count();
     if violations > 0 {
-        // Counted for the whole process: whichever simulations run beside this one, one of them did it.
-        let text = format!("controllers saw {violations} invariants violated (MODEL_LOG=error)");
+        // The count is per process: the violation may come from another simulation that runs in parallel.
+        let text = format!(
+            "controllers found {violations} violated invariants (set MODEL_LOG=error to see them)"
+        );
         checker.violations.push(text);
     }
 }
 
-/// Replicas that don't run, and jobs that never ended.
+/// Records violations for replicas that don't run and for jobs that never ended.
 fn note_unfinished(checker: &mut Checker) {
     let names = |plans: Vec<&JobPlan>| -> Vec<String> {
         plans.iter().map(|plan| plan.id.clone()).collect()
--- a/crates/simulation/src/transcript.rs
+++ b/crates/simulation/src/transcript.rs
@@ -1,27 +1,27 @@
-//! A digest of everything that crosses the network of a simulation: the proof that a change of the code's form
-//! changed nothing of what it does.
+//! Digest of all messages that cross the network of a simulation. Equal digests show that a change of the code did
+//! not change its behavior.
 //!
-//! Store transactions and their results, cloud calls, commands to workers, answers to users and workers, and
-//! peer frames go into one SHA-256 digest, byte for byte, in the order of simulated time.
+//! Store transactions and their results, cloud calls, commands to workers, answers to users and workers, and peer
+//! frames go into one SHA-256 digest, byte for byte, in the order of simulated time.
 
 use sha2::{Digest, Sha256};
 
-/// What kind of message an entry of the transcript is.
+/// Kind of a message in the transcript.
 #[derive(Clone, Copy, Debug)]
 pub enum Channel {
-    /// A request to the key-value store and its result.
+    /// Request to the key-value store and its result.
     Store,
-    /// A request to the cloud and its result.
+    /// Request to the cloud and its result.
     Cloud,
-    /// Commands that went straight to a worker.
+    /// Direct commands to a worker.
     Worker,
-    /// A request of a user or worker to a controller, and the answer.
+    /// Request of a user or worker to a controller, and its answer.
     Controller,
-    /// A frame from one controller to another, and the reply.
+    /// Frame from one controller to another, and its reply.
     Peer,
 }
 
-/// The digest of all messages of one simulation so far.
+/// Digest of all messages of a simulation so far.
 #[derive(Debug, Default)]
 pub struct Transcript {
     digest: Sha256,
@@ -29,7 +29,7 @@
 }
 
 impl Transcript {
-    /// Adds a message, in as many parts as it has.
+    /// Adds a message that consists of these parts.
     pub fn add(&mut self, now_us: u64, channel: Channel, parts: &[&[u8]]) {
         self.entries += 1;
         self.digest.update([channel as u8]);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The number of messages and their digest, in hexadecimal.
+    /// Number of messages and their digest in hexadecimal.
     pub fn summary(&self) -> String {
         let digest = self.digest.clone().finalize();
         let hex: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,4 +1,4 @@
-//! Users: they submit, ask, cancel and repeat themselves, at any node.
+//! Simulated users, who submit, query and cancel jobs at any node and repeat requests that fail.
 
 use crate::checker::{Answer, JobPlan, RequestKind};
 use crate::scheduler::{Time, lock, secs};
@@ -9,23 +9,29 @@
 use serde::Deserialize;
 use std::sync::{Arc, Mutex};
 
+/// Timeout of a status request.
 const STATUS_TIMEOUT: Time = 2_000_000;
 
+/// Timeout of a submission or cancellation.
 const CHANGE_TIMEOUT: Time = 5_000_000;
 
+/// Mean time between two status requests of a user.
 const POLL_INTERVAL: Time = 5_000_000;
 
+/// Delay before a submission or cancellation is repeated that got no answer, or one that decides nothing.
 const RETRY_DELAY: Time = 1_000_000;
 
+/// Time after which a user gives up repeating a submission or cancellation, in seconds.
 const MAX_RETRY_S: f64 = 60.0;
 
 impl Simulation {
-    /// Asks one node; whatever comes in time is answer to the checker and to `then`.
+    /// Sends a user's request to one node. The checker and `then` get the answer, or learn of the timeout if no
+    /// answer arrives before it.
     pub fn send_request(
         self: &Arc<Self>,
         id: &str,
         kind: RequestKind,
-        n: usize,
+        node: usize,
         then: impl FnOnce(&Arc<Simulation>, Option<Answer>) + Send + 'static,
     ) {
         let sent = self.now();
@@ -38,26 +44,26 @@
             RequestKind::Status => STATUS_TIMEOUT,
             _ => CHANGE_TIMEOUT,
         };
-        // Whichever comes first: an answer, or the end of patience.
+        // `then` is called once, by the answer or by the timeout, whichever comes first.
         let then = Arc::new(Mutex::new(Some(then)));
-        let (first, id) = (then.clone(), id.to_string());
-        let late = id.clone();
-        self.call_node(n, request, move |sim, response| {
-            let Some(then) = lock(&first).take() else {
+        let (on_answer, id) = (then.clone(), id.to_string());
+        let timed_out_id = id.clone();
+        self.call_node(node, request, move |sim, response| {
+            let Some(then) = lock(&on_answer).take() else {
                 return;
             };
-            let answer = sim.record_response(&id, kind, n, sent, response);
+            let answer = sim.record_response(&id, kind, node, sent, response);
             then(sim, answer);
         });
         self.after(timeout, move |sim| {
             if let Some(then) = lock(&then).take() {
-                let answer = sim.record_response(&late, kind, n, sent, None);
+                let answer = sim.record_response(&timed_out_id, kind, node, sent, None);
                 then(sim, answer);
             }
         });
     }
 
-    /// Tells the checker of a response, or that there is none.
+    /// Reports a response, or that there is none, to the checker. Panics on a 503 response without `Retry-After`.
     fn record_response(
         &self,
         id: &str,
@@ -95,7 +101,7 @@
         Some(answer)
     }
 
-    /// The load balancer: any node that is up.
+    /// Draws one of the running nodes, as a load balancer would; node 0 if none is running.
     pub fn random_running_node(&self) -> usize {
         let mut state = self.state();
         let up: Vec<usize> = (0..state.nodes.len())
@@ -107,7 +113,8 @@
         }
     }
 
-    /// A user submits a job, again and again until it is answered.
+    /// Submits a job as a user does: repeats the submission until the job is accepted or refused, but no longer than
+    /// `MAX_RETRY_S` seconds.
     pub fn user_submits(self: &Arc<Self>, plan: JobPlan) {
         let id = plan.id.clone();
         self.state().checker.submitted(&plan);
@@ -115,7 +122,7 @@
         self.try_submit(&id);
     }
 
-    /// There is a user of this job from now on.
+    /// Adds the user of this job, unless there is one already.
     pub fn insert_user(&self, plan: JobPlan) {
         let id = plan.id.clone();
         let job = UserJob {
@@ -129,35 +136,42 @@
         self.state().users.entry(id).or_insert(job);
     }
 
+    /// Sends a submission to a random node and schedules what follows from the answer.
     pub(crate) fn try_submit(self: &Arc<Self>, id: &str) {
-        let (id, n) = (id.to_string(), self.random_running_node());
-        self.send_request(&id.clone(), RequestKind::Submit, n, move |sim, answer| {
-            match answer.map(|t| t.status) {
-                Some(200 | 201) => {
-                    sim.query_all_nodes_if_enabled(&id);
-                    sim.begin_polls(&id);
-                }
-                Some(400 | 422) => {}
-                _ => {
-                    let first = sim.state().users[&id].first_submitted_at;
-                    if sim.now() - first < secs(MAX_RETRY_S) {
-                        sim.after(RETRY_DELAY, move |sim| sim.try_submit(&id));
-                    } else {
-                        // Given up, but it may have been accepted all the same.
+        let (id, node) = (id.to_string(), self.random_running_node());
+        self.send_request(
+            &id.clone(),
+            RequestKind::Submit,
+            node,
+            move |sim, answer| {
+                match answer.map(|a| a.status) {
+                    Some(200 | 201) => {
+                        sim.query_all_nodes_if_enabled(&id);
                         sim.begin_polls(&id);
                     }
+                    Some(400 | 422) => {}
+                    _ => {
+                        let first_submitted_at = sim.state().users[&id].first_submitted_at;
+                        if sim.now() - first_submitted_at < secs(MAX_RETRY_S) {
+                            sim.after(RETRY_DELAY, move |sim| sim.try_submit(&id));
+                        } else {
+                            // The user gives up, but the job may have been accepted nevertheless.
+                            sim.begin_polls(&id);
+                        }
+                    }
                 }
-            }
-        });
+            },
+        );
     }
 
+    /// Starts the periodic status requests of a job's user, unless they have started already.
     pub(crate) fn begin_polls(self: &Arc<Self>, id: &str) {
-        let fresh = {
+        let is_first = {
             let mut state = self.state();
             let job = state.users.get_mut(id);
             job.is_some_and(|j| !std::mem::replace(&mut j.polls, true))
         };
-        if fresh {
+        if is_first {
             let (id, wait) = (
                 id.to_string(),
                 self.random(POLL_INTERVAL / 2..POLL_INTERVAL),
@@ -166,40 +180,48 @@
         }
     }
 
+    /// Sends a status request to a random node, and schedules the next one unless the job has ended or is unknown.
     pub(crate) fn poll(self: &Arc<Self>, id: &str) {
-        let (id, n) = (id.to_string(), self.random_running_node());
-        self.send_request(&id.clone(), RequestKind::Status, n, move |sim, answer| {
-            let ended = |t: &Answer| matches!(t.state.as_deref(), Some("done" | "cancelled"));
-            if answer.as_ref().is_some_and(ended) {
-                return sim.query_all_nodes_if_enabled(&id);
-            }
-            let unknown = answer.is_some_and(|t| t.status == 404);
-            if !unknown || sim.state().checker.is_accepted(&id) {
-                let wait = sim.random(POLL_INTERVAL * 3 / 4..POLL_INTERVAL * 5 / 4);
-                sim.after(wait, move |sim| sim.poll(&id));
-            }
-        });
+        let (id, node) = (id.to_string(), self.random_running_node());
+        self.send_request(
+            &id.clone(),
+            RequestKind::Status,
+            node,
+            move |sim, answer| {
+                let ended = |a: &Answer| matches!(a.state.as_deref(), Some("done" | "cancelled"));
+                if answer.as_ref().is_some_and(ended) {
+                    return sim.query_all_nodes_if_enabled(&id);
+                }
+                let is_unknown = answer.is_some_and(|a| a.status == 404);
+                if !is_unknown || sim.state().checker.is_accepted(&id) {
+                    let wait = sim.random(POLL_INTERVAL * 3 / 4..POLL_INTERVAL * 5 / 4);
+                    sim.after(wait, move |sim| sim.poll(&id));
+                }
+            },
+        );
     }
 
-    /// Cancels, again and again until that is answered.
+    /// Cancels a job as its user does: repeats the cancellation until the answer is 200 or 404, but no longer than
+    /// `MAX_RETRY_S` seconds.
     pub fn user_cancels(self: &Arc<Self>, id: &str) {
-        let first = {
+        let is_first = {
             let mut state = self.state();
             let job = state.users.get_mut(id);
             job.is_some_and(|j| !std::mem::replace(&mut j.cancels, true))
         };
-        if first {
+        if is_first {
             self.try_cancel(id, self.now());
         }
     }
 
+    /// Sends a cancellation to a random node, and schedules the next attempt unless the answer is 200 or 404.
     pub(crate) fn try_cancel(self: &Arc<Self>, id: &str, since: Time) {
-        let (id, n) = (id.to_string(), self.random_running_node());
+        let (id, node) = (id.to_string(), self.random_running_node());
         self.send_request(
             &id.clone(),
             RequestKind::Cancel,
-            n,
-            move |sim, answer| match answer.map(|t| t.status) {
+            node,
+            move |sim, answer| match answer.map(|a| a.status) {
                 Some(200) => sim.query_all_nodes_if_enabled(&id),
                 Some(404) => {}
                 _ if sim.now() - since < secs(MAX_RETRY_S) => {
@@ -210,15 +232,14 @@
         );
     }
 
-    /// Changes what a job's user does.
+    /// Changes the behavior of a job's user, if there is one.
     pub fn change_user(&self, id: &str, change: impl Fn(&mut UserJob)) {
         if let Some(job) = self.state().users.get_mut(id) {
             change(job);
         }
     }
 
-    /// All nodes are asked within milliseconds, for the status and by repeated submissions, good
-    /// and bad ones.
+    /// Queries all nodes if the job's user has [`UserJob::queries_all_nodes`] set.
     pub fn query_all_nodes_if_enabled(self: &Arc<Self>, id: &str) {
         if !self
             .state()
@@ -231,36 +252,38 @@
         self.query_all_nodes(id);
     }
 
-    /// All questions at all controllers, within milliseconds.
+    /// Sends a status request, a repeated submission and a malformed submission to each node, all within 12 ms.
     pub fn query_all_nodes(self: &Arc<Self>, id: &str) {
-        for n in 0..self.setup.nodes {
+        for node in 0..self.setup.nodes {
             for kind in [
                 RequestKind::Status,
                 RequestKind::Submit,
                 RequestKind::MalformedSubmit,
             ] {
                 let (wait, id) = (self.random(0..12_000), id.to_string());
-                self.after(wait, move |sim| sim.send_request(&id, kind, n, |_, _| ()));
+                self.after(wait, move |sim| {
+                    sim.send_request(&id, kind, node, |_, _| ())
+                });
             }
         }
     }
 
-    /// A task of the job ended well.
+    /// Schedules the requests that a user sends at the end of the job, after one of its tasks ended successfully.
     pub fn after_task_done(self: &Arc<Self>, id: &str) {
-        let (looks, cancels, last) = {
+        let (queries, cancels, is_last) = {
             let state = self.state();
             let Some(job) = state.users.get(id) else {
                 return;
             };
-            let last = state.checker.all_done(id);
-            (job.queries_all_nodes, job.cancels_at_end, last)
+            let is_last = state.checker.all_done(id);
+            (job.queries_all_nodes, job.cancels_at_end, is_last)
         };
-        if cancels && last {
+        if cancels && is_last {
             let (id, wait) = (id.to_string(), self.random(0..400_000));
             self.after(wait, move |sim| sim.user_cancels(&id));
         }
-        if looks && last {
-            // At the moment of the end, and while it is being recorded.
+        if queries && is_last {
+            // Requests arrive when the last task ends and while the outcome is being recorded.
             for k in 0..12 {
                 let id = id.to_string();
                 self.after(k * 40_000, move |sim| sim.query_all_nodes(&id));
@@ -269,7 +292,7 @@
     }
 }
 
-/// A user's request as it stands on the wire.
+/// HTTP request for a user's request of this kind.
 fn request_of(id: &str, kind: RequestKind, plan: Option<&JobPlan>) -> Request {
     let (method, path, body) = match (kind, plan) {
         (RequestKind::Submit, Some(plan)) => ("POST", "/work".to_string(), submission_body(plan)),
--- a/crates/simulation/src/worker_commands.rs
+++ b/crates/simulation/src/worker_commands.rs
@@ -1,4 +1,4 @@
-//! Commands on their way to simulated workers.
+//! Delivery of direct commands to simulated workers.
 
 use crate::directions::Endpoint;
 use crate::scheduler::Time;
@@ -8,22 +8,25 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whether something that was sent arrives.
+/// Arrival of a message at a worker.
 enum Arrival {
+    /// It arrives now.
     Now,
-    /// It is held back until then, and arrives after it.
+    /// It is held back until this time, and arrives after it.
     After(Time),
+    /// It is lost.
     Never,
 }
 
 impl Simulation {
-    /// Workers of that zone and the node reach each other, but for cuts of one direction.
+    /// True if there is no cut between the node and the workers of a zone. Cuts of single directions are not
+    /// considered.
     pub(crate) fn is_zone_reachable(&self, node: usize, zone: &str) -> bool {
         let cut = self.state().nodes[node].workers_cut_until > self.now();
         !cut && self.zones_connected(self.zone_of_node(node), zone)
     }
 
-    /// Whether a new connection from the node to that worker comes about.
+    /// True if the node can open a new connection to the worker with this address.
     pub fn can_connect_to_worker(&self, node: usize, addr: SocketAddr) -> bool {
         let now = self.now();
         let zone = {
@@ -50,7 +53,7 @@
         open && self.is_zone_reachable(node, &zone)
     }
 
-    /// Whether two zones reach each other.
+    /// True if there is no cut between two zones.
     pub fn zones_connected(&self, a: &str, b: &str) -> bool {
         let now = self.now();
         let state = self.state();
@@ -58,7 +61,7 @@
         a == b || !(cut(a) || cut(b))
     }
 
-    /// When a command that arrives now is let go; None if it isn't held back.
+    /// Decides whether a direct command that is sent now is delayed; if so, returns the time of its delivery.
     pub(crate) fn command_delayed_until(&self, node: usize, worker: SocketAddr) -> Option<Time> {
         let now = self.now();
         let mut state = self.state();
@@ -77,7 +80,8 @@
         Some(*last)
     }
 
-    /// Commands reach the network: they arrive now, or are held back and arrive once, unanswered.
+    /// Delivers direct commands now, or after a delay if the fault of delayed commands affects them; their answer is
+    /// lost then.
     pub fn commands_sent(
         self: &Arc<Self>,
         node: usize,
@@ -93,10 +97,10 @@
         }
     }
 
-    /// Whether what a controller sends to this worker arrives.
+    /// Decides whether and when a message that a controller sends to this worker arrives.
     fn arrival_at_worker(&self, node: usize, addr: SocketAddr) -> Arrival {
         let now = self.now();
-        let (zone, until, held) = {
+        let (zone, until, is_held_back) = {
             let mut state = self.state();
             let Some(machine) = state.machine_at(addr).filter(|machine| machine.up(now)) else {
                 return Arrival::Never;
@@ -117,14 +121,15 @@
         if lost || !self.is_zone_reachable(node, &zone) {
             return Arrival::Never;
         }
-        match (until > now, held) {
+        match (until > now, is_held_back) {
             (false, _) => Arrival::Now,
             (true, true) => Arrival::After(until),
             (true, false) => Arrival::Never,
         }
     }
 
-    /// Commands reach a worker's address, or don't; `then` gets what it answers.
+    /// Delivers direct commands to a worker's address, subject to the faults in effect. `then` gets the worker's
+    /// answer if there is one and it isn't lost.
     pub fn commands_arrive(
         self: &Arc<Self>,
         node: usize,
@@ -150,15 +155,15 @@
                 return;
             };
             if commands.are_refused(machine.fencing_token, machine.agent_epoch) {
-                let report = machine.heartbeat(now);
+                let heartbeat = machine.heartbeat(now);
                 drop(state);
-                return then(self, (409, encode(&report)));
+                return then(self, (409, encode(&heartbeat)));
             }
             machine.fencing_token = commands.fencing_token;
             machine.name.clone()
         };
         self.execute(&name, &commands.commands);
-        let report = {
+        let heartbeat = {
             let mut state = self.state();
             state
                 .machines
@@ -168,8 +173,8 @@
         let lost = self
             .state()
             .is_cut(Endpoint::Workers, Endpoint::Node(node), now);
-        if let Some(report) = report.filter(|_| !lost) {
-            then(self, (200, encode(&report)));
+        if let Some(heartbeat) = heartbeat.filter(|_| !lost) {
+            then(self, (200, encode(&heartbeat)));
         }
     }
 }
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the simulated workers, from their sending to the answer.
+//! Heartbeats of simulated workers: sending, delivery and handling of the answers.
 
 use crate::directions::Endpoint;
 use crate::machine::{Machine, is_active};
@@ -13,15 +13,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Time = 4_000_000;
 
+/// Delay before the heartbeat after one that failed or was refused.
 const RETRY_DELAY: Time = 1_000_000;
-/// A worker that has just got a higher fencing token tells it soon.
+/// Delay before the heartbeat after a worker got a higher fencing token, so that it confirms the token soon.
 const DELAY_AFTER_NEW_TOKEN: Time = 500_000;
+/// Delay before the heartbeat to the leader that a refusal named.
 const DELAY_TO_NAMED_LEADER: Time = 200_000;
 
 impl Simulation {
-    /// Makes a machine that is up after so long; its name.
+    /// Creates a machine that is up after a span of simulated time, and at most 0.4 seconds later; returns its name.
     pub fn add_machine(
         self: &Arc<Self>,
         type_name: &str,
@@ -81,7 +84,7 @@
         name
     }
 
-    /// Ends an agent epoch when its lease is over.
+    /// Ends the agent epoch of a worker if its lease has expired, and schedules the next check.
     pub(crate) fn check_lease(self: &Arc<Self>, name: &str) {
         let now = self.now();
         let worker = name.to_string();
@@ -101,11 +104,11 @@
         machine.agent_epoch = machine.agent_epoch.next();
         machine.lease_started_at = now;
         machine.in_flight = None;
-        let lost = std::mem::take(&mut machine.tasks);
-        for ((task_id, _), task) in lost {
+        let lost_tasks = std::mem::take(&mut machine.tasks);
+        for ((task_id, _), task) in lost_tasks {
             if is_active(&task) {
-                let (id, n) = split_task_id(&task_id);
-                state.checker.task_stopped(id, n, name, false);
+                let (id, number) = split_task_id(&task_id);
+                state.checker.task_stopped(id, number, name, false);
             }
         }
         drop(state);
@@ -113,7 +116,7 @@
         self.after(secs(LEASE_S), move |sim| sim.check_lease(&worker));
     }
 
-    /// The next report goes out then, unless another one is asked for before.
+    /// Schedules the next heartbeat of a worker; replaces the one scheduled before.
     pub(crate) fn heartbeat_at(self: &Arc<Self>, name: &str, at: Time) {
         let mut state = self.state();
         let Some(machine) = state.machines.get_mut(name) else {
@@ -125,6 +128,8 @@
         self.at_time(at, move |sim| sim.send_heartbeat(&worker, number));
     }
 
+    /// Schedules a heartbeat half a second after the last one, or now if that has passed. Does nothing while a
+    /// heartbeat awaits its answer.
     pub(crate) fn heartbeat_soon(self: &Arc<Self>, name: &str) {
         let at = {
             let state = self.state();
@@ -140,6 +145,7 @@
         self.heartbeat_at(name, at);
     }
 
+    /// Sends a worker's heartbeat if the timer `number` is still valid.
     pub(crate) fn send_heartbeat(self: &Arc<Self>, name: &str, number: u64) {
         let now = self.now();
         let mut state = self.state();
@@ -154,13 +160,13 @@
             drop(state);
             return self.heartbeat_at(name, until);
         }
-        let report = machine.heartbeat(now);
+        let heartbeat = machine.heartbeat(now);
         machine.sent_heartbeats += 1;
         machine.last_sent_at = now;
         machine.in_flight = Some(machine.sent_heartbeats);
-        let (request, n, worker) = (machine.sent_heartbeats, machine.node, name.to_string());
+        let (request, node, worker) = (machine.sent_heartbeats, machine.node, name.to_string());
         let cut_until = machine.cut_until;
-        let (lost, held) = (
+        let (is_lost, is_held_back) = (
             machine.cut_until > now || machine.outbound_dropped_until > now,
             machine.delivers_after_cut && machine.cut_until > now,
         );
@@ -168,18 +174,21 @@
         self.after(HEARTBEAT_TIMEOUT, move |sim| {
             sim.heartbeat_timed_out(&worker, request)
         });
-        if lost {
-            if held {
-                self.at_time(cut_until, move |sim| sim.heartbeat_copy_arrives(n, &report));
+        if is_lost {
+            if is_held_back {
+                self.at_time(cut_until, move |sim| {
+                    sim.heartbeat_copy_arrives(node, &heartbeat)
+                });
             }
             return;
         }
         let there = self.latency();
         self.after(there, move |sim| {
-            sim.heartbeat_arrives(n, report, request, now)
+            sim.heartbeat_arrives(node, heartbeat, request, now)
         });
     }
 
+    /// Turns a worker to the next controller if the heartbeat with this number still awaits its answer.
     pub(crate) fn heartbeat_timed_out(self: &Arc<Self>, name: &str, request: u64) {
         let nodes = self.setup.nodes;
         {
@@ -196,17 +205,19 @@
         self.heartbeat_at(name, self.now() + RETRY_DELAY);
     }
 
-    /// A node takes in a report. A frozen one does when it goes on.
+    /// Delivers a heartbeat to a node and returns its response. Fails with the time at which the node's process
+    /// resumes if it is frozen, and with `None` if it is down.
     pub(crate) fn deliver_heartbeat(
         self: &Arc<Self>,
-        n: usize,
-        report: &Heartbeat,
+        node: usize,
+        heartbeat: &Heartbeat,
     ) -> Result<(u16, Vec<u8>), Option<Time>> {
-        let (process, node) = {
+        let (process, controller) = {
             let state = self.state();
-            (state.nodes[n].process, state.nodes[n].node.clone())
+            let node = &state.nodes[node];
+            (node.process, node.controller.clone())
         };
-        let (Some(process), Some(node)) = (process, node) else {
+        let (Some(process), Some(controller)) = (process, controller) else {
             return Err(None);
         };
         if let Some(until) = self.scheduler.frozen_until(process) {
@@ -215,36 +226,38 @@
         let request = Request {
             method: "POST".into(),
             path: "/checkin".into(),
-            body: encode(report),
+            body: encode(heartbeat),
         };
-        let response = node
+        let response = controller
             .handle_without_blocking(request)
-            .unwrap_or_else(|_| panic!("it waits"));
+            .unwrap_or_else(|_| panic!("the handler of heartbeats must not block"));
         let late = response
             .valid_until
-            .is_some_and(|until| node.os.now() >= until);
+            .is_some_and(|until| controller.os.now() >= until);
         Ok((if late { 503 } else { response.status }, response.body))
     }
 
+    /// Delivers a worker's heartbeat to a node, subject to the faults in effect, and schedules the arrival of the
+    /// answer.
     pub(crate) fn heartbeat_arrives(
         self: &Arc<Self>,
-        n: usize,
-        report: Heartbeat,
+        node: usize,
+        heartbeat: Heartbeat,
         request: u64,
         sent: Time,
     ) {
-        let zone = report.zone.clone();
+        let zone = heartbeat.zone.clone();
         let lost = self
             .state()
-            .is_cut(Endpoint::Workers, Endpoint::Node(n), self.now());
-        if lost || !self.is_zone_reachable(n, &zone) {
+            .is_cut(Endpoint::Workers, Endpoint::Node(node), self.now());
+        if lost || !self.is_zone_reachable(node, &zone) {
             return;
         }
-        let answer = match self.deliver_heartbeat(n, &report) {
+        let answer = match self.deliver_heartbeat(node, &heartbeat) {
             Ok(answer) => Some(answer),
             Err(Some(until)) => {
                 return self.at_time(until, move |sim| {
-                    sim.heartbeat_arrives(n, report, request, sent)
+                    sim.heartbeat_arrives(node, heartbeat, request, sent)
                 });
             }
             Err(None) => None,
@@ -252,44 +265,48 @@
         let now = self.now();
         let copy = {
             let mut state = self.state();
-            let late = state.duplicated_heartbeats.filter(|l| l.until > now);
-            late.filter(|l| state.rng.f64() < l.share)
+            let fault = state.duplicated_heartbeats.filter(|f| f.until > now);
+            fault.filter(|f| state.rng.f64() < f.share)
         };
         match copy {
-            Some(late) if late.for_next_leader => {
-                self.state().heartbeats_for_next_leader.push(report.clone())
-            }
+            Some(fault) if fault.for_next_leader => self
+                .state()
+                .heartbeats_for_next_leader
+                .push(heartbeat.clone()),
             Some(_) => {
                 let later = self.random(2_000_000..secs(1.4 * LEASE_S));
-                let report = report.clone();
+                let heartbeat = heartbeat.clone();
                 self.after(later, move |sim| {
-                    let n = sim.leader_or_any();
-                    sim.heartbeat_copy_arrives(n, &report);
+                    let node = sim.leader_or_any();
+                    sim.heartbeat_copy_arrives(node, &heartbeat);
                 });
             }
             None => {}
         }
         if self
             .state()
-            .is_cut(Endpoint::Node(n), Endpoint::Workers, self.now())
+            .is_cut(Endpoint::Node(node), Endpoint::Workers, self.now())
         {
             return;
         }
         let back = self.latency();
-        let name = report.machine.clone();
+        let name = heartbeat.machine.clone();
         self.after(back, move |sim| {
-            sim.answer_arrives(&name, report.agent_epoch, request, sent, answer);
+            sim.answer_arrives(&name, heartbeat.agent_epoch, request, sent, answer);
         });
     }
 
-    /// A report that nobody waits for an answer to any more.
-    pub fn heartbeat_copy_arrives(self: &Arc<Self>, n: usize, report: &Heartbeat) {
-        if let Err(Some(until)) = self.deliver_heartbeat(n, report) {
-            let report = report.clone();
-            self.at_time(until, move |sim| sim.heartbeat_copy_arrives(n, &report));
+    /// Delivers a copy of a heartbeat, whose answer the worker no longer awaits.
+    pub fn heartbeat_copy_arrives(self: &Arc<Self>, node: usize, heartbeat: &Heartbeat) {
+        if let Err(Some(until)) = self.deliver_heartbeat(node, heartbeat) {
+            let heartbeat = heartbeat.clone();
+            self.at_time(until, move |sim| {
+                sim.heartbeat_copy_arrives(node, &heartbeat)
+            });
         }
     }
 
+    /// Handles the answer to a heartbeat at the worker; `None` if the node was down.
     fn answer_arrives(
         self: &Arc<Self>,
         name: &str,
@@ -321,7 +338,7 @@
         }
         machine.in_flight = None;
         let (wait, commands) = match answer {
-            Some((200, body)) => take_reply(machine, &decode(&body).unwrap(), agent_epoch, sent),
+            Some((200, body)) => apply_reply(machine, &decode(&body).unwrap(), agent_epoch, sent),
             Some((421, body)) => (follow_refusal(machine, &body, self.setup.nodes), Vec::new()),
             _ => (try_next_controller(machine, self.setup.nodes), Vec::new()),
         };
@@ -336,8 +353,8 @@
     }
 }
 
-/// Takes the reply to a heartbeat: how long until the next one, and the commands to execute.
-fn take_reply(
+/// Applies the reply to a heartbeat. Returns the delay until the next heartbeat and the commands to execute.
+fn apply_reply(
     machine: &mut Machine,
     reply: &HeartbeatReplyBody,
     agent_epoch: AgentEpoch,
@@ -356,7 +373,8 @@
     (wait, reply.commands.clone())
 }
 
-/// Turns to the leader that a refusal names, or else to the next controller; how long until the next heartbeat.
+/// Turns to the leader that a refusal names, or else to the next controller. Returns the delay until the next
+/// heartbeat.
 fn follow_refusal(machine: &mut Machine, body: &[u8], controllers: usize) -> Time {
     let named = leader_of(body).and_then(|name| name.strip_prefix("n-")?.parse().ok());
     match named.filter(|n| *n != machine.node && *n < controllers) {
@@ -368,7 +386,7 @@
     }
 }
 
-/// Turns to the next controller; how long until the next heartbeat.
+/// Turns to the next controller. Returns the delay until the next heartbeat.
 fn try_next_controller(machine: &mut Machine, controllers: usize) -> Time {
     machine.node = (machine.node + 1) % controllers;
     RETRY_DELAY
--- a/crates/simulation/src/worker_protocol.rs
+++ b/crates/simulation/src/worker_protocol.rs
@@ -1,32 +1,32 @@
-//! What every stand-in of a worker reads from the wire.
+//! Messages that simulated workers and stand-ins of workers decode.
 
 use aspenreel::http::cbor::decode;
 use aspenreel::workers::wire::WorkerCommand;
 use aspenreel::workers::{AgentEpoch, FencingToken};
 use serde::Deserialize;
 
-/// Commands that a controller sends to a worker's own address.
+/// Direct commands: the body of a request that a controller sends to a worker's own address.
 #[derive(Deserialize)]
 pub(crate) struct DirectCommands {
-    /// The sender's fencing token.
+    /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The agent epoch that they are meant for.
+    /// Agent epoch of the worker for which the commands are meant.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// What to do.
+    /// Commands to execute, in their order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
 impl DirectCommands {
-    /// Whether a worker in this agent epoch, which knows this fencing token, has to refuse them.
+    /// True if a worker in this agent epoch which knows this fencing token must refuse the commands.
     pub fn are_refused(&self, fencing_token: FencingToken, agent_epoch: AgentEpoch) -> bool {
         self.fencing_token < fencing_token || self.agent_epoch != agent_epoch
     }
 }
 
-/// The controller that the refusal of a heartbeat names as leader.
+/// Name of the leader in the refusal of a heartbeat, if it names one.
 pub(crate) fn leader_of(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct NotLeader {
@@ -37,7 +37,7 @@
     reply.leader
 }
 
-/// The job's id and the number of the task.
+/// Splits a task id into the id of the job and the number of the task.
 pub(crate) fn split_task_id(task_id: &str) -> (&str, u32) {
     let (job, task) = task_id.rsplit_once('/').unwrap();
     (job, task.parse().unwrap())
--- a/crates/simulation/src/worker_tasks.rs
+++ b/crates/simulation/src/worker_tasks.rs
@@ -1,4 +1,4 @@
-//! What simulated workers do with commands, and how their tasks go on.
+//! Execution of commands by simulated workers, and the phases of their tasks.
 
 use crate::machine::{Machine, SimulatedTask, is_active};
 use crate::scheduler::{Time, secs};
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The image of all jobs of the simulation.
+/// Name of the image of all simulated jobs.
 const IMAGE: &str = "img";
 
-/// Why a worker refuses a start, if it does.
-fn refusal(
+/// Reason why a worker refuses to start a task, if it does.
+fn refusal_reason(
     machine: &Machine,
     users: &BTreeMap<String, UserJob>,
     task_id: &str,
@@ -33,7 +33,7 @@
 }
 
 impl Simulation {
-    /// Executes commands in their order. Changes are told by a heartbeat soon.
+    /// Executes commands in their order. If a task changes, a heartbeat is scheduled to report it.
     pub(crate) fn execute(self: &Arc<Self>, name: &str, commands: &[WorkerCommand]) {
         let mut changed = false;
         for command in commands {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Starts an attempt, or refuses it. False if the worker knows the attempt already.
+    /// Starts an attempt, or records its refusal. False if the worker knows the attempt already.
     fn start_task(self: &Arc<Self>, name: &str, command: &WorkerCommand) -> bool {
         let now = self.now();
         let fetch = secs(self.setup.fetch_s);
@@ -69,7 +69,7 @@
             return false;
         };
         starts_by_term.push((now, command.attempt >> 32));
-        let refused = refusal(machine, users, &command.task_id);
+        let refusal = refusal_reason(machine, users, &command.task_id);
         let wait = match machine.images.contains(IMAGE) {
             true => 0,
             false => rng.u64(fetch / 2..fetch * 2),
@@ -77,23 +77,23 @@
         machine.timers += 1;
         let timer = machine.timers;
         let task = SimulatedTask {
-            status: match refused {
+            status: match refusal {
                 None => TaskStatus::Fetching,
                 Some(_) => TaskStatus::Exited,
             },
-            exit_reason: refused,
+            exit_reason: refusal,
             phase_ends_at: now + wait,
             timer,
         };
         machine.tasks.insert(key.clone(), task);
         drop(state);
-        if refused.is_none() {
+        if refusal.is_none() {
             self.advance_task_at(now + wait, name, key, timer);
         }
         true
     }
 
-    /// Stops an attempt, at once or after it has saved. False if it is stopping already or has ended.
+    /// Stops an attempt, at once or after its checkpoint. False if it is stopping already or has exited.
     fn stop_task(self: &Arc<Self>, name: &str, command: &WorkerCommand) -> bool {
         let now = self.now();
         let key = (command.task_id.clone(), command.attempt);
@@ -108,19 +108,19 @@
         let Some(task) = machine.tasks.get_mut(&key) else {
             return false;
         };
-        let stops_already =
+        let is_stopping =
             task.status == TaskStatus::Flushing && command.grace_period_s != Some(0.0);
-        if task.status == TaskStatus::Exited || stops_already {
+        if task.status == TaskStatus::Exited || is_stopping {
             return false;
         }
-        let saves = checkpoint_s > 0.0
+        let makes_checkpoint = checkpoint_s > 0.0
             && command
                 .grace_period_s
                 .is_some_and(|time| time >= checkpoint_s)
             && task.status == TaskStatus::Running;
         machine.timers += 1;
         task.timer = machine.timers;
-        if saves {
+        if makes_checkpoint {
             task.status = TaskStatus::Flushing;
             task.phase_ends_at = now + secs(checkpoint_s);
             let (at, timer) = (task.phase_ends_at, task.timer);
@@ -128,17 +128,17 @@
             self.advance_task_at(at, name, key, timer);
             return true;
         }
-        let was_on_machine = is_active(task);
+        let was_active = is_active(task);
         task.status = TaskStatus::Exited;
         task.exit_reason = Some(ExitReason::Stopped);
-        if was_on_machine {
+        if was_active {
             let (id, number) = split_task_id(&command.task_id);
             checker.task_stopped(id, number, name, false);
         }
         true
     }
 
-    /// Forgets an attempt that has ended.
+    /// Removes an attempt that has exited.
     fn clear_task(&self, name: &str, command: &WorkerCommand) {
         let key = (command.task_id.clone(), command.attempt);
         let mut state = self.state();
@@ -151,12 +151,14 @@
         }
     }
 
+    /// Schedules the end of an attempt's current phase.
     fn advance_task_at(self: &Arc<Self>, at: Time, name: &str, key: (String, u64), timer: u64) {
         let name = name.to_string();
         self.at_time(at, move |sim| sim.advance_task(&name, &key, timer));
     }
 
-    /// A task has its image, has run, or has saved.
+    /// Ends the current phase of an attempt: it has its image, has run to its end, or has written its checkpoint.
+    /// Does nothing if `timer` is out of date.
     pub(crate) fn advance_task(self: &Arc<Self>, name: &str, key: &(String, u64), timer: u64) {
         let now = self.now();
         let mut state = self.state();
@@ -177,9 +179,9 @@
             return;
         };
         if frozen_until > now {
-            // What was left to do is done once the machine goes on.
-            let left = task.phase_ends_at.saturating_sub(frozen_since);
-            task.phase_ends_at = frozen_until + left;
+            // The rest of the phase takes place after the freeze.
+            let remaining = task.phase_ends_at.saturating_sub(frozen_since);
+            task.phase_ends_at = frozen_until + remaining;
             let at = task.phase_ends_at;
             drop(state);
             return self.advance_task_at(at, name, key.clone(), timer);
@@ -199,8 +201,8 @@
             TaskStatus::Running => {
                 task.status = TaskStatus::Exited;
                 task.exit_reason = Some(ExitReason::Done);
-                let ends = plan.is_none_or(|p| !p.standing);
-                checker.task_stopped(id, number, name, ends);
+                let is_done = plan.is_none_or(|p| !p.standing);
+                checker.task_stopped(id, number, name, is_done);
                 let id = id.to_string();
                 drop(state);
                 self.after_task_done(&id);
--- a/tests/model/large.rs
+++ b/tests/model/large.rs
@@ -14,7 +14,7 @@
 /// How long ago the leader last had a whole list of machines, in seconds.
 fn age_of_list(sim: &Arc<Simulation>) -> Option<f64> {
     let leader = sim.leader()?;
-    let node = sim.state().nodes[leader].node.clone()?;
+    let node = sim.state().nodes[leader].controller.clone()?;
     let now = node.now();
     let state = node.state();
     let listed = state.scheduler.as_ref()?.provisioning.last_listed_at?;
