--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -28,7 +28,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.state().terminal_states.note(id, view);
+            self.state().terminal_states.insert(id, view);
             return known(id, view);
         }
         // Without a leader no job can be cancelled, but jobs that ended or were never accepted can still be reported.
@@ -46,7 +46,7 @@
             .unwrap_or(PeerReply::Busy)
     }
 
-    /// Requests the cancellation of a job if this controller leads, and waits up to [`CANCEL_TIMEOUT`] for its
+    /// Requests the cancellation of a job if this controller leads, and waits up to `CANCEL_TIMEOUT` for its
     /// final state to be recorded.
     pub fn cancel_as_leader(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIMEOUT;
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -7,7 +7,7 @@
     /// Applies writes that were committed at this revision to the state of the term in which they were sent, and
     /// wakes the threads that wait for a change.
     pub(super) fn note_committed(&self, term: u64, writes: &[PendingWrite], revision: u64) {
-        self.with_state_of(term, |state| {
+        self.with_state_in_term(term, |state| {
             self.apply_committed(state, writes, revision);
         });
         self.state_changed.notify_all();
@@ -23,7 +23,7 @@
                 && let Some(job) = scheduler.jobs.table.get(job)
             {
                 let view = JobView::of_final(*outcome, job.spec.tasks);
-                state.terminal_states.note(&job.spec.id, view);
+                state.terminal_states.insert(&job.spec.id, view);
             }
             scheduler.apply_written(write, revision);
         }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -75,8 +75,8 @@
     fn http_client(&self, addr: SocketAddr) -> Arc<dyn HttpClient> {
         self.0.http_client(addr)
     }
-    fn peer_link(&self, addr: SocketAddr) -> Arc<dyn aspenreel::peer::PeerTransport> {
-        self.0.peer_link(addr)
+    fn peer_transport(&self, addr: SocketAddr) -> Arc<dyn aspenreel::peer::PeerTransport> {
+        self.0.peer_transport(addr)
     }
 }
 
@@ -92,7 +92,7 @@
         clients.get(&os, addr(n), most);
     };
     let kept = || {
-        let there = |n: &u8| clients.keeps(addr(*n));
+        let there = |n: &u8| clients.contains(addr(*n));
         (0..9).filter(there).collect::<Vec<u8>>()
     };
     for n in 1..5 {
