--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -22,7 +22,7 @@
     done: BTreeSet<u32>,
     /// Places of the tasks that are on machines, by task number.
     active: BTreeMap<u32, BTreeSet<Place>>,
-    /// Time of the first status request since the last successful answer that got none.
+    /// Time at which the first unanswered status request since the last successful answer was sent.
     unanswered_since: Option<Time>,
 }
 
@@ -214,7 +214,7 @@
                 found.push(("ran_cancelled", format!("starts on {}", place.machine)));
             } else {
                 let text = format!(
-                    "{id}/{task} starts on {} after {} us",
+                    "{id}/{task} starts on {} {} us after the cancellation was known",
                     place.machine,
                     now - at
                 );
