--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Schedules a random fault at this second. Its details are drawn when it begins, from a generator of its own.
+/// Schedules a random fault at this second. Its kind and duration are drawn now, its other details when it begins,
+/// from a generator of its own.
 fn schedule_fault(sim: &Arc<Simulation>, at: f64, rng: &mut fastrand::Rng) {
     let mut fault_rng = fastrand::Rng::with_seed(rng.u64(..));
     let span = [0.5, 4.0, 12.0, 25.0][rng.usize(0..4)] * (0.5 + rng.f64());
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -39,7 +39,7 @@
     pub(crate) cpus: f64,
     /// Address of the worker for direct commands.
     pub(crate) addr: SocketAddr,
-    /// Time of the provisioning request that created the machine.
+    /// Time of its creation, by a provisioning request or at the start of the simulation.
     pub(crate) created: Time,
     /// Time at which it has booted.
     pub(crate) up_at: Time,
--- a/crates/simulation/src/scheduler.rs
+++ b/crates/simulation/src/scheduler.rs
@@ -35,14 +35,18 @@
     Scheduler,
 }
 
+/// State of a simulated thread.
 struct TaskState {
     turn: Turn,
     /// Number of sleeps that the task has begun.
     sleep: u64,
+    /// True once the process was killed: the thread unwinds at its next turn.
     killed: bool,
+    /// True once the thread has ended.
     finished: bool,
 }
 
+/// Simulated thread: a thread of the operating system that runs only in its turns.
 struct Task {
     id: u64,
     /// Number of the simulated process that the task belongs to.
@@ -58,8 +62,10 @@
     static CURRENT: RefCell<Option<Arc<Task>>> = const { RefCell::new(None) };
 }
 
+/// State of the scheduler.
 #[derive(Default)]
 struct Inner {
+    /// Scheduled events, by time and number.
     queue: BTreeMap<(Time, u64), Event>,
     /// Number of events that were scheduled. It orders events of the same time.
     scheduled: u64,
@@ -67,6 +73,7 @@
     next_task: u64,
     /// Frozen processes, with the time at which each resumes.
     frozen: HashMap<u64, Time>,
+    /// Messages of panics in simulated threads.
     panics: Vec<String>,
 }
 
@@ -84,6 +91,7 @@
         self.now.load(Ordering::Relaxed)
     }
 
+    /// Adds an event to the queue.
     fn push(&self, at: Time, event: Event) {
         let mut inner = lock(&self.inner);
         inner.scheduled += 1;
