--- a/src/cli.rs
+++ b/src/cli.rs
@@ -143,7 +143,7 @@
     #[arg(long, alias = "round-ms", env = "ASPENREEL_RECORD_ROUND_MS", default_value_t = 2000,
           value_parser = clap::value_parser!(u64).range(50..=60_000))]
     pub record_round_ms: u64,
-    /// Number of machines sampled at random for a task before all machines are considered; one in 16 of
+    /// Number of machines sampled at random for a task before all machines are considered, or one in 16 of
     /// those with free capacity, if that is more
     #[arg(long, alias = "sample", env = "ASPENREEL_CANDIDATE_SAMPLE", default_value_t = 3,
           value_parser = clap::value_parser!(u64).range(1..=1000))]
--- a/src/link_health/link_state_loop.rs
+++ b/src/link_health/link_state_loop.rs
@@ -35,7 +35,7 @@
         let reachability = worker_reachability(&mut state, refused, now);
         let changes = link_health.drain_observations(reachability, now);
         let permissions = lock(&link_health.tracker).permissions();
-        let reopened = match &mut state.scheduler {
+        let may_record_again = match &mut state.scheduler {
             Some(scheduler) => scheduler.set_permissions(permissions),
             None => false,
         };
@@ -47,7 +47,7 @@
         for change in changes {
             log_change(&change);
         }
-        if reopened || stepping_down {
+        if may_record_again || stepping_down {
             self.state_changed.notify_all();
         }
     }
