--- a/src/jobs/completion.rs
+++ b/src/jobs/completion.rs
@@ -83,7 +83,7 @@
     /// Stops all attempts of a job without a grace period for a checkpoint, since their results aren't needed.
     fn stop_attempts_of(&mut self, id: JobId) {
         for machine in self.machines.values_mut() {
-            let own = AttemptKey::all_of(id);
+            let own = AttemptKey::range_of_job(id);
             let mut any = false;
             for (_, attempt) in machine.attempts.range_mut(own) {
                 any = true;
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -69,7 +69,7 @@
         for machine in self.machines.values() {
             let tasks = machine
                 .attempts
-                .range(AttemptKey::all_of(id))
+                .range(AttemptKey::range_of_job(id))
                 .filter(|(_, a)| a.holds_resources())
                 .count() as u32;
             if tasks > 0 {
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -41,7 +41,7 @@
     /// True for a machine whose heartbeats arrive but which replies don't seem to reach. It takes no tasks, so
     /// another machine is requested in its place. A short quarantine doesn't count.
     pub(super) fn is_unresponsive(&self, machine: &Machine, now: Moment) -> bool {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let unreconciled = machine.last_seen.is_some()
             && !machine.reconciled
             && now - machine.known_since.max(self.started) > lease;
@@ -115,7 +115,7 @@
         let Some(last_seen) = machine.last_seen else {
             return self.defect_without_heartbeat(machine, now);
         };
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         if machine.unreachable && now - last_seen > lease.scaled(1.5) {
             return Some(ReturnReason::Silent);
         }
@@ -141,7 +141,7 @@
     /// Reason why a machine from which this leader never received a heartbeat is of no use; `None` if it may yet send
     /// one.
     fn defect_without_heartbeat(&self, machine: &Machine, now: Moment) -> Option<ReturnReason> {
-        let lease = self.lease_span();
+        let lease = self.max_lease_duration();
         let boot = self
             .provisioning
             .boot_time_of(&machine.type_name)
