--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -228,12 +228,12 @@
             .filter(|(t, _)| **t != task)
             .flat_map(|(_, places)| places)
             .collect();
-        let is_elsewhere = others.iter().any(|o| o.zone != place.zone);
-        let here = others.iter().filter(|o| o.zone == place.zone).count() as u32 + 1;
+        let is_in_other_zone = others.iter().any(|o| o.zone != place.zone);
+        let tasks_in_zone = others.iter().filter(|o| o.zone == place.zone).count() as u32 + 1;
         if (place.spot && !plan.spot)
             || plan.zone.as_ref().is_some_and(|z| *z != place.zone)
-            || (plan.same_zone && is_elsewhere)
-            || (plan.spread && here > plan.tasks.div_ceil(2))
+            || (plan.same_zone && is_in_other_zone)
+            || (plan.spread && tasks_in_zone > plan.tasks.div_ceil(2))
         {
             found.push(("wrong_place", format!("{place:?} beside {others:?}")));
         }
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -48,7 +48,7 @@
     pub(crate) fn machine_list_page(&self, path: &str) -> Result<Value, ciborium::value::Error> {
         let lag = self.random(3_000_000..6_000_000);
         let then = self.now().saturating_sub(lag);
-        let (since, most) = parse_page_query(path);
+        let (after, limit) = parse_page_query(path);
         let state = self.state();
         let is_listed = |m: &&Machine| {
             let is_still_listed = m
@@ -59,9 +59,9 @@
         let mut machines: Vec<Value> = state
             .machines
             .values()
-            .filter(|m| m.name > since)
+            .filter(|m| m.name > after)
             .filter(is_listed)
-            .take(most + 1)
+            .take(limit + 1)
             .map(|m| {
                 let status = if m.up_at <= then {
                     "running"
@@ -74,8 +74,8 @@
                 .unwrap()
             })
             .collect();
-        let more = machines.len() > most;
-        machines.truncate(most);
+        let more = machines.len() > limit;
+        machines.truncate(limit);
         cbor!({"hosts" => machines, "more" => more})
     }
 
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -14,11 +14,11 @@
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     };
-    let since = value("since").unwrap_or("").to_string();
-    let most = value("most")
+    let after = value("since").unwrap_or("").to_string();
+    let limit = value("most")
         .and_then(|m| m.parse().ok())
         .unwrap_or(MAX_PAGE_SIZE);
-    (since, most.min(MAX_PAGE_SIZE))
+    (after, limit.min(MAX_PAGE_SIZE))
 }
 
 /// State of the simulated cloud.
--- a/crates/simulation/src/drawn_faults.rs
+++ b/crates/simulation/src/drawn_faults.rs
@@ -8,7 +8,7 @@
 const WORKLOAD_S: f64 = 130.0;
 
 /// Random subset of the machines that are up; the share is random too.
-fn some_machines(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) -> Vec<String> {
+fn random_machines(sim: &Arc<Simulation>, rng: &mut fastrand::Rng) -> Vec<String> {
     let up = sim.machines_up();
     let share = rng.f64();
     up.into_iter().filter(|_| rng.f64() < share).collect()
@@ -82,11 +82,15 @@
             8 => sim.leave_writes_unanswered(0.3 + 0.5 * fault_rng.f64(), fault_rng.bool(), span),
             9 => sim.duplicate_heartbeats(0.5, fault_rng.bool(), span),
             10 => sim.cut_zone("west", span),
-            11 => sim.freeze_machines(&some_machines(sim, &mut fault_rng), span),
-            12 => sim.cut_machines(&some_machines(sim, &mut fault_rng), span, fault_rng.bool()),
-            13 => sim.drop_outbound(&some_machines(sim, &mut fault_rng), span),
-            14 => sim.drop_inbound(&some_machines(sim, &mut fault_rng), span),
-            15 => sim.kill_machines(&some_machines(sim, &mut fault_rng)),
+            11 => sim.freeze_machines(&random_machines(sim, &mut fault_rng), span),
+            12 => sim.cut_machines(
+                &random_machines(sim, &mut fault_rng),
+                span,
+                fault_rng.bool(),
+            ),
+            13 => sim.drop_outbound(&random_machines(sim, &mut fault_rng), span),
+            14 => sim.drop_inbound(&random_machines(sim, &mut fault_rng), span),
+            15 => sim.kill_machines(&random_machines(sim, &mut fault_rng)),
             _ => sim.slow_store(0.05 + 0.85 * fault_rng.f64(), span),
         }
     });
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -254,17 +254,17 @@
     /// Response to a request for one page of the keys with a prefix.
     pub fn range(&self, path: &str) -> StoreResponse {
         let q = query(path);
-        let most: usize = q["most"].parse().unwrap();
+        let limit: usize = q["most"].parse().unwrap();
         let found: Vec<_> = self
             .rows
             .iter()
             .filter(|(key, _)| key.starts_with(q["starts"]))
             .filter(|(key, _)| q.get("since").is_none_or(|s| key.as_str() > *s))
-            .take(most + 1)
+            .take(limit + 1)
             .map(|(key, r)| cbor!({"key" => key, "data" => r.0, "stamp" => r.1}).unwrap())
             .collect();
-        let more = found.len() > most;
-        let rows: Vec<_> = found.into_iter().take(most).collect();
+        let more = found.len() > limit;
+        let rows: Vec<_> = found.into_iter().take(limit).collect();
         response(
             200,
             cbor!({"rows" => rows, "more" => more, "epoch" => self.revision}),
@@ -283,7 +283,7 @@
     }
 
     /// Handles requests to `/holds`: grants, renews and ends leases. `rest` is the path after the prefix.
-    pub fn leases(
+    pub fn lease_request(
         &mut self,
         method: &str,
         rest: &str,
@@ -326,7 +326,7 @@
             "/multi" => self.transaction(body),
             "/store" => self.range(path),
             plain => match plain.strip_prefix("/holds") {
-                Some(rest) => self.leases(method, rest, body, now),
+                Some(rest) => self.lease_request(method, rest, body, now),
                 None => self.get(plain.strip_prefix("/store/").unwrap()),
             },
         }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -75,8 +75,8 @@
     let next = AtomicUsize::new(0);
     let summaries: Mutex<Vec<(u64, Summary)>> = Mutex::default();
     std::thread::scope(|scope| {
-        let workers = std::thread::available_parallelism().map_or(2, |n| n.get());
-        for _ in 0..workers.min(seeds.len()) {
+        let threads = std::thread::available_parallelism().map_or(2, |n| n.get());
+        for _ in 0..threads.min(seeds.len()) {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let _permit = Permit::acquire();
--- a/crates/simulation/src/sim_http.rs
+++ b/crates/simulation/src/sim_http.rs
@@ -45,17 +45,18 @@
             }
             2379 => {
                 let slot = Slot::new(&self.simulation);
-                let there = self.simulation.latency();
+                let request_latency = self.simulation.latency();
                 let (node, to) = (self.node, slot.clone());
-                self.simulation
-                    .after(there, move |sim| sim.store_receives(node, request, to));
+                self.simulation.after(request_latency, move |sim| {
+                    sim.store_receives(node, request, to)
+                });
                 slot.wait(&self.simulation, timeout)
             }
             8443 => {
                 let slot = Slot::new(&self.simulation);
-                let there = 20 * self.simulation.latency();
+                let request_latency = 20 * self.simulation.latency();
                 let to = slot.clone();
-                self.simulation.after(there, move |sim| {
+                self.simulation.after(request_latency, move |sim| {
                     let answer = sim.cloud_receives(&request);
                     sim.note_call(Channel::Cloud, &request, &answer);
                     to.arrive(sim, 20 * sim.latency(), answer);
@@ -98,9 +99,9 @@
         }
         self.connected.store(true, Ordering::Relaxed);
         let slot = Slot::new(&self.simulation);
-        let there = self.simulation.latency();
+        let request_latency = self.simulation.latency();
         let (to, node, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
-        self.simulation.after(there, move |sim| {
+        self.simulation.after(request_latency, move |sim| {
             sim.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
             sim.commands_sent(node, addr, body, move |sim, answer| {
                 to.arrive(sim, sim.latency(), answer);
@@ -122,8 +123,8 @@
         request: Request,
         then: impl FnOnce(&Arc<Simulation>, Option<Response>) + Send + 'static,
     ) {
-        let there = self.latency();
-        self.after(there, move |sim| {
+        let request_latency = self.latency();
+        self.after(request_latency, move |sim| {
             let (process, controller) = {
                 let state = sim.state();
                 let node = &state.nodes[node];
@@ -148,8 +149,8 @@
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
                 simulation.note_call(Channel::Controller, &asked, &answer);
-                let back = simulation.latency();
-                simulation.after(back, move |sim| then(sim, Some(response)));
+                let response_latency = simulation.latency();
+                simulation.after(response_latency, move |sim| then(sim, Some(response)));
             };
             sim.scheduler.spawn(process, seed, Box::new(work));
         });
--- a/crates/simulation/src/sim_peer.rs
+++ b/crates/simulation/src/sim_peer.rs
@@ -44,8 +44,8 @@
         let slot = Slot::new(simulation);
         let (from, to) = (self.from, self.to);
         let (reply_to, request) = (slot.clone(), request.clone());
-        let there = simulation.latency();
-        simulation.after(there, move |sim| {
+        let request_latency = simulation.latency();
+        simulation.after(request_latency, move |sim| {
             peer_receives(sim, from, to, request, reply_to);
         });
         let timed_out = || Err(ErrorKind::TimedOut.into());
@@ -76,12 +76,12 @@
         let reply = controller.answer_peer(request);
         let replied = borsh::to_vec(&reply).unwrap();
         sim.note_message(Channel::Peer, &[&[from as u8, to as u8], &asked, &replied]);
-        let back = sim.latency();
+        let response_latency = sim.latency();
         let lost = sim
             .state()
             .is_cut(Endpoint::Node(to), Endpoint::Node(from), sim.now());
         if !lost {
-            reply_to.arrive(&sim, back, Ok(reply));
+            reply_to.arrive(&sim, response_latency, Ok(reply));
         }
     };
     simulation.scheduler.spawn(process, seed, Box::new(work));
--- a/crates/simulation/src/store_api.rs
+++ b/crates/simulation/src/store_api.rs
@@ -114,7 +114,7 @@
         to: Arc<Slot<(u16, Vec<u8>)>>,
     ) {
         let link = self.store_link(node, &request);
-        let back = self.latency() + link.delay;
+        let response_latency = self.latency() + link.delay;
         if link.cut_until > self.now() {
             // The request is held back and executed after the cut; its answer is dropped.
             let later = link.cut_until + self.latency();
@@ -130,7 +130,7 @@
             return;
         }
         if link.is_refused {
-            return to.arrive(self, back, (503, Vec::new()));
+            return to.arrive(self, response_latency, (503, Vec::new()));
         }
         match self.choose_unanswered_write(&request) {
             Some(late) if late.at_once => drop(self.execute_store_request(&request)),
@@ -144,7 +144,7 @@
             }
             None => {
                 let answer = self.execute_store_request(&request);
-                to.arrive(self, back, answer);
+                to.arrive(self, response_latency, answer);
             }
         }
     }
@@ -185,8 +185,8 @@
         let deadline = opened + watch.max_wait.as_micros() as Time;
         let mut first = true;
         loop {
-            let there = self.latency();
-            self.scheduler.sleep_until(self.now() + there);
+            let request_latency = self.latency();
+            self.scheduler.sleep_until(self.now() + request_latency);
             let now = self.now();
             {
                 let mut state = self.state();
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -33,12 +33,12 @@
         after: Time,
     ) -> String {
         let now = self.now();
-        let (name, first) = {
+        let (name, up_at) = {
             let mut state = self.state();
             state.cloud.machines_created += 1;
-            let made = state.cloud.machines_created;
-            let name = format!("m-{made:06}");
-            let first = now + after + state.rng.u64(0..400_000);
+            let number = state.cloud.machines_created;
+            let name = format!("m-{number:06}");
+            let up_at = now + after + state.rng.u64(0..400_000);
             let node = state.rng.usize(0..self.setup.nodes);
             let machine = Machine {
                 name: name.clone(),
@@ -46,17 +46,17 @@
                 zone: zone.into(),
                 spot,
                 cpus: if type_name == "small" { 8.0 } else { 32.0 },
-                addr: format!("10.1.{}.{}:9000", made / 200, made % 200)
+                addr: format!("10.1.{}.{}:9000", number / 200, number % 200)
                     .parse()
                     .unwrap(),
                 created: now,
-                up_at: first,
+                up_at,
                 gone_at: None,
                 died_at: None,
                 agent_epoch: AgentEpoch(1),
                 sequence: 0,
                 fencing_token: FencingToken::NONE,
-                lease_started_at: first,
+                lease_started_at: up_at,
                 tasks: BTreeMap::new(),
                 images: BTreeSet::new(),
                 node,
@@ -74,10 +74,10 @@
                 preempted_at: None,
             };
             state.machines.insert(name.clone(), machine);
-            (name, first)
+            (name, up_at)
         };
         let worker = name.clone();
-        self.at_time(first, move |sim| {
+        self.at_time(up_at, move |sim| {
             sim.check_lease(&worker);
             sim.heartbeat_at(&worker, sim.now());
         });
@@ -96,10 +96,10 @@
         else {
             return;
         };
-        let ends = machine.lease_started_at + secs(LEASE_S);
-        if now < ends {
+        let lease_end = machine.lease_started_at + secs(LEASE_S);
+        if now < lease_end {
             drop(state);
-            return self.at_time(ends, move |sim| sim.check_lease(&worker));
+            return self.at_time(lease_end, move |sim| sim.check_lease(&worker));
         }
         machine.agent_epoch = machine.agent_epoch.next();
         machine.lease_started_at = now;
@@ -182,8 +182,8 @@
             }
             return;
         }
-        let there = self.latency();
-        self.after(there, move |sim| {
+        let request_latency = self.latency();
+        self.after(request_latency, move |sim| {
             sim.heartbeat_arrives(node, heartbeat, request, now)
         });
     }
@@ -289,9 +289,9 @@
         {
             return;
         }
-        let back = self.latency();
+        let response_latency = self.latency();
         let name = heartbeat.machine.clone();
-        self.after(back, move |sim| {
+        self.after(response_latency, move |sim| {
             sim.answer_arrives(&name, heartbeat.agent_epoch, request, sent, answer);
         });
     }
