--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -1,12 +1,13 @@
-//! What outsiders can make a leader hold is bounded.
+//! Limits on the memory that jobs and machines take in a leader.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use insta::assert_snapshot;
 
-/// What outsiders can make a leader hold is bounded: jobs by their bytes, large ones by their tasks,
-/// machines by their number, and images that take no room in a cache.
+/// The memory that requests and heartbeats can take in a leader is limited: jobs count by their bytes, which for
+/// large jobs grow with the number of tasks, machines by their number. The number of remembered images of a machine
+/// is limited too, also if they are reported with size 0 and so never exceed the capacity of its cache.
 #[test]
-fn memory_is_bounded() {
+fn jobs_machines_and_images_are_limited_in_memory() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.scheduler.config.job_bytes = 100_000;
     trace.scheduler.config.max_machines = 2;
@@ -39,12 +40,13 @@
     for n in 1..=3 {
         trace.heartbeat(&format!("big-east-{n}"), &[]);
     }
-    let m = trace.scheduler.machines.get_mut("big-east-1").unwrap();
+    let machine = trace.scheduler.machines.get_mut("big-east-1").unwrap();
     for n in 0..1000 {
-        m.images
+        machine
+            .images
             .note_use(&format!("img-{n}"), 0.0, true, 50.0, at(n.into()));
     }
-    let images = m.images.values().count();
+    let images = machine.images.values().count();
     trace.note(&format!(
         "{images} of 1000 images of no size are remembered"
     ));
@@ -58,24 +60,25 @@
     );
 }
 
-/// The mark that no more jobs are accepted is written until that is known, before its opposite is: a
-/// late one would undo it, and nobody would accept anything for as long as this leader leads.
+/// A write that closes or opens the admission gate is repeated until it is confirmed, before the opposite is
+/// written. Otherwise the unconfirmed write could be executed late and undo the opposite one, and no controller
+/// would accept jobs for the rest of this leader's term.
 #[test]
-fn the_mark_of_being_full_is_never_in_doubt_for_long() {
-    let mut mark = aspenreel::jobs::AdmissionGate::default();
+fn unconfirmed_gate_write_is_repeated_before_the_opposite_write() {
+    let mut gate = aspenreel::jobs::AdmissionGate::default();
     assert_eq!(
-        (mark.next_write(false), mark.next_write(true)),
+        (gate.next_write(false), gate.next_write(true)),
         (None, Some(true))
     );
-    mark.unconfirmed = Some(true);
-    assert_eq!(mark.next_write(false), Some(true));
-    mark.confirm(true, 7);
+    gate.unconfirmed = Some(true);
+    assert_eq!(gate.next_write(false), Some(true));
+    gate.confirm(true, 7);
     assert_eq!(
-        (mark.next_write(true), mark.next_write(false)),
+        (gate.next_write(true), gate.next_write(false)),
         (None, Some(false))
     );
-    mark.unconfirmed = Some(false);
-    assert_eq!(mark.next_write(true), Some(false));
-    mark.confirm(false, 0);
-    assert_eq!((mark.next_write(false), mark.revision), (None, 0));
+    gate.unconfirmed = Some(false);
+    assert_eq!(gate.next_write(true), Some(false));
+    gate.confirm(false, 0);
+    assert_eq!((gate.next_write(false), gate.revision), (None, 0));
 }
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -1,15 +1,15 @@
-//! Starts that go straight to a machine, and what has to be on record before them.
+//! Start commands sent in direct calls to workers, and the records that must be stored before a start is sent.
 
 use crate::trace::{LeaderTrace, at, decimal, one_team, submission};
 use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
-/// A start without an answer may arrive at any time: its task stays bound, and the attempt is
-/// never cleared while the agent epoch lasts, since a start after `clear` would run it again.
+/// A start whose direct call got no answer may still reach the worker at any time. Its task stays bound, and the
+/// attempt is not cleared before the agent epoch ends: a start that arrives after `clear` would run the task again.
 #[test]
-fn unanswered_direct_start() {
+fn unanswered_start_is_not_cleared_within_its_agent_epoch() {
     let mut trace = LeaderTrace::new(2, one_team());
-    // Else the start would be fenced off, and could not show up any more.
+    // With a higher token the worker would refuse the late start, and the task could not be reported any more.
     trace.raises_tokens = false;
     trace.heartbeat("big-east-1", &[]);
     trace.heartbeat("big-east-2", &[]);
@@ -22,8 +22,8 @@
         .scheduler
         .machines
         .values()
-        .find(|m| m.is_busy())
-        .map(|m| m.name.clone())
+        .find(|machine| machine.is_busy())
+        .map(|machine| machine.name.clone())
         .unwrap();
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true).view("run-1");
@@ -42,9 +42,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A start lost with its answer goes out again; one no longer wanted is dropped, by proof.
+/// A heartbeat reply with a start is lost. The next report doesn't contain the task, which proves that it was not
+/// started, so the start may be sent again. Here the job is cancelled meanwhile: the start is dropped.
 #[test]
-fn lost_answers() {
+fn start_lost_with_its_reply_is_not_resent_after_cancellation() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 2));
@@ -66,9 +67,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// A task starts only once its job's claim is recorded, and only on a recorded machine.
+/// A task starts only after a stored start watermark of its job covers it, and only on a registered machine.
 #[test]
-fn no_start_before_the_record() {
+fn tasks_start_after_machine_and_start_watermark_are_stored() {
     let mut trace = LeaderTrace::new(2, one_team());
     let first = trace.report("big-east-1", 2, 1, &[]);
     trace.scheduler.heartbeat(&first, at(0.0));
@@ -84,7 +85,8 @@
     for write in &start_watermarks {
         trace.note(&format!("to be written: {:?}", write.kind));
     }
-    // The page changes while it is being written: it stays due, over its own revision.
+    // If the page changes while it is being written, it stays due and is next written over the revision of that
+    // write.
     trace.job(submission("run-2", |s| s.tasks = 1));
     trace.scheduler.on_timer(at(1.02));
     trace.scheduler.apply_written(&start_watermarks[0], 8);
@@ -97,10 +99,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine that refuses connections isn't called again and again; what was to start there starts
-/// elsewhere at once, and not when its lease is over.
+/// A machine that refuses connections isn't called again before its next heartbeat. The tasks that were to start
+/// there are released for other machines at once, not only when the machine's lease expires.
 #[test]
-fn unreached_machines() {
+fn tasks_of_an_unreachable_machine_move_to_another_at_once() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
@@ -108,7 +110,7 @@
     trace.record_fleet();
     trace.bound().direct(|_| DirectResult::Unreachable);
     trace.bound().direct(|_| unreachable!());
-    // Another machine takes them; the first is asked again once it reports.
+    // The tasks are placed on another machine. The first one is called again once it sends a heartbeat.
     trace.at(2.0).heartbeat("big-east-2", &[]).bound();
     trace.at(3.0).heartbeat("big-east-1", &[]);
     trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
@@ -119,12 +121,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// A job that spreads over many machines doesn't call all of them at once: on a small share of a
-/// core their answers would queue, and users' requests behind them. Calls that get no answer hold
-/// up the others only for a moment, and while timers fire late none is made: heartbeats carry the
-/// commands.
+/// A job with tasks on many machines doesn't cause direct calls to all of them at once: with a small CPU share the
+/// answers would queue, and users' requests behind them. Calls without an answer delay the others only briefly.
+/// While timers fire late (an overload) no direct calls are made: heartbeat replies carry the commands.
 #[test]
-fn direct_calls_are_few_at_a_time() {
+fn concurrent_direct_calls_are_limited() {
     let mut trace = LeaderTrace::new(2, one_team());
     for n in 1..=9 {
         trace.heartbeat(&format!("big-east-{n}"), &[]);
@@ -159,11 +160,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine of the last leader's registry stays silent for a lease, and its entry goes. When it is back
-/// it is written down anew before anything starts there, however often it reports meanwhile: else a
-/// next leader would not know that it may hold tasks.
+/// A machine registered by the previous leader stays silent for a full lease, and its entry in the registry is
+/// removed. When it reports again, it must be registered again before a task starts there, however often it reports
+/// meanwhile: otherwise the next leader would not know that the machine may hold tasks.
 #[test]
-fn a_machine_that_is_back_waits_for_its_record() {
+fn returning_machine_gets_no_tasks_before_it_is_registered_again() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -60.0);
     trace.on_timer(21.0);
@@ -185,11 +186,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// A start got no answer and was never delivered, its job is cancelled, and the machine is well: once
-/// it tells a higher fencing token than the command's it will refuse the command. Else the cancelled job would keep
-/// its place there for good.
+/// A start got no answer and was never delivered, its job is cancelled, and the machine is healthy. Once the worker
+/// reports a higher fencing token than that of the command, it would refuse the command, so the attempt ends.
+/// Otherwise the cancelled job would hold its resources on the machine forever.
 #[test]
-fn an_undelivered_start_has_an_end() {
+fn undelivered_start_ends_when_the_worker_reports_a_higher_token() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -1,13 +1,13 @@
-//! What a new leader may count on before it has heard from every machine of the last term.
+//! What a new leader may place before it has reconciled every machine of earlier terms.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::{JobKind, Submission};
 use aspenreel::provisioning::ProvisioningResult;
 use insta::assert_snapshot;
 
-/// A new leader waits for every recorded machine before it runs an earlier job's tasks again.
+/// A new leader waits for reports of all registered machines before it starts tasks of earlier terms again.
 #[test]
-fn takeover_waits_for_recorded_machines() {
+fn prior_term_tasks_wait_for_reports_of_all_registered_machines() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -100.0);
     trace.recorded("big-east-2", -100.0);
@@ -23,9 +23,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// A recorded machine that stays silent is waited for through one full lease, not less.
+/// A new leader waits one full lease, not less, for a registered machine that stays silent.
 #[test]
-fn takeover_waits_a_lease_for_a_silent_machine() {
+fn prior_term_tasks_wait_one_full_lease_for_a_silent_machine() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -1.0);
     trace.old_job(submission("run-1", |s| s.tasks = 1));
@@ -37,9 +37,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// Two lists without a machine that existed long before prove that it is gone.
+/// A machine that has existed for long is proved to be gone by two lists that don't contain it.
 #[test]
-fn unlisted_machines_are_gone() {
+fn old_machines_missing_from_two_lists_are_gone() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -60.0);
     trace.recorded("big-east-8", -2.0);
@@ -58,18 +58,18 @@
     assert_snapshot!(trace.log);
 }
 
-/// A leader stands still between deciding a start and sending it, and goes on when another leads. A
-/// machine that the next leader reconciled refuses the command; on one that it hasn't, the task may
-/// start, and it starts nowhere else meanwhile.
+/// A leader is suspended between the decision on a start and its sending, and continues after another leader was
+/// elected. A machine that the new leader has reconciled refuses the command. On one that isn't reconciled the task
+/// may start, and until that machine is reconciled the new leader starts it nowhere else.
 #[test]
-fn the_last_leader_stood_still() {
+fn late_start_of_previous_leader_runs_only_on_an_unreconciled_machine() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -60.0);
     trace.recorded("big-east-2", -60.0);
     trace.old_job(submission("run-1", |s| s.tasks = 2));
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let woken = trace.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
-    trace.at(3.0).send(&woken).bound();
+    let late_start = trace.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
+    trace.at(3.0).send(&late_start).bound();
     trace
         .at(4.0)
         .heartbeat("big-east-2", &["run-1/0#4.9 running"])
@@ -82,11 +82,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// A lagging list may still name machines that were taken before a failover. That they existed long
-/// before is known from the registry and from how long they were held: the next two lists prove
-/// that they are gone, and earlier jobs don't wait for most of a lease.
+/// A machine list that lags behind may still contain machines that were removed before a failover. The registry, and
+/// the time for which the list says that they were held, tell that they have existed for long. The next two lists
+/// without them therefore prove that they are gone, and jobs of earlier terms don't wait for most of a lease.
 #[test]
-fn listed_late_and_gone() {
+fn machines_in_a_stale_list_are_gone_after_two_lists_without_them() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -60.0);
     trace.old_job(submission("run-1", |s| s.tasks = 1));
@@ -107,10 +107,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine goes on the registry when it is first heard from: what still boots at a failover can
-/// hold nothing, and nobody waits for it.
+/// A machine is registered when its first heartbeat arrives. One that is still booting at a failover can hold no
+/// tasks, so the new leader doesn't wait for it.
 #[test]
-fn booting_machines_are_not_waited_for() {
+fn booting_machine_is_not_registered_before_its_first_heartbeat() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| s.tasks = 1));
     trace.scheduler.provisioning.has_machine_list = true;
@@ -138,9 +138,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// Only claimed tasks wait for an unreconciled machine: what was never claimed starts at once.
+/// Only tasks below a stored start watermark wait for unreconciled machines. Tasks above it were never started, and
+/// are placed at once.
 #[test]
-fn takeover_holds_only_what_may_be_unseen() {
+fn only_tasks_below_the_start_watermark_wait_for_reconciliation() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -50.0);
     trace.recorded("big-east-1", -50.0);
@@ -152,60 +153,61 @@
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
         .on_timer(1.2)
         .bound();
-    // A claimed task that comes back is not free either: a later attempt may be unseen.
+    // A task below the watermark isn't placed when its attempt ends either: a later attempt may be on a machine that
+    // isn't reconciled.
     trace
         .at(4.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 stopped"])
         .bound();
-    let back = [
+    let running = [
         "run-1/2#5.2 running",
         "run-1/3#5.3 running",
         "run-3/0#5.1 running",
     ];
-    trace.at(7.0).heartbeat("big-east-1", &back);
-    trace.at(20.0).heartbeat("big-east-1", &back);
+    trace.at(7.0).heartbeat("big-east-1", &running);
+    trace.at(20.0).heartbeat("big-east-1", &running);
     trace.on_timer(20.6).bound();
     assert_snapshot!(trace.log);
 }
 
-/// A copy may be the first that a new leader hears of a machine: it counts nothing in, but an
-/// outcome in it still settles.
+/// The first report of a machine that a new leader receives may be a late duplicate from the previous term. It
+/// doesn't reconcile the machine, but an outcome that it contains counts.
 #[test]
-fn a_copy_comes_first() {
+fn late_duplicate_received_first_counts_outcomes_without_reconciling() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -100.0);
     trace.old_job(submission("run-1", |s| s.tasks = 2));
-    let copy = trace.report(
+    let duplicate = trace.report(
         "big-east-1",
         4,
         1,
         &["run-1/0#4.1 done", "run-1/1#4.2 running"],
     );
-    trace.at(1.0).send(&copy).bound();
+    trace.at(1.0).send(&duplicate).bound();
     let unreconciled = format!(
         "unreconciled: {:?}",
         trace.scheduler.prior_term.unreconciled
     );
     trace.note(&unreconciled);
     trace.round(true).view("run-1");
-    let own = trace.report("big-east-1", 5, 2, &[]);
-    trace.at(2.0).send(&own).bound();
-    trace.at(2.5).send(&copy).bound();
+    let reconciled = trace.report("big-east-1", 5, 2, &[]);
+    trace.at(2.0).send(&reconciled).bound();
+    trace.at(2.5).send(&duplicate).bound();
     assert_snapshot!(trace.log);
 }
 
-/// A late copy is the first that a new leader hears of a machine; then the machine itself reports, in
-/// its next agent epoch, which began under the last leader. An order of that one may still be on its way
-/// to this agent epoch: the task is held until the machine is reconciled.
+/// The first report of a machine that a new leader receives is a late duplicate. Then the machine reports in its next
+/// agent epoch, which began under the previous leader. A command of that leader may still be on its way to this agent
+/// epoch, so the task isn't placed before the machine is reconciled.
 #[test]
-fn a_copy_of_an_earlier_session_frees_nothing() {
+fn late_duplicate_of_an_earlier_agent_epoch_releases_no_tasks() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-1", -60.0);
     trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.at(0.5).heartbeat("big-east-2", &[]);
-    let copy = trace.report("big-east-1", 4, 1, &[]);
+    let duplicate = trace.report("big-east-1", 4, 1, &[]);
     let next_epoch = trace.report("big-east-1", 4, 2, &[]);
-    trace.at(1.0).send(&copy).bound();
+    trace.at(1.0).send(&duplicate).bound();
     trace.at(2.0).send(&next_epoch).bound();
     trace.at(3.0).heartbeat("big-east-2", &[]).bound();
     let reconciled = trace.report("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
@@ -213,17 +215,18 @@
     assert_snapshot!(trace.log);
 }
 
-/// An earlier version that led since a standing job was accepted dropped its claims: its replicas may be
-/// on a machine that isn't seen, whatever the pages say. Jobs accepted later were claimed as ever.
+/// A leader of an earlier version drops the start watermarks of standing jobs. If such a leader was elected after a
+/// standing job was accepted, replicas of the job may be on an unreconciled machine, whatever watermark is stored.
+/// Jobs accepted later have valid watermarks.
 #[test]
-fn claims_that_an_earlier_version_dropped() {
+fn standing_jobs_of_an_earlier_version_wait_for_reconciliation() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("big-east-9", -50.0);
     let standing = |s: &mut Submission| {
         s.kind = JobKind::Standing;
         s.tasks = 1;
     };
-    // The registry's page has revision 101, the jobs the next ones.
+    // The registry's page has revision 101, the jobs have 102 to 105.
     trace.scheduler.prior_term.older_version_led_at = 103;
     trace.accepted(submission("run-1", standing), 0);
     trace.accepted(submission("run-2", standing), 0);
@@ -234,8 +237,8 @@
         .heartbeat("big-east-1", &[])
         .on_timer(1.2)
         .bound();
-    let back = ["run-3/0#5.1 running", "run-4/0#5.2 running"];
-    trace.at(20.0).heartbeat("big-east-1", &back).bound();
+    let running = ["run-3/0#5.1 running", "run-4/0#5.2 running"];
+    trace.at(20.0).heartbeat("big-east-1", &running).bound();
     trace.on_timer(20.6).bound();
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -1,23 +1,24 @@
-//! Commands that the network holds back: when a leader may count on them not to arrive any more.
+//! Commands that the network delays: when a leader may rely on a worker to refuse them.
 
 use crate::trace::{LeaderTrace, submission, team};
 use aspenreel::workers::{DirectResult, FencingToken};
 use insta::assert_snapshot;
 
-/// As long as a cancellation may take, in the trace's settings.
-const CANCEL_S: f64 = 46.0;
-const LEASE_S: f64 = 20.0;
+/// Time limit of a cancellation in the configuration of the trace, in seconds.
+const CANCELLATION_BOUND_S: f64 = 46.0;
+/// Lease of a worker in the configuration of the trace, in seconds.
+const WORKER_LEASE_S: f64 = 20.0;
 
-/// A worker, as far as it decides whether a late command is executed.
+/// The state of a worker that decides whether a late command is executed.
 struct Worker {
     name: &'static str,
     fencing_token: u64,
     agent_epoch: u64,
-    /// When the last answered heartbeat was sent.
-    renewed: f64,
+    /// Time at which the last answered heartbeat was sent, in seconds.
+    renewed_s: f64,
 }
 
-/// What a direct command carries.
+/// Fencing data of a start command that is still on its way.
 #[derive(Clone, Copy)]
 struct DelayedCommand {
     fencing_token: u64,
@@ -30,15 +31,15 @@
             name,
             fencing_token: 2,
             agent_epoch: 1,
-            renewed: 0.0,
+            renewed_s: 0.0,
         }
     }
 
-    /// Sends a heartbeat that shows these tasks. True if it was answered.
+    /// Sends a heartbeat that reports these tasks. Returns true if it was answered.
     fn heartbeat(&mut self, trace: &mut LeaderTrace, seconds: f64, tasks: &[&str]) -> bool {
-        if seconds - self.renewed > LEASE_S {
+        if seconds - self.renewed_s > WORKER_LEASE_S {
             self.agent_epoch += 1;
-            self.renewed = seconds;
+            self.renewed_s = seconds;
         }
         trace.at(seconds);
         let report = trace.report(self.name, self.fencing_token, self.agent_epoch, tasks);
@@ -47,7 +48,7 @@
             && fencing_token >= self.fencing_token
         {
             self.fencing_token = fencing_token;
-            self.renewed = seconds;
+            self.renewed_s = seconds;
         }
         answer.is_some()
     }
@@ -57,52 +58,51 @@
     }
 }
 
-/// What the key-value store does with higher fencing tokens.
+/// Result of the leader's attempts to store a higher fencing token.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Tokens {
-    Raised,
-    Refused,
+enum TokenRaises {
+    Succeed,
+    Fail,
 }
 
-/// A leader, a worker, and a direct start of `run-1` that got no answer at 1 s.
-fn a_start_in_doubt(tokens: Tokens) -> (LeaderTrace, Worker, DelayedCommand) {
+/// Returns a leader, a worker, and an unconfirmed start of `run-1`: its direct call got no answer at 1 s.
+fn unconfirmed_start(token_raises: TokenRaises) -> (LeaderTrace, Worker, DelayedCommand) {
     let mut trace = LeaderTrace::new(2, vec![team("a", 64.0, 64.0)]);
-    trace.raises_tokens = tokens == Tokens::Raised;
+    trace.raises_tokens = token_raises == TokenRaises::Succeed;
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
-    let held = DelayedCommand {
+    let delayed = DelayedCommand {
         fencing_token: 2,
         agent_epoch: 1,
     };
-    (trace, worker, held)
+    (trace, worker, delayed)
 }
 
-/// A direct start is on its way when its job is cancelled, and stays there for minutes, while heartbeats
-/// renew the agent epoch. Before the time for a cancellation is over, the worker must have lost the right to
-/// execute it.
+/// A direct start is on its way when its job is cancelled, and the network delays it for minutes, while heartbeats
+/// renew the agent epoch. Before the time limit of the cancellation, the worker must refuse to execute the start.
 #[test]
-fn a_held_start_is_revoked_before_its_cancellation_must_be_complete() {
-    let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Raised);
+fn delayed_start_is_revoked_within_the_cancellation_bound() {
+    let (mut trace, mut worker, delayed) = unconfirmed_start(TokenRaises::Succeed);
     trace.at(2.0);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
     for second in (3..=72).step_by(3) {
         worker.heartbeat(&mut trace, f64::from(second), &[]);
-        if f64::from(second) < 2.0 + CANCEL_S {
+        if f64::from(second) < 2.0 + CANCELLATION_BOUND_S {
             continue;
         }
         trace.round(true);
-        assert!(!worker.executes(held), "executed {second} s late");
+        assert!(!worker.executes(delayed), "executed {second} s late");
     }
 }
 
-/// A preempted task's start is on its way. Its task may start elsewhere only once the worker can't
+/// The start of a preempted attempt is on its way. Its task may start on another machine only once the worker can't
 /// execute the late command any more.
 #[test]
-fn a_preempted_start_holds_its_task_until_it_is_revoked() {
-    let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Raised);
+fn delayed_start_of_a_preempted_attempt_binds_its_task_until_revoked() {
+    let (mut trace, mut worker, delayed) = unconfirmed_start(TokenRaises::Succeed);
     let key = *trace.scheduler.machines["big-east-1"]
         .attempts
         .keys()
@@ -119,17 +119,18 @@
             .get(&key)
             .is_some_and(|attempt| attempt.holds_resources());
         assert!(
-            is_bound || !worker.executes(held),
-            "its task is free at {second} s"
+            is_bound || !worker.executes(delayed),
+            "the task is released at {second} s, but the delayed start could still be executed"
         );
     }
 }
 
-/// The key-value store takes no higher fencing token. Then the worker gets no answers from the moment at which a
-/// lease just fits into the time for the cancellation, and the command's agent epoch ends.
+/// The key-value store accepts no higher fencing token. Then the leader leaves the worker's heartbeats unanswered
+/// from the time at which a lease just fits into the remaining time of the cancellation, so that the agent epoch of
+/// the command ends.
 #[test]
-fn a_start_that_cannot_be_fenced_off_ends_with_its_session() {
-    let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Refused);
+fn delayed_start_ends_with_its_agent_epoch_if_no_token_can_be_raised() {
+    let (mut trace, mut worker, delayed) = unconfirmed_start(TokenRaises::Fail);
     trace.at(2.0);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
@@ -137,16 +138,16 @@
         let second = f64::from(second);
         worker.heartbeat(&mut trace, second, &[]);
         trace.on_timer(second);
-        assert!(second < 2.0 + CANCEL_S || !worker.executes(held));
+        assert!(second < 2.0 + CANCELLATION_BOUND_S || !worker.executes(delayed));
     }
     trace.round(true);
     assert_snapshot!(trace.log);
 }
 
-/// A start is under way when its machine gets a higher fencing token for another one. Its call ends without an
-/// answer after the worker has told that token: nothing is in doubt, and no third token is needed.
+/// A start is in flight when its machine gets a higher fencing token because of another start. Its call ends without
+/// an answer after the worker has reported that token: the start is not unconfirmed, and no third token is needed.
 #[test]
-fn a_call_that_ends_after_the_worker_saw_a_higher_token_leaves_no_doubt() {
+fn unanswered_call_is_settled_if_a_higher_token_was_reported_before() {
     let mut trace = LeaderTrace::new(2, vec![team("a", 64.0, 64.0)]);
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
@@ -168,10 +169,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// Hundreds of machines have starts in doubt: one token fences off all of them, and each is free again at the
-/// heartbeat after the one that brought it.
+/// Hundreds of machines have unconfirmed starts. One higher token revokes all of them, and each machine is free again
+/// at the heartbeat after the one whose reply carried the token.
 #[test]
-fn one_token_fences_off_hundreds_of_machines() {
+fn one_token_raise_revokes_unconfirmed_starts_on_hundreds_of_machines() {
     const MACHINES: u32 = 300;
     let mut trace = LeaderTrace::new(2, vec![team("a", 1e6, 1e6)]);
     trace.raises_tokens = false;
@@ -181,7 +182,7 @@
     }
     trace.at(0.5).job(submission("run-1", |s| {
         s.tasks = u64::from(MACHINES);
-        s.cpus = trace_cpus();
+        s.cpus = whole_machine_cpus();
     }));
     trace.on_timer(1.0);
     while trace.scheduler.fencing.unconfirmed_machine_count() < MACHINES as usize {
@@ -208,7 +209,7 @@
     assert!(trace.scheduler.machines.values().all(|m| !m.is_busy()));
 }
 
-/// A task takes all of a machine.
-fn trace_cpus() -> aspenreel::http::cbor::Number {
+/// CPUs of a task that takes a whole machine of type `big`.
+fn whole_machine_cpus() -> aspenreel::http::cbor::Number {
     crate::trace::decimal(32.0)
 }
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -1,12 +1,13 @@
-//! Late, copied and missing heartbeats.
+//! Late, duplicated and missing heartbeats.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
-/// Late reports change nothing; one that a direct answer overtook is still answered.
+/// Late heartbeats change no state. One that was overtaken by the answer to a direct call still gets commands in
+/// reply.
 #[test]
-fn late_heartbeats() {
+fn late_heartbeats_change_no_state() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
@@ -29,10 +30,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// A leader that most workers fall silent to stands down, but not while it falls behind itself: it
-/// lost term after term to its own work, and each cost more than it had.
+/// A leader from which most workers are cut off gives up its term, but not while it is overloaded itself. Without
+/// this exception, an overload made leaders lose term after term, and each change of leader cost more than the
+/// process had processor time for.
 #[test]
-fn a_slow_leader_keeps_its_term() {
+fn overloaded_leader_does_not_count_as_cut_off_from_workers() {
     let silent = |overloaded: bool, at_seconds: f64| {
         let mut trace = LeaderTrace::new(2, one_team());
         for n in 1..=4 {
@@ -50,17 +52,18 @@
     assert!(silent(true, 13.5));
 }
 
-/// Reports arrive, answers and commands don't: no new work, a replacement, a return if it lasts;
-/// and a machine that hears again counts again.
+/// The reports of a machine arrive, but replies and commands don't reach it. It gets no new tasks, another machine is
+/// requested in its place, and if the state lasts, the machine is returned. If it answers a direct call again, it
+/// gets tasks again.
 #[test]
-fn one_way_silence() {
+fn machine_that_commands_do_not_reach_is_replaced_and_returned() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.scheduler.config.max_idle = aspenreel::time::Micros::from_secs(1000);
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
     trace.direct(|_| DirectResult::OutcomeUnknown).bound();
-    // Its lease runs out, and each agent epoch looks healthy.
+    // Its leases expire without a renewal, so its agent epochs end, but each one looks healthy in its reports.
     trace.at(3.0).heartbeat("big-east-1", &[]);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
@@ -72,7 +75,7 @@
         .at(36.0)
         .direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 2, &[])));
     trace.on_timer(36.5).bound();
-    // Another one never heals.
+    // Another machine stays in this state.
     trace.at(50.0).heartbeat("small-west-1", &[]);
     for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
         let next = trace.report("small-west-1", 2, agent_epoch, &[]);
@@ -84,10 +87,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A start that an answer carried and the next report doesn't show was lost with the answer: it
-/// starts elsewhere, and the machine is asked whether it hears.
+/// A start was sent in a heartbeat reply, and the next report doesn't contain its task: the reply was lost. The task
+/// starts on another machine, and a direct call probes whether the first machine can be reached.
 #[test]
-fn starts_that_never_show() {
+fn start_missing_from_the_next_report_moves_to_another_machine() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 1));
@@ -101,10 +104,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// Copies of reports, from seconds old to older than a lease: they renew nothing, get no commands,
-/// bind and free nothing, and bring no machine back.
+/// Duplicates of reports, from seconds old to older than a lease, renew no lease, get no commands, bind and release
+/// no tasks, and don't add a machine again that is gone.
 #[test]
-fn late_copies() {
+fn late_duplicates_renew_bind_and_release_nothing() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
@@ -114,12 +117,12 @@
     let running = trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]);
     trace.at(4.0).send(&running);
     trace.at(9.0).send(&idle).bound();
-    // Copies don't keep a silent machine's agent epoch alive.
+    // Duplicates don't keep a silent machine's agent epoch alive.
     trace.at(20.0).send(&running);
     trace.on_timer(24.4).bound();
     trace.on_timer(24.6).bound();
     trace.at(40.0).send(&running).bound();
-    // Its next agent epoch runs the task anew: a copy of the old one frees nothing.
+    // The machine's next agent epoch runs the task again: a duplicate from the old one doesn't release it.
     let next = trace.report("big-east-1", 2, 2, &["run-1/0#2.2 running"]);
     trace.at(41.0).send(&next).bound();
     trace.at(42.0).send(&idle).send(&running).bound();
@@ -129,10 +132,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine that reaches nobody still answers direct calls, while its agent epochs end one after the
-/// other: its answers bring it no work. Stops go there all the same.
+/// A machine whose heartbeats don't arrive still answers direct calls, while its agent epochs end one after another.
+/// Its answers don't count as heartbeats, so it gets no starts. Stops are sent to it nevertheless.
 #[test]
-fn a_mute_machine_gets_no_work() {
+fn machine_without_heartbeats_gets_stops_but_no_starts() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -1,4 +1,5 @@
-//! Kept traces: what a leader does, event by event. Each guards one promise.
+//! Traces of a leader: each test plays a sequence of events into a `SchedulerState` and compares the log of what the
+//! leader does with a snapshot, or checks the resulting state. Each test covers one guarantee.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -1,4 +1,4 @@
-//! Results of tasks and jobs: when they count, and how they are written.
+//! Outcomes of tasks and jobs: when they count, and how they are written to the store.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::{PendingWriteKind, take_affordable};
@@ -6,9 +6,9 @@
 use aspenreel::workers::DirectResult;
 use insta::assert_snapshot;
 
-/// A done task counts, and is cleared, only once its done set is written.
+/// A done task counts, and its attempt is cleared, only after the done set that contains it was written.
 #[test]
-fn settling() {
+fn done_tasks_count_and_are_cleared_after_their_done_set_is_written() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
@@ -42,9 +42,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// Of two attempts the first settle wins; the other is stopped and changes nothing.
+/// Of two attempts of a task, the first that is done counts. The other one is stopped, and its end changes nothing.
 #[test]
-fn first_settle_wins() {
+fn first_done_attempt_of_a_task_counts() {
     let mut trace = LeaderTrace::new(3, one_team());
     trace.old_job(submission("run-1", |s| s.tasks = 1));
     trace.heartbeat("big-east-1", &["run-1/0#1.7 running"]);
@@ -61,9 +61,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// Withdrawn or done: whichever is recorded first, and only one of them is ever told.
+/// A job is cancelled while its last task ends: the outcome that is recorded first is final, and no other outcome is
+/// ever reported to users.
 #[test]
-fn withdraw_against_done() {
+fn outcome_recorded_first_is_final_for_cancelled_and_done_jobs() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
@@ -83,9 +84,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// 100,000 tasks: the done set is cut into small values, and a failover reads it back.
+/// The done set of a job with 100,000 tasks is stored in small chunks, and read back after a failover.
 #[test]
-fn large_job() {
+fn done_set_of_a_large_job_is_stored_in_chunks_and_read_back() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| s.tasks = 100_000));
     let id = trace.scheduler.jobs.find("run-1").unwrap();
@@ -126,14 +127,14 @@
     trace.note(&format!("the next leader finds {remaining} tasks left"));
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.round(true);
-    // More chunks than a transaction holds: they go in steps, the final record last.
+    // There are more chunks than fit into a transaction: they are deleted in several, the final record in the last.
     trace.round(true).round(true).view("run-1");
     assert_snapshot!(trace.log);
 }
 
-/// Repeats of submissions, withdrawals, rentals, returns and transactions change nothing.
+/// Repeated submissions, cancellations, results of requests for machines, returns and transactions change nothing.
 #[test]
-fn repeats() {
+fn repeated_requests_results_and_writes_change_nothing() {
     let mut trace = LeaderTrace::new(4, one_team());
     let first = submission("run-1", |s| s.tasks = 1);
     trace
@@ -142,13 +143,13 @@
         .job(first.clone())
         .job(first.clone());
     trace.rentals();
-    let rented = || ProvisioningResult::Granted(vec!["big-east-7".into()]);
+    let granted = || ProvisioningResult::Granted(vec!["big-east-7".into()]);
     trace
         .scheduler
-        .apply_provisioning_result("r-4-1", rented(), at(2.0));
+        .apply_provisioning_result("r-4-1", granted(), at(2.0));
     trace
         .scheduler
-        .apply_provisioning_result("r-4-1", rented(), at(2.0));
+        .apply_provisioning_result("r-4-1", granted(), at(2.0));
     trace.at(2.0).rentals();
     trace.at(9.0).heartbeat("big-east-7", &[]);
     trace
@@ -158,7 +159,8 @@
     trace.scheduler.request_cancellation("run-1", trace.now);
     let writes = trace.scheduler.pending_final_writes(12);
     trace.round(true).view("run-1");
-    // The same transaction again fails on its revision; what is read back changes nothing.
+    // A repetition of the transaction fails because of its revision. The record that is then read back changes
+    // nothing.
     let record = aspenreel::jobs::DoneRecord {
         state: Some(aspenreel::jobs::Outcome::Cancelled),
         set: String::new(),
@@ -172,18 +174,18 @@
         .round(true);
     trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
     trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
-    // A repeated rental that the cloud answers late names a machine that is gone.
+    // A late answer of the cloud to a repeated request for machines contains a machine that is gone.
     trace
         .scheduler
-        .apply_provisioning_result("r-4-1", rented(), at(12.0));
+        .apply_provisioning_result("r-4-1", granted(), at(12.0));
     trace.at(12.0).bound();
     assert_snapshot!(trace.log);
 }
 
-/// Many final states at once, three changes each, take no more than there are tokens for, and
-/// don't hold up the claim that starts wait for.
+/// Many final states are due at once, with three changes each. No more are written than there are tokens for, and
+/// they don't delay the start watermarks that starts wait for.
 #[test]
-fn records_as_there_are_tokens() {
+fn final_states_are_limited_by_tokens_and_do_not_delay_watermarks() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     for n in 1..=40 {
@@ -211,17 +213,17 @@
         PendingWriteKind::StartWatermarks(_)
     ));
     assert_eq!((writes.len(), changes, left), (6, 11, 1));
-    // A large write that must wait isn't passed by later, smaller ones.
+    // A large write that must wait isn't overtaken by smaller ones that became due later.
     trace.scheduler.request_cancellation("run-99", trace.now);
     let due = trace.scheduler.pending_final_writes(12);
     assert_eq!(take_affordable(due, &mut 1).len(), 0);
 }
 
-/// A final state exists from the moment its transaction is applied, which may be before its writer
-/// knows, or without it ever knowing: another node may have told it already. From its sending until
-/// that is known the leader says nothing of the job by itself.
+/// A final state exists as soon as the store has applied its transaction. The writer may learn this later or never,
+/// and another controller may already have reported the state to a user. From the sending of the write until its
+/// outcome is known, the leader reports no status of the job on its own.
 #[test]
-fn a_final_state_on_its_way_is_not_talked_over() {
+fn no_status_is_reported_while_the_outcome_of_a_final_write_is_unknown() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
@@ -253,10 +255,11 @@
     assert_snapshot!(trace.log);
 }
 
-/// From the moment a user asks for it, a cancelled job's tasks are stopped and nothing of it starts. It
-/// is recorded once no start of it is under way, since that would come after the user was told.
+/// From the request of a cancellation, tasks of the job are stopped and none is started. The cancellation is recorded
+/// only once no start of the job is in flight: such a start would be executed after the cancellation was confirmed to
+/// the user.
 #[test]
-fn a_cancellation_waits_for_starts_under_way() {
+fn cancellation_is_recorded_after_starts_in_flight_are_answered() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 2));
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,12 +1,12 @@
-//! Which task starts where, and which one is preempted for it.
+//! Placement: the machines on which tasks start, and the attempts that are preempted for them.
 
 use crate::trace::{LeaderTrace, decimal, one_team, submission, team};
 use aspenreel::jobs::Priority;
 use insta::assert_snapshot;
 
-/// `spread`: at most half of the tasks, rounded up, in a zone. `samePlace`: all in one.
+/// With `spread`, at most half of the tasks, rounded up, are in one zone. With `samePlace`, all are in one zone.
 #[test]
-fn zones() {
+fn spread_and_same_place_limit_the_zones_of_tasks() {
     let mut trace = LeaderTrace::new(2, one_team());
     for name in ["big-east-1", "small-west-1", "small-west-2"] {
         trace.heartbeat(name, &[]);
@@ -23,9 +23,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// Ranks stop lower ranks; guarantees take back what was lent, but never from a higher rank.
+/// A job preempts attempts of lower priority. A job within its team's guarantee also reclaims capacity that other
+/// teams have borrowed, but never from attempts of higher priority.
 #[test]
-fn preemption() {
+fn preemption_follows_priorities_and_team_guarantees() {
     let teams = vec![team("a", 0.0, 100.0), team("b", 16.0, 100.0)];
     let mut trace = LeaderTrace::new(2, teams);
     trace.heartbeat("big-east-1", &[]);
@@ -47,8 +48,8 @@
         s.cpus = decimal(16.0);
     }));
     trace.at(5.1).heartbeat("big-east-1", &running);
-    let left = ["run-1/2#2.3 running", "run-1/3#2.4 running"];
-    trace.at(6.0).heartbeat("big-east-1", &left);
+    let remaining = ["run-1/2#2.3 running", "run-1/3#2.4 running"];
+    trace.at(6.0).heartbeat("big-east-1", &remaining);
     let both = [
         "run-1/2#2.3 running",
         "run-1/3#2.4 running",
@@ -64,9 +65,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A task that fails everywhere waits longer and longer; one bad machine is left alone.
+/// A task that fails on every machine is retried with an increasing backoff. A machine on which tasks of several jobs
+/// fail counts as faulty and gets no more tasks.
 #[test]
-fn failures() {
+fn failing_jobs_back_off_and_a_faulty_machine_gets_no_tasks() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.job(submission("run-1", |s| s.tasks = 1));
     trace.job(submission("run-2", |s| s.tasks = 1));
@@ -85,10 +87,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A first task that is stopped soon after its start doesn't count: its job waits on, and what
-/// starts once it has waited too long isn't stopped for others.
+/// A job whose first task is preempted soon after its start doesn't count as begun. It goes on waiting, and a task
+/// that starts after it became overdue isn't preempted for other jobs.
 #[test]
-fn what_was_stopped_at_once_has_not_begun() {
+fn job_preempted_soon_after_its_start_has_not_begun() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("small-east-1", &[]);
     trace.job(submission("run-1", |s| {
@@ -112,8 +114,8 @@
     trace
         .at(12.0)
         .heartbeat("small-east-1", &["run-1/0#2.1 stopped"]);
-    let begun = |trace: &LeaderTrace| trace.scheduler.jobs.get("run-1").unwrap().has_begun();
-    let early = begun(&trace);
+    let has_begun = |trace: &LeaderTrace| trace.scheduler.jobs.get("run-1").unwrap().has_begun();
+    let early = has_begun(&trace);
     trace.note(&format!("run-1 has begun: {early}"));
     trace
         .at(95.0)
@@ -123,20 +125,21 @@
     trace.at(98.0).heartbeat("small-east-1", &[task]).bound();
     trace.at(120.0).heartbeat("small-east-1", &[task]);
     trace.at(130.0).heartbeat("small-east-1", &[task]).bound();
-    let late = begun(&trace);
+    let late = has_begun(&trace);
     trace.note(&format!("run-1 has begun: {late}"));
     assert_snapshot!(trace.log);
 }
 
-/// A task that needs a whole machine stops nothing where it would not get one: what is stopped in vain
-/// starts again in the room that it left, and was stopped again, thousands of times in a row.
+/// A task that needs a whole machine preempts nothing on machines where it would still not fit afterwards. Otherwise
+/// the preempted task starts again in the capacity that it left and is preempted again: this happened thousands of
+/// times in a row.
 #[test]
-fn nothing_is_stopped_in_vain() {
+fn nothing_is_preempted_where_the_new_task_would_not_fit() {
     let mut trace = LeaderTrace::new(2, one_team());
     for name in ["small-east-1", "small-east-2"] {
         trace.heartbeat(name, &[]);
     }
-    // Each machine has a task that can't be stopped for it, and one that could.
+    // Each machine has one task that can't be preempted for it, and one that can.
     trace.job(submission("run-1", |s| s.priority = Priority::High));
     trace.at(1.0).heartbeat("small-east-1", &[]);
     trace.heartbeat("small-east-2", &[]);
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -1,11 +1,11 @@
-//! Quotas and zones count what machines that were not heard from may still run.
+//! Team quotas and zone constraints count the tasks that unreconciled machines may still run.
 
 use crate::trace::{LeaderTrace, one_team, submission, team};
 use insta::assert_snapshot;
 
-/// A team's limit counts what machines that were not heard from may still run.
+/// A team's limit counts the tasks that unreconciled machines may still run.
 #[test]
-fn quota_counts_unseen_machines() {
+fn team_limit_counts_tasks_of_unreconciled_machines() {
     let mut trace = LeaderTrace::new(2, vec![team("a", 8.0, 12.0)]);
     trace.recorded("big-east-9", -1.0);
     trace.old_job(submission("run-1", |s| s.tasks = 2));
@@ -15,15 +15,15 @@
         .heartbeat("big-east-1", &[])
         .on_timer(1.1)
         .bound();
-    let seen = trace.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
-    trace.at(2.0).send(&seen).bound();
+    let report = trace.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
+    trace.at(2.0).send(&report).bound();
     assert_snapshot!(trace.log);
 }
 
-/// At a failover a team's limit counts what unreconciled machines may run, tasks that are done as well (an
-/// order of the last leader may start them once more), but no more than these machines hold.
+/// After a failover a team's limit counts the tasks that unreconciled machines may run, but no more than the capacity
+/// of these machines. Done tasks count as well: a command of the previous leader may start them once more.
 #[test]
-fn limits_count_what_unseen_machines_can_hold() {
+fn team_limit_counts_at_most_the_capacity_of_unreconciled_machines() {
     let mut trace = LeaderTrace::new(5, vec![team("a", 40.0, 40.0)]);
     trace.recorded("small-east-9", -1.0);
     trace.old_job(submission("run-1", |s| s.tasks = 3));
@@ -33,9 +33,9 @@
     trace.job(submission("run-2", |s| s.tasks = 10));
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let old = trace.report("small-east-9", 4, 1, &[]);
+    let report = trace.report("small-east-9", 4, 1, &[]);
     trace.note("the unseen machine turns out to be a small one: 8 CPUs");
-    trace.at(2.0).send(&old);
+    trace.at(2.0).send(&report);
     trace.at(3.0).heartbeat("big-east-2", &[]);
     trace.at(4.0).heartbeat("big-east-2", &[]).bound();
     assert_snapshot!(trace.log);
@@ -48,10 +48,10 @@
     }
 }
 
-/// What an unreconciled machine may run of a job may be in any zone: a job that must be in one zone waits,
-/// and of one that is spread as many may start as in the worst case.
+/// Tasks that unreconciled machines may run may be in any zone. A job that must be in one zone therefore waits, and
+/// of a job that is spread only as many tasks start as the worst case allows.
 #[test]
-fn zones_count_what_unseen_machines_may_run() {
+fn zone_constraints_count_tasks_of_unreconciled_machines() {
     let mut trace = LeaderTrace::new(5, one_team());
     trace.recorded("small-west-9", -1.0);
     for (id, one_zone) in [("run-1", true), ("run-2", false)] {
@@ -66,8 +66,8 @@
     }
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let seen = trace.report("small-west-9", 5, 1, &["run-1/0#4.1 running"]);
-    trace.at(2.0).send(&seen);
+    let report = trace.report("small-west-9", 5, 1, &["run-1/0#4.1 running"]);
+    trace.at(2.0).send(&report);
     trace.at(3.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -1,4 +1,4 @@
-//! Machines are rented and returned.
+//! Scale-out and scale-in: the machines that are requested from the cloud and returned to it.
 
 use crate::trace::{LeaderTrace, at, decimal, one_team, submission};
 use aspenreel::jobs::JobKind;
@@ -6,10 +6,10 @@
 use aspenreel::settings::Objective;
 use insta::assert_snapshot;
 
-/// Room is kept ready where work is to start sooner than a machine can be had; where the aims leave
-/// time for a boot, idle machines would cost money for nothing.
+/// Headroom is kept for a class of jobs if its objective on the waiting time is shorter than a machine's boot.
+/// If the objective leaves time for a boot, idle machines would only cost money.
 #[test]
-fn room_is_kept_where_no_boot_fits_the_aim() {
+fn headroom_is_kept_if_a_boot_takes_longer_than_the_objective() {
     let requests = |within_s: f64| {
         let mut trace = LeaderTrace::new(2, one_team());
         trace.scheduler.config.headroom = 4.0;
@@ -26,13 +26,14 @@
         trace.scheduler.plan_scale_out(at(2.0));
         trace.scheduler.provisioning.requests.len()
     };
-    // The soonest machine boots in 20 s, and some take half as long again.
+    // The machine type that boots fastest takes 20 s, and some of its machines take half as long again.
     assert_eq!((requests(29.0), requests(31.0)), (1, 0));
 }
 
-/// Waiting work rents the cheapest that holds it; what is refused isn't asked for at once again.
+/// For waiting tasks the cheapest machines that fit are requested. A request that was refused for lack of capacity
+/// isn't repeated at once; one with an unknown result is.
 #[test]
-fn renting() {
+fn cheapest_fitting_machines_are_requested_for_waiting_tasks() {
     let mut trace = LeaderTrace::new(4, one_team());
     trace.job(submission("run-1", |s| {
         s.tasks = 3;
@@ -64,9 +65,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// A new leader keeps machines that it has not heard from yet, and returns what never came up.
+/// A new leader keeps machines that have not reported to it yet, and returns those that never come up.
 #[test]
-fn returns() {
+fn new_leader_keeps_unreported_machines_and_returns_unused_ones() {
     let mut trace = LeaderTrace::new(4, one_team());
     trace.recorded("big-east-1", -300.0);
     trace
@@ -85,10 +86,10 @@
     assert_snapshot!(trace.log);
 }
 
-/// A job that is spread, or bound to one zone, has no use for room elsewhere: a machine is rented where
-/// its tasks may run, however much room there is in the other zone.
+/// A job that is spread, or bound to one zone, can't use free capacity in the other zones: machines are requested
+/// where its tasks may run, however much capacity is free elsewhere.
 #[test]
-fn rentals_mind_zones() {
+fn machines_are_requested_in_zones_where_waiting_tasks_may_run() {
     let mut trace = LeaderTrace::new(2, one_team());
     for name in ["big-east-1", "big-east-2"] {
         trace.heartbeat(name, &[]);
@@ -103,12 +104,12 @@
     assert_snapshot!(trace.log);
 }
 
-/// Room for replicas that may not use spot machines is kept ready: on two of the smallest ordinary machines
-/// at least, as soon as an objective on starting times tells of them, and for what comes within a boot.
-/// What lower ranks use counts, since it is stopped for them. Without standing jobs or such an objective
-/// none is kept.
+/// Headroom is kept for replicas that may not use spot machines: at least two of the smallest on-demand machines, as
+/// soon as an objective on waiting times implies such replicas, and enough for those that arrive during a boot.
+/// Capacity used at lower priorities counts as headroom, since it is preempted for replicas. Without standing jobs
+/// and without such an objective no headroom is kept.
 #[test]
-fn room_is_kept_for_replicas() {
+fn headroom_is_kept_for_on_demand_replicas() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.list(&[("big-east-1", "running")]);
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -1,14 +1,14 @@
-//! Replicas of standing jobs run again.
+//! Replicas of standing jobs: restarts, backoff, and loss of their machines.
 
 use crate::trace::{LeaderTrace, at, one_team, submission};
 use aspenreel::jobs::JobKind;
 use aspenreel::workers::AttemptKey;
 use insta::assert_snapshot;
 
-/// Replicas of a standing job run again when they end, whatever the end; the job is never done. Those
-/// that end soon after their start on one machine after the other wait longer and longer.
+/// Replicas of a standing job are started again whenever they exit, for whatever reason, and the job is never done.
+/// If they exit soon after their start on one machine after another, restarts are delayed by an increasing backoff.
 #[test]
-fn replicas_run_again() {
+fn replicas_are_restarted_until_their_job_is_cancelled() {
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| {
@@ -52,23 +52,28 @@
     "big-east-6",
 ];
 
-/// Heartbeats of the machines that are not silent, each with what it was told to run.
+/// Sends heartbeats of all machines but the silent ones. Each reports its attempts in the leader's state as running.
 fn heartbeats_of_all_but(trace: &mut LeaderTrace, silent: &[&str]) {
     for name in MACHINES.iter().filter(|name| !silent.contains(name)) {
-        let tasks: Vec<String> = trace.scheduler.machines.get(*name).map_or(Vec::new(), |m| {
-            let held = m.attempts.keys();
-            let text = |k: &AttemptKey| {
-                let job = &trace.scheduler.jobs.table[&k.job].spec.id;
-                format!("{job}/{}#2.{} running", k.task, k.attempt & 0xffff_ffff)
-            };
-            held.map(text).collect()
-        });
+        let tasks: Vec<String> =
+            trace
+                .scheduler
+                .machines
+                .get(*name)
+                .map_or(Vec::new(), |machine| {
+                    let held = machine.attempts.keys();
+                    let text = |key: &AttemptKey| {
+                        let job = &trace.scheduler.jobs.table[&key.job].spec.id;
+                        format!("{job}/{}#2.{} running", key.task, key.attempt & 0xffff_ffff)
+                    };
+                    held.map(text).collect()
+                });
         let tasks: Vec<&str> = tasks.iter().map(String::as_str).collect();
         trace.heartbeat(name, &tasks);
     }
 }
 
-/// Machines with attempts of this job.
+/// Names of the machines with attempts of this job.
 fn machines_with(trace: &LeaderTrace, job: &str) -> Vec<String> {
     let id = trace.scheduler.jobs.find(job).unwrap();
     let machines = trace.scheduler.machines.values();
@@ -76,9 +81,9 @@
     holding.map(|m| m.name.clone()).collect()
 }
 
-/// A machine with replicas that falls silent is returned after three reports that didn't come: the answer
-/// proves that the replicas are gone, and they run elsewhere long before the lease is over. Machines with
-/// arrays alone are waited for; and where more than a third is silent, all are.
+/// A machine with replicas that falls silent is returned after three missing reports. The cloud's answer proves that
+/// the replicas are gone, so they start on other machines long before the lease expires. Silent machines with tasks
+/// of arrays only are waited for; if more than a third of all machines is silent, none is returned.
 #[test]
 fn silent_machines_with_replicas_are_returned() {
     let mut trace = LeaderTrace::new(2, one_team());
@@ -109,13 +114,17 @@
             returned_at.push(now + 1.0);
         }
     }
-    // Silent since 21 s.
+    // The last report before the silence was at 21 s.
     assert_eq!(returned_at, [31.0, 34.0, 37.0]);
     trace.scheduler.drop_gone_machines(&replica_on);
     trace.on_timer(38.0);
-    assert_eq!(machines_with(&trace, "run-1").len(), 1, "it runs elsewhere");
+    assert_eq!(
+        machines_with(&trace, "run-1").len(),
+        1,
+        "the replica runs on another machine"
+    );
 
-    // Half are silent at once: it is rather this node that is cut off.
+    // Half of the machines are silent at once: it is more likely that this controller is cut off.
     let again_on = machines_with(&trace, "run-1");
     let known = |name: &&&str| trace.scheduler.machines.contains_key(**name);
     let mut others = MACHINES.iter().filter(known).filter(|n| **n != again_on[0]);
@@ -133,8 +142,8 @@
     }
 }
 
-/// Replicas that end soon after their start, on one machine after the other, are tried less and less
-/// often; one that lasts ends the wait.
+/// Replicas that exit soon after their start on one machine after another are restarted with an increasing backoff.
+/// One that lasts ends the backoff.
 #[test]
 fn replicas_that_fail_everywhere_back_off() {
     let mut trace = LeaderTrace::new(2, one_team());
@@ -142,11 +151,11 @@
         s.kind = JobKind::Standing;
         s.tasks = 1;
     }));
-    let wait = |trace: &LeaderTrace| {
+    let backoff = |trace: &LeaderTrace| {
         let job = trace.scheduler.jobs.get("run-1").unwrap();
         (job.retry_after - trace.now).as_secs_f64()
     };
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for k in 1..6u32 {
         let name = format!("big-east-{k}");
         let start = 100.0 * f64::from(k);
@@ -158,12 +167,12 @@
             .next()
             .copied();
         let attempt = key
-            .expect("it is tried on the machine that is there")
+            .expect("the replica starts on the machine that is up")
             .attempt;
         let ended = format!("run-1/0#2.{} done", attempt & 0xffff_ffff);
         trace.at(start + 3.0).heartbeat(&name, &[]);
         trace.at(start + 6.0).heartbeat(&name, &[&ended]);
-        waits.push(wait(&trace));
+        backoffs.push(backoff(&trace));
     }
-    assert_eq!(waits, [0.0, 0.0, 2.0, 4.0, 8.0]);
+    assert_eq!(backoffs, [0.0, 0.0, 2.0, 4.0, 8.0]);
 }
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -1,12 +1,12 @@
-//! Every job starts in bounded time, though small and urgent work never ends.
+//! Every job starts in bounded time, even if small and urgent jobs keep arriving.
 
 use crate::trace::{ExecutingWorker, LeaderTrace, at, decimal, submission, team};
 use aspenreel::jobs::Priority;
 use std::collections::BTreeMap;
 
-/// Endless small and urgent work, from `from` on, on a machine that it fills. Returns when the
-/// jobs of `patient` began, by second; `over` carries running tasks into a next leader's term.
-fn crowded(
+/// Submits a small and urgent job in each of these seconds, which together ask for more than the machine has, and
+/// lets the worker run for that time. `begun` gets the second at which each job starts first.
+fn run_under_urgent_load(
     trace: &mut LeaderTrace,
     worker: &mut ExecutingWorker,
     begun: &mut BTreeMap<String, f64>,
@@ -26,8 +26,9 @@
     }
 }
 
-fn patient(trace: &mut LeaderTrace) {
-    trace.note("the patient ones:");
+/// Submits jobs that the queue order puts after small and urgent ones, each for another reason.
+fn submit_disadvantaged_jobs(trace: &mut LeaderTrace) {
+    trace.note("jobs that go after small and urgent ones:");
     trace.job(submission("run-1", |s| s.tasks = 5000));
     trace.job(submission("run-2", |s| s.priority = Priority::Low));
     trace.job(submission("run-3", |s| s.deadline_s = Some(decimal(1.0))));
@@ -35,39 +36,39 @@
     trace.job(submission("run-5", |s| s.team = "b".into()));
 }
 
-/// Waiting wins: a largest job, a low rank, a late job, a task that fills a machine and a small
-/// team begin in bounded time, though small and urgent work never ends.
+/// A large job, one of low priority, one past its deadline, one whose tasks fill a machine and one of a team with a
+/// small quota start in bounded time, even if small and urgent jobs keep arriving.
 #[test]
-fn waiting_wins() {
+fn long_waiting_jobs_start_in_bounded_time_under_urgent_load() {
     let teams = vec![team("a", 100.0, 100.0), team("b", 0.0, 8.0)];
     let mut trace = LeaderTrace::new(2, teams);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
     trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
-    patient(&mut trace);
-    crowded(&mut trace, &mut worker, &mut begun, 1..160);
+    submit_disadvantaged_jobs(&mut trace);
+    run_under_urgent_load(&mut trace, &mut worker, &mut begun, 1..160);
     for id in ["run-1", "run-2", "run-3", "run-4", "run-5"] {
         let at = begun.get(id).copied().unwrap_or(f64::INFINITY);
         assert!((90.0..150.0).contains(&at), "{id} began at {at} s");
     }
-    // The crowd asks for half more than there is, and most of it is served all the same.
-    let crowd = begun.keys().filter(|id| id.len() > 5).count();
-    assert!(crowd > 80, "{crowd} of 159 began");
+    // The urgent jobs ask for half as much again as the machine has, and most of them start nevertheless.
+    let urgent = begun.keys().filter(|id| id.len() > 5).count();
+    assert!(urgent > 80, "{urgent} of 159 began");
 }
 
-/// The age of a job comes from its record: a failover doesn't make it wait anew.
+/// The age of a job comes from its stored record, so its waiting time isn't reset by a failover.
 #[test]
-fn waiting_wins_through_a_takeover() {
+fn waiting_time_is_kept_across_a_failover() {
     let mut trace = LeaderTrace::new(3, vec![team("a", 100.0, 100.0), team("b", 0.0, 8.0)]);
     trace.scheduler.wall_at_start = aspenreel::time::WallTime(85_000_000);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
     trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
-    // Accepted 85 s ago by the time of day.
+    // Accepted 85 s ago by wall-clock time.
     let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
     trace.scheduler.add_job(&old, 50, at(0.0), wall);
-    crowded(&mut trace, &mut worker, &mut begun, 1..40);
+    run_under_urgent_load(&mut trace, &mut worker, &mut begun, 1..40);
     let at = begun.get("run-1").copied().unwrap_or(f64::INFINITY);
     assert!((5.0..30.0).contains(&at), "run-1 began at {at} s");
 }
