--- a/tests/doc_links.rs
+++ b/tests/doc_links.rs
@@ -1,13 +1,13 @@
-//! Links between the pages of this repository, and from them to modules, lead somewhere.
+//! Links in the documentation, to other pages and to source files, point to existing files.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::path::{Path, PathBuf};
 
-/// The pages in a folder, and in the folders below it.
-fn pages(folder: &Path) -> Vec<PathBuf> {
+/// Returns the Markdown files in a directory and in all directories below it.
+fn pages(directory: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder).unwrap() {
+    for entry in std::fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
             found.extend(pages(&path));
@@ -18,7 +18,7 @@
     found
 }
 
-/// The relative targets of a page's links, without their anchors.
+/// Returns the relative targets of a page's links, without their anchors.
 fn relative_targets(page: &str) -> Vec<&str> {
     let after_text = page.split("](").skip(1);
     let targets = after_text.filter_map(|rest| rest.split_once(')'));
@@ -29,16 +29,16 @@
 }
 
 #[test]
-fn links_of_all_pages_lead_to_files() {
+fn relative_links_of_all_pages_point_to_existing_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut all = pages(&root.join("docs"));
     all.push(root.join("README.md"));
     let mut broken = Vec::new();
     for page in all {
         let text = std::fs::read_to_string(&page).unwrap();
-        let folder = page.parent().unwrap();
+        let directory = page.parent().unwrap();
         for target in relative_targets(&text) {
-            if !folder.join(target).exists() {
+            if !directory.join(target).exists() {
                 broken.push(format!("{}: {target}", page.display()));
             }
         }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn targets_are_found_in_a_page() {
+fn relative_targets_omit_anchors_and_urls() {
     let page = "see [a](b.md#part) and [c](../src/d.rs), not [e](https://f) or [g](#h)";
     assert_eq!(relative_targets(page), ["b.md", "../src/d.rs"]);
 }
--- a/tests/flags.rs
+++ b/tests/flags.rs
@@ -1,4 +1,5 @@
-//! Flags and variables that were renamed go on working under their earlier names, which the help doesn't show.
+//! Flags and environment variables that were renamed are still accepted under their earlier names, which the help
+//! doesn't show.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,46 +7,47 @@
 use clap::Parser;
 use std::process::Command as Process;
 
-/// An option under all its names.
-struct Renamed {
+/// An option of `serve` with all its names.
+struct RenamedOption {
     flag: &'static str,
     earlier_flags: &'static [&'static str],
     variable: &'static str,
-    /// The newest first.
+    /// Ordered from the newest to the oldest.
     earlier_variables: &'static [&'static str],
+    /// Returns the value of the option.
     value: fn(&ServeOptions) -> u64,
 }
 
-const RENAMED: [Renamed; 7] = [
-    Renamed {
+const RENAMED_OPTIONS: [RenamedOption; 7] = [
+    RenamedOption {
         flag: "--record-round-ms",
         earlier_flags: &["--round-ms"],
         variable: "ASPENREEL_RECORD_ROUND_MS",
         earlier_variables: &["ASPENREEL_ROUND_MS"],
         value: |options| options.record_round_ms,
     },
-    Renamed {
+    RenamedOption {
         flag: "--candidate-sample",
         earlier_flags: &["--sample"],
         variable: "ASPENREEL_CANDIDATE_SAMPLE",
         earlier_variables: &["ASPENREEL_SAMPLE"],
         value: |options| options.candidate_sample,
     },
-    Renamed {
+    RenamedOption {
         flag: "--leader-lease-ms",
         earlier_flags: &["--hold-ms"],
         variable: "ASPENREEL_LEADER_LEASE_MS",
         earlier_variables: &["ASPENREEL_HOLD_MS"],
         value: |options| options.leader_lease_ms.unwrap(),
     },
-    Renamed {
+    RenamedOption {
         flag: "--max-idle-ms",
         earlier_flags: &["--idle-ms"],
         variable: "ASPENREEL_MAX_IDLE_MS",
         earlier_variables: &["ASPENREEL_IDLE_MS"],
         value: |options| options.max_idle_ms,
     },
-    Renamed {
+    RenamedOption {
         flag: "--on-demand-max-wait-ms",
         earlier_flags: &["--on-demand-patience-ms", "--dear-patience-ms"],
         variable: "ASPENREEL_ON_DEMAND_MAX_WAIT_MS",
@@ -55,14 +57,14 @@
         ],
         value: |options| options.on_demand_max_wait_ms,
     },
-    Renamed {
+    RenamedOption {
         flag: "--max-queue-wait-ms",
         earlier_flags: &["--patience-ms"],
         variable: "ASPENREEL_MAX_QUEUE_WAIT_MS",
         earlier_variables: &["ASPENREEL_PATIENCE_MS"],
         value: |options| options.max_queue_wait_ms,
     },
-    Renamed {
+    RenamedOption {
         flag: "--headroom",
         earlier_flags: &["--reserve"],
         variable: "ASPENREEL_HEADROOM",
@@ -71,8 +73,8 @@
     },
 ];
 
-/// What the program says where one of the variables is refused.
-fn refusal(variables: &[(&str, &str)]) -> String {
+/// Returns the error message of the program, which rejects a value of these environment variables.
+fn error_message(variables: &[(&str, &str)]) -> String {
     let output = Process::new(env!("CARGO_BIN_EXE_aspenreel"))
         .args(["serve", "--config", "/nowhere/at-all.toml"])
         .envs(variables.iter().copied())
@@ -83,8 +85,8 @@
 }
 
 #[test]
-fn present_and_earlier_flags_set_the_same_option() {
-    for renamed in &RENAMED {
+fn current_and_earlier_flags_set_the_same_option() {
+    for renamed in &RENAMED_OPTIONS {
         for flag in renamed.earlier_flags.iter().chain([&renamed.flag]) {
             let arguments = ["aspenreel", "serve", "--config", "x", flag, "1000"];
             let cli = Cli::try_parse_from(arguments).unwrap();
@@ -97,34 +99,34 @@
 }
 
 #[test]
-fn present_and_earlier_variables_set_the_same_option() {
-    for renamed in &RENAMED {
+fn current_and_earlier_variables_set_the_same_option() {
+    for renamed in &RENAMED_OPTIONS {
         for variable in renamed.earlier_variables.iter().chain([&renamed.variable]) {
-            let told = refusal(&[(variable, "word")]);
+            let message = error_message(&[(variable, "word")]);
             let expected = format!("invalid value 'word' for '{} ", renamed.flag);
-            assert!(told.contains(&expected), "{variable}: {told}");
+            assert!(message.contains(&expected), "{variable}: {message}");
         }
     }
 }
 
 #[test]
-fn the_newest_variable_that_is_set_wins() {
-    for renamed in &RENAMED {
-        // The newest holds the word that is refused; a good value stands in the earlier ones.
+fn newest_variable_that_is_set_takes_precedence() {
+    for renamed in &RENAMED_OPTIONS {
+        // The newest variable that is set has an invalid value, which the message quotes. The earlier ones are valid.
         let mut names = vec![renamed.variable];
         names.extend(renamed.earlier_variables);
         for first in 0..names.len() {
             let mut variables: Vec<(&str, &str)> =
                 names[first..].iter().map(|name| (*name, "1000")).collect();
             variables[0].1 = "newest";
-            let told = refusal(&variables);
-            assert!(told.contains("'newest'"), "{}: {told}", names[first]);
+            let message = error_message(&variables);
+            assert!(message.contains("'newest'"), "{}: {message}", names[first]);
         }
     }
 }
 
 #[test]
-fn the_help_shows_present_names_only() {
+fn help_shows_current_names_only() {
     let output = Process::new(env!("CARGO_BIN_EXE_aspenreel"))
         .args(["serve", "--help"])
         .output()
@@ -134,7 +136,7 @@
         let mut words = help.split(|c: char| !(c.is_ascii_alphanumeric() || c == '-' || c == '_'));
         words.any(|word| word == name)
     };
-    for renamed in &RENAMED {
+    for renamed in &RENAMED_OPTIONS {
         assert!(shown(renamed.flag), "{}", renamed.flag);
         assert!(shown(renamed.variable), "{}", renamed.variable);
         let earlier = renamed.earlier_flags.iter();
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server over real sockets: what faulty clients get, and that they don't disturb others.
+//! The HTTP server over real sockets: its responses to faulty clients, and their isolation from other clients.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,12 +13,12 @@
 use std::thread::ThreadId;
 use std::time::{Duration, Instant};
 
-/// Longer than any step takes, so that a test fails in place of hanging.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of a step of a test, longer than any step takes, so that a test fails instead of hanging.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 const LARGE_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Answers requests with their body, except for some paths:
-/// - `/expired`: a response that is not valid any more;
+/// - `/expired`: a response whose `valid_until` has passed;
 /// - `/large`: a body of `LARGE_BODY_BYTES`;
 /// - `/pool`: answered by the thread pool;
 /// - `/pool/gate`: answered by the thread pool, once the gate is open;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Limits that only the tests' own numbers come near to.
+/// Limits of the server; the limit of buffered bytes is so high that only tests which lower it reach it.
 fn limits(max_connections: usize, max_pool_threads: usize) -> ServerLimits {
     ServerLimits {
         max_connections,
@@ -152,7 +152,7 @@
 /// Sends bytes on a new connection and reads until the server closes it.
 fn send_and_read_to_end(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(addr);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received);
@@ -164,7 +164,7 @@
     response.get(9..12).unwrap_or("")
 }
 
-fn assert_is_told_to_retry(response: &str) {
+fn assert_asks_to_retry(response: &str) {
     assert!(
         response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: 1"),
         "{response}"
@@ -224,10 +224,10 @@
     let mut second = connect(addr);
     send_get(&mut second, "/a");
     second.read_exact(&mut [0u8; 12]).unwrap();
-    assert_is_told_to_retry(&send_and_read_to_end(addr, b""));
+    assert_asks_to_retry(&send_and_read_to_end(addr, b""));
     // Once the second is closed, there is space for another.
     drop(second);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let request = b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n";
         let response = send_and_read_to_end(addr, request);
@@ -239,16 +239,16 @@
     }
 }
 
-/// Each worker of a fleet keeps a connection: the number of threads must not grow with them.
+/// Each worker of a fleet keeps a connection open, so the number of threads must not grow with the connections.
 #[test]
 fn connections_beyond_the_thread_budget_are_served_by_few_threads() {
     let (addr, handler) = start_server(limits(400, 3));
     let mut clients = connect_many(addr, 300);
-    // Some of them begin a request and fall silent: they occupy no thread.
+    // Some of them send the beginning of a request and no more: they occupy no thread.
     for slow in &mut clients[..50] {
         slow.write_all(b"GET /pool HT").unwrap();
     }
-    // A slow client that goes on in time is served like any other.
+    // A slow client that completes its request before the timeout is served like any other.
     clients[0].write_all(b"TP/1.1\r\n\r\n").unwrap();
     assert_eq!(read_status(&mut clients[0]), "200");
     for path in ["/pool", "/now", "/pool"] {
@@ -259,8 +259,8 @@
     assert!((1..=3).contains(&handler.pool_threads.lock().unwrap().len()));
 }
 
-/// Requests that block delay neither heartbeats nor health checks, and those that the pool's queue has no
-/// space for are told at once to come back.
+/// Requests that block the threads of the pool delay neither heartbeats nor health checks. Those that don't fit into
+/// the pool's queue are answered at once with 503 and `Retry-After`.
 #[test]
 fn blocking_requests_are_bounded_and_delay_no_others() {
     let (addr, handler) = start_server(limits(400, 2));
@@ -274,7 +274,7 @@
     }
     let mut other = connect(addr);
     assert_eq!(status(&get(&mut other, "/now")), "200");
-    assert_is_told_to_retry(&get(&mut other, "/pool/gate"));
+    assert_asks_to_retry(&get(&mut other, "/pool/gate"));
     handler.open_gate();
     for stream in &mut blocked {
         assert_eq!(read_status(stream), "200");
@@ -293,7 +293,7 @@
     let mut first = connect(addr);
     first.write_all(&incomplete).unwrap();
     let mut second = connect(addr);
-    second.set_read_timeout(Some(PATIENCE)).unwrap();
+    second.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let _ = second.write_all(&incomplete);
     // Both together exceed the limit: the server closes one.
     assert!(!matches!(second.read(&mut [0u8; 1]), Ok(n) if n > 0));
@@ -317,8 +317,8 @@
     assert!(body.iter().all(|byte| *byte == 7));
 }
 
-/// Hundreds of heartbeats may be due at the same moment: a request of normal priority waits for a few of
-/// them and not for all, and all are answered.
+/// Hundreds of heartbeats may arrive at the same time. A request of normal priority waits for a few of them, not for
+/// all, and all are answered.
 #[test]
 fn normal_requests_do_not_wait_for_all_low_priority_ones() {
     let (addr, handler) = start_server(limits(400, 2));
@@ -329,7 +329,7 @@
         assert_eq!(status(&get(worker, "/low-priority")), "200");
     }
     handler.event_loop_paths.lock().unwrap().clear();
-    // While one request blocks the event loop, all others become due, the user's last.
+    // While one request blocks the event loop, all others arrive, the user's request last.
     send_get(&mut workers[0], "/low-priority/gate");
     handler.await_entered(1);
     for worker in &mut workers[1..] {
@@ -365,7 +365,7 @@
     }
 }
 
-/// The queue of the thread pool is bounded in bytes as well: few large requests may wait.
+/// The queue of the thread pool is limited in bytes as well, so that only few large requests may wait.
 #[test]
 fn large_requests_in_the_queue_are_bounded_in_bytes() {
     let (addr, handler) = start_server(ServerLimits {
@@ -381,7 +381,7 @@
     };
     let mut first = send_large();
     handler.await_entered(1);
-    // One may wait; of two, which together are too large, one is told to come back.
+    // One may wait. Two together are too large: one of them is answered with 503.
     let (sender, statuses) = std::sync::mpsc::channel();
     for mut client in [send_large(), send_large()] {
         let sender = sender.clone();
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,6 +1,6 @@
-//! Each invariant that is checked while the service runs has a case, made by hand, in which it fires.
+//! The invariants that are checked at run time: for each one a constructed case in which it is violated.
 //!
-//! Violations are counted for the process, so this is a program of its own.
+//! Violations are counted per process, so these cases need a test program of their own.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,8 +17,8 @@
     LeaderTrace::new(2, vec![team("a", 64.0, 64.0)])
 }
 
-/// A worker shows a running task that this leader decided on, of a job that it has let go.
-fn a_task_of_a_retired_job() {
+/// A worker reports a running task that this leader started, of a job that the leader has retired.
+fn report_task_of_a_retired_job() {
     let mut trace = trace();
     trace.heartbeat("big-east-1", &[]);
     trace
@@ -26,8 +26,9 @@
         .heartbeat("big-east-1", &["run-9/0#2.7 running"]);
 }
 
-/// A start is cleared, in a trace that no worker would play, and shows up after its cancellation's time.
-fn a_late_start() {
+/// A start of a cancelled job is cleared, but its task is reported as running after the time limit of the
+/// cancellation. No real worker would produce this trace.
+fn report_start_after_the_cancellation_bound() {
     let mut trace = trace();
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
@@ -38,8 +39,9 @@
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
 }
 
-/// The time for a cancellation is shorter than a lease, which settings can't be.
-fn a_start_that_is_not_revoked() {
+/// The time limit of a cancellation is shorter than a worker's lease, so that an unconfirmed start isn't revoked in
+/// time. Settings don't allow this.
+fn leave_start_of_a_cancelled_job_unrevoked() {
     let mut trace = trace();
     trace.raises_tokens = false;
     trace.scheduler.config.cancellation_bound = Micros::from_secs(5);
@@ -51,11 +53,11 @@
 }
 
 #[test]
-fn each_invariant_fires() {
+fn violations_of_each_invariant_are_counted() {
     let cases = [
-        a_task_of_a_retired_job,
-        a_late_start,
-        a_start_that_is_not_revoked,
+        report_task_of_a_retired_job,
+        report_start_after_the_cancellation_bound,
+        leave_start_of_a_cancelled_job_unrevoked,
     ];
     for (number, case) in cases.iter().enumerate() {
         let before = violation_count();
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The form of log lines, and the levels that `LOG_LEVEL` may name.
+//! The format of log lines, and the levels that `LOG_LEVEL` accepts.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_unknown_level_is_refused_with_its_value() {
+fn unknown_log_level_is_rejected_with_its_value() {
     let error = init(Some("verbose")).unwrap_err();
     assert!(matches!(&error, LoggingError::UnknownLevel { given } if given == "verbose"));
     assert_eq!(
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,10 +1,10 @@
-//! A busy spell of a whole fleet, replayed in one process: every heartbeat, direct call, placement
-//! pass, rental plan and write round that a leader would see, through the messages as they stand on
-//! the wire, with no clock and no socket.
+//! Simulation of a busy period of a whole fleet in one process: all heartbeats, direct calls, placement passes,
+//! scale-out plans and write rounds of a leader, with messages in their encoded form, but without a clock and
+//! sockets.
 //!
-//! It asserts on what comes out. It is also how the leader's processor time is measured: under a
-//! profiler that counts instructions (`docs/operations.md`, *Measuring*), with `REPLAY_SCALE` times
-//! as much work on as many more machines.
+//! The test checks the results. It also serves to measure the processor time of the leader, under a profiler that
+//! counts instructions (`docs/operations.md`, *Measuring*). `REPLAY_SCALE` multiplies the load and the number of
+//! machines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -24,49 +24,65 @@
 use std::collections::{BTreeMap, HashMap};
 
 const TERM: u64 = 3;
+/// Simulated time of one step.
 const STEP_MS: u64 = 50;
+/// Mean boot time of a machine.
 const BOOT_MS: u64 = 20_000;
+/// Time to fetch an image that the worker has not cached.
 const FETCH_MS: u64 = 4_000;
 
+/// A task on a worker.
 struct Task {
     task_id: String,
     attempt: u64,
-    runs_at: u64,
-    ends_at: u64,
-    over: bool,
+    /// Time at which the fetch of the image ends and the task starts to run.
+    runs_at_ms: u64,
+    ends_at_ms: u64,
+    exited: bool,
 }
 
+/// A simulated worker with its machine.
 struct Worker {
     name: String,
-    up_at: u64,
+    /// Time at which the boot of the machine ends.
+    up_at_ms: u64,
     sequence: u64,
-    next_heartbeat: u64,
+    next_heartbeat_ms: u64,
+    /// Cached images.
     images: Vec<String>,
     tasks: Vec<Task>,
-    /// Room left, in whole CPUs.
-    free: f64,
+    /// Free capacity, in CPUs.
+    free_cpus: f64,
 }
 
-struct Work {
+/// A job as submitted.
+struct SubmittedJob {
     image: String,
     cpus: f64,
     run_ms: u64,
     tasks: u32,
 }
 
+/// A leader and its workers, in simulated time.
 struct Replay {
     scheduler: SchedulerState,
     workers: BTreeMap<String, Worker>,
-    work: HashMap<String, Work>,
+    /// Submitted jobs by id.
+    jobs: HashMap<String, SubmittedJob>,
     rng: fastrand::Rng,
     now_ms: u64,
-    epoch: u64,
-    machines: u64,
-    limit: u64,
-    heartbeats: u64,
-    calls: u64,
+    /// Store revision of the last write.
+    revision: u64,
+    /// Number of machines granted so far.
+    granted_machines: u64,
+    max_machines: u64,
+    /// Heartbeats so far.
+    heartbeat_count: u64,
+    /// Direct calls so far.
+    direct_call_count: u64,
+    /// Number of done tasks, by job.
     done: HashMap<String, u32>,
-    /// Which task runs where: nothing may start while it is there.
+    /// Name of the worker on which each running task runs. A task must not be started while it is running.
     running: HashMap<String, String>,
 }
 
@@ -115,14 +131,14 @@
         Replay {
             scheduler,
             workers: BTreeMap::new(),
-            work: HashMap::new(),
+            jobs: HashMap::new(),
             rng: fastrand::Rng::with_seed(11),
             now_ms: 0,
-            epoch: 10,
-            machines: 0,
-            limit: 50 * scale,
-            heartbeats: 0,
-            calls: 0,
+            revision: 10,
+            granted_machines: 0,
+            max_machines: 50 * scale,
+            heartbeat_count: 0,
+            direct_call_count: 0,
             done: HashMap::new(),
             running: HashMap::new(),
         }
@@ -137,7 +153,7 @@
     }
 
     fn submit(&mut self, urgent: bool) {
-        let id = format!("run-{}", 100_000 + self.work.len());
+        let id = format!("run-{}", 100_000 + self.jobs.len());
         let tasks = self.rng.u32(10..if urgent { 110 } else { 60 });
         let run_ms = self.rng.u64(if urgent {
             20_000..60_000
@@ -158,17 +174,17 @@
         .unwrap();
         let mut s = Submission::decode(&encode(&wire)).unwrap();
         s.accepted_us = self.wall().0;
-        self.epoch += 1;
-        let (epoch, now, wall) = (self.epoch, self.now(), self.wall());
-        self.scheduler.add_job(&s, epoch, now, wall);
+        self.revision += 1;
+        let (revision, now, wall) = (self.revision, self.now(), self.wall());
+        self.scheduler.add_job(&s, revision, now, wall);
         self.scheduler.place_if_due(now);
-        let work = Work {
+        let job = SubmittedJob {
             image,
             cpus,
             run_ms,
             tasks,
         };
-        self.work.insert(id, work);
+        self.jobs.insert(id, job);
     }
 
     fn report(&mut self, name: &str) -> Vec<u8> {
@@ -179,11 +195,11 @@
             task_id: t.task_id.clone(),
             attempt: t.attempt,
             status: match t {
-                t if t.over => TaskStatus::Exited,
-                t if t.runs_at <= now => TaskStatus::Running,
+                t if t.exited => TaskStatus::Exited,
+                t if t.runs_at_ms <= now => TaskStatus::Running,
                 _ => TaskStatus::Fetching,
             },
-            exit_reason: t.over.then_some(ExitReason::Done),
+            exit_reason: t.exited.then_some(ExitReason::Done),
             checkpointed: None,
         });
         encode(&Heartbeat {
@@ -202,40 +218,48 @@
 
     fn execute(&mut self, name: &str, commands: &[WorkerCommand]) {
         let now = self.now_ms;
-        let w = self.workers.get_mut(name).unwrap();
+        let worker = self.workers.get_mut(name).unwrap();
         for command in commands {
-            let at = w
+            let at = worker
                 .tasks
                 .iter()
                 .position(|t| (&t.task_id, t.attempt) == (&command.task_id, command.attempt));
             match (command.kind, at) {
                 (CommandKind::Run, None) => {
-                    let work = &self.work[command.task_id.split('/').next().unwrap()];
+                    let job = &self.jobs[command.task_id.split('/').next().unwrap()];
                     let other = self
                         .running
                         .insert(command.task_id.clone(), name.to_string());
-                    assert_eq!(other, None, "{} starts on {name} as well", command.task_id);
-                    w.free -= work.cpus;
-                    assert!(w.free >= 0.0, "{name} has no room for {}", command.task_id);
-                    let mut runs_at = now;
-                    if !w.images.contains(&work.image) {
-                        w.images.push(work.image.clone());
-                        runs_at += FETCH_MS;
+                    assert_eq!(
+                        other, None,
+                        "{} starts on {name}, and runs on another worker",
+                        command.task_id
+                    );
+                    worker.free_cpus -= job.cpus;
+                    assert!(
+                        worker.free_cpus >= 0.0,
+                        "{name} has no capacity for {}",
+                        command.task_id
+                    );
+                    let mut runs_at_ms = now;
+                    if !worker.images.contains(&job.image) {
+                        worker.images.push(job.image.clone());
+                        runs_at_ms += FETCH_MS;
                     }
-                    w.tasks.push(Task {
+                    worker.tasks.push(Task {
                         task_id: command.task_id.clone(),
                         attempt: command.attempt,
-                        runs_at,
-                        ends_at: runs_at + work.run_ms,
-                        over: false,
+                        runs_at_ms,
+                        ends_at_ms: runs_at_ms + job.run_ms,
+                        exited: false,
                     });
                 }
                 (CommandKind::Run, Some(_)) | (_, None) => {}
                 (CommandKind::Stop | CommandKind::Clear, Some(at)) => {
-                    let t = w.tasks.remove(at);
-                    if !t.over {
-                        w.free += self.work[t.task_id.split('/').next().unwrap()].cpus;
-                        self.running.remove(&t.task_id);
+                    let task = worker.tasks.remove(at);
+                    if !task.exited {
+                        worker.free_cpus += self.jobs[task.task_id.split('/').next().unwrap()].cpus;
+                        self.running.remove(&task.task_id);
                     }
                 }
             }
@@ -244,15 +268,19 @@
 
     fn end_tasks(&mut self) {
         let now = self.now_ms;
-        for w in self.workers.values_mut() {
-            for t in w.tasks.iter_mut().filter(|t| !t.over && t.ends_at <= now) {
-                t.over = true;
-                let job = t.task_id.split('/').next().unwrap();
-                w.free += self.work[job].cpus;
-                self.running.remove(&t.task_id);
+        for worker in self.workers.values_mut() {
+            for task in worker
+                .tasks
+                .iter_mut()
+                .filter(|t| !t.exited && t.ends_at_ms <= now)
+            {
+                task.exited = true;
+                let job = task.task_id.split('/').next().unwrap();
+                worker.free_cpus += self.jobs[job].cpus;
+                self.running.remove(&task.task_id);
                 *self.done.entry(job.to_string()).or_insert(0) += 1;
-                // What changed is told soon.
-                w.next_heartbeat = w.next_heartbeat.min(now + 100);
+                // Workers report changes soon.
+                worker.next_heartbeat_ms = worker.next_heartbeat_ms.min(now + 100);
             }
         }
     }
@@ -262,16 +290,16 @@
         let due = self
             .workers
             .values()
-            .filter(|w| w.up_at <= now && w.next_heartbeat <= now);
+            .filter(|w| w.up_at_ms <= now && w.next_heartbeat_ms <= now);
         let due: Vec<String> = due.map(|w| w.name.clone()).collect();
         for name in due {
-            self.heartbeats += 1;
+            self.heartbeat_count += 1;
             let body = self.report(&name);
             let report: Heartbeat = decode(&body).unwrap();
             let HeartbeatReply::Commands { commands, .. } =
                 self.scheduler.heartbeat(&report, self.now())
             else {
-                panic!("{name} is turned away");
+                panic!("the heartbeat of {name} is refused");
             };
             let answer = encode(&HeartbeatReplyBody {
                 fencing_token: FencingToken::of_term(TERM),
@@ -280,13 +308,13 @@
             let answer: HeartbeatReplyBody = decode(&answer).unwrap();
             self.execute(&name, &answer.commands);
             let pause = self.rng.u64(2_250..3_750);
-            self.workers.get_mut(&name).unwrap().next_heartbeat = now + pause;
+            self.workers.get_mut(&name).unwrap().next_heartbeat_ms = now + pause;
         }
     }
 
     fn direct_calls(&mut self) {
         while let Some(call) = self.scheduler.next_direct_call(self.now()) {
-            self.calls += 1;
+            self.direct_call_count += 1;
             let name = call.machine.clone();
             self.execute(&name, &call.commands);
             let report = decode(&self.report(&name)).unwrap();
@@ -296,8 +324,9 @@
         }
     }
 
-    /// What the key-value store takes: as many changes as the leader may write in a step.
-    fn write(&mut self, in_round: bool, mut left: usize) {
+    /// Applies the due writes of a step, at most `left` changes. Done sets and retirements are only written in
+    /// rounds.
+    fn write_records(&mut self, in_round: bool, mut left: usize) {
         let mut writes = take_affordable(self.scheduler.pending_registry_writes(false), &mut left);
         writes.extend(take_affordable(
             self.scheduler.pending_watermark_writes(),
@@ -318,8 +347,8 @@
             ));
         }
         for write in &writes {
-            self.epoch += 1;
-            self.scheduler.apply_written(write, self.epoch);
+            self.revision += 1;
+            self.scheduler.apply_written(write, self.revision);
         }
         let now = self.now();
         self.scheduler.place_if_due(now);
@@ -329,25 +358,25 @@
         let now = self.now();
         self.scheduler.plan_scale_out(now);
         for request in self.scheduler.provisioning.requests.clone() {
-            let left = self.limit.saturating_sub(self.workers.len() as u64);
+            let left = self.max_machines.saturating_sub(self.workers.len() as u64);
             let count = u64::from(request.count).min(left);
             let names: Vec<String> = (0..count)
                 .map(|_| {
-                    self.machines += 1;
-                    format!("n-{:06}", self.machines)
+                    self.granted_machines += 1;
+                    format!("n-{:06}", self.granted_machines)
                 })
                 .collect();
             for name in &names {
                 let boot = self.rng.u64(BOOT_MS / 2..BOOT_MS * 3 / 2);
-                let up_at = self.now_ms + boot;
+                let up_at_ms = self.now_ms + boot;
                 let worker = Worker {
                     name: name.clone(),
-                    up_at,
+                    up_at_ms,
                     sequence: 0,
-                    next_heartbeat: up_at,
+                    next_heartbeat_ms: up_at_ms,
                     images: Vec::new(),
                     tasks: Vec::new(),
-                    free: 64.0,
+                    free_cpus: 64.0,
                 };
                 self.workers.insert(name.clone(), worker);
             }
@@ -362,19 +391,19 @@
         for name in &names {
             let gone = self.workers.remove(name).unwrap();
             assert!(
-                gone.tasks.iter().all(|t| t.over),
-                "{name} is returned with work on it"
+                gone.tasks.iter().all(|t| t.exited),
+                "{name} is returned while tasks run on it"
             );
         }
         self.scheduler.drop_gone_machines(&names);
     }
 
-    fn list(&mut self) {
+    fn reconcile_machine_list(&mut self) {
         let machines: Vec<ciborium::Value> = self
             .workers
             .values()
             .map(|w| {
-                let status = if w.up_at <= self.now_ms {
+                let status = if w.up_at_ms <= self.now_ms {
                     "running"
                 } else {
                     "starting"
@@ -396,7 +425,7 @@
         self.end_tasks();
         self.heartbeats();
         self.direct_calls();
-        self.write(self.now_ms.is_multiple_of(2000), 6);
+        self.write_records(self.now_ms.is_multiple_of(2000), 6);
         if self.now_ms.is_multiple_of(250) {
             let now = self.now();
             self.scheduler.on_timer(now);
@@ -405,9 +434,9 @@
             self.provisioning();
         }
         if self.now_ms.is_multiple_of(3000) {
-            self.list();
+            self.reconcile_machine_list();
         }
-        for job in self.work.keys() {
+        for job in self.jobs.keys() {
             if self.now_ms.is_multiple_of(5000) {
                 self.scheduler.job_status(job);
             }
@@ -415,44 +444,44 @@
     }
 }
 
-/// Jobs come for a while and all of them get done, each task of them once, on machines that are
-/// rented for them and returned after; no task runs twice at a time and no machine is overfull.
+/// Jobs arrive for a while. All of them are done in the end, with each task done once, on machines that are requested
+/// for them and returned afterwards. No task runs twice at the same time, and no machine is overcommitted.
 #[test]
-fn a_busy_spell() {
+fn all_jobs_of_a_busy_period_are_done_and_machines_are_returned() {
     let scale = std::env::var("REPLAY_SCALE").map_or(1, |s| s.parse().unwrap());
-    let mut r = Replay::new(scale);
-    r.list();
+    let mut replay = Replay::new(scale);
+    replay.reconcile_machine_list();
     let mut arrivals = 0.0;
-    while r.now_ms < 150_000 {
+    while replay.now_ms < 150_000 {
         arrivals += 0.11 * scale as f64 * STEP_MS as f64 / 1000.0;
         while arrivals >= 1.0 {
             arrivals -= 1.0;
-            let urgent = r.rng.u32(0..5) > 0;
-            r.submit(urgent);
+            let urgent = replay.rng.u32(0..5) > 0;
+            replay.submit(urgent);
         }
-        r.step();
+        replay.step();
     }
-    let most = r.workers.len();
-    while !r.scheduler.jobs.table.is_empty() && r.now_ms < 900_000 {
-        r.step();
+    let peak_machines = replay.workers.len();
+    while !replay.scheduler.jobs.table.is_empty() && replay.now_ms < 900_000 {
+        replay.step();
     }
     println!(
-        "{} machines, {} jobs, {} check-ins, {} direct calls, {} s",
-        most,
-        r.work.len(),
-        r.heartbeats,
-        r.calls,
-        r.now_ms / 1000
+        "{} machines, {} jobs, {} heartbeats, {} direct calls, {} s",
+        peak_machines,
+        replay.jobs.len(),
+        replay.heartbeat_count,
+        replay.direct_call_count,
+        replay.now_ms / 1000
     );
-    for (id, work) in &r.work {
-        assert_eq!(r.done.get(id), Some(&work.tasks), "{id}");
+    for (id, job) in &replay.jobs {
+        assert_eq!(replay.done.get(id), Some(&job.tasks), "{id}");
     }
-    while !r.workers.is_empty() && r.now_ms < 1_000_000 {
-        r.step();
+    while !replay.workers.is_empty() && replay.now_ms < 1_000_000 {
+        replay.step();
     }
     assert!(
-        r.workers.len() <= 1,
-        "{} machines are kept for nothing",
-        r.workers.len()
+        replay.workers.len() <= 1,
+        "{} machines are kept without any job",
+        replay.workers.len()
     );
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Bad settings and flags end the program at once, with one line that names the field.
+//! Settings, flags and environment variables: with an invalid value the program exits at once, with a message of one
+//! line that names the field or flag.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,7 +8,8 @@
 use insta::assert_snapshot;
 use std::process::Command;
 
-const GOOD: &str = r#"
+/// Valid settings. `tests/upgrade.rs` reads them from this file as well, as its first raw string.
+const VALID_SETTINGS: &str = r#"
 node = "n-0"
 location = "east"
 public_addr = "127.0.0.1:0"
@@ -33,6 +35,7 @@
 quota = { sockets = 500, memory_mb = 40.0 }
 "#;
 
+/// Runs the program. Returns its exit code and what it wrote to standard error.
 fn run(args: &[&str], level: &str) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_aspenreel"))
         .args(args)
@@ -43,19 +46,20 @@
     (out.status.code(), text)
 }
 
-fn with_settings(name: &str, text: &str) -> String {
+/// Runs the program with these invalid settings, and returns its error message.
+fn settings_error(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("aspenreel-{}-{name}.toml", std::process::id()));
     std::fs::write(&path, text).unwrap();
-    let (code, err) = run(&["serve", "--config", path.to_str().unwrap()], "info");
+    let (code, stderr) = run(&["serve", "--config", path.to_str().unwrap()], "info");
     let _ = std::fs::remove_file(&path);
-    assert_eq!(code, Some(2), "{err}");
-    assert_eq!(err.lines().count(), 1, "{err}");
-    err.trim().to_string()
+    assert_eq!(code, Some(2), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
+    stderr.trim().to_string()
 }
 
 #[test]
-fn bad_settings_name_their_field() {
-    assert!(aspenreel::settings::Settings::parse(GOOD).is_ok());
+fn errors_of_invalid_settings_name_the_field() {
+    assert!(aspenreel::settings::Settings::parse(VALID_SETTINGS).is_ok());
     let cases = [
         ("broken", "node = ", ""),
         ("missing", "node = \"n-0\"\n", ""),
@@ -68,63 +72,65 @@
         ("share", "memory_mb = 40.0", "cpu_share = 0.0005"),
         ("itself", "node = \"n-1\"", "node = \"n-0\""),
     ];
-    let mut told = String::new();
+    let mut errors = String::new();
     for (name, from, to) in cases {
         let text = if to.is_empty() {
             from.to_string()
         } else {
-            assert!(GOOD.contains(from), "{from}");
-            GOOD.replacen(from, to, 1)
+            assert!(VALID_SETTINGS.contains(from), "{from}");
+            VALID_SETTINGS.replacen(from, to, 1)
         };
-        told += &format!("{name}: {}\n", with_settings(name, &text));
+        errors += &format!("{name}: {}\n", settings_error(name, &text));
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(errors);
 }
 
-/// What is small but can be run with is said, and doesn't end the program.
+/// A quota that is small but sufficient is accepted, with a warning that names the field.
 #[test]
-fn small_quotas_are_told() {
+fn small_quotas_are_accepted_with_a_warning() {
     let warnings = |quota: &str| {
-        let text = GOOD.replacen("memory_mb = 40.0", quota, 1);
+        let text = VALID_SETTINGS.replacen("memory_mb = 40.0", quota, 1);
         let settings = aspenreel::settings::Settings::parse(&text).unwrap();
         settings.settings.quota.warnings().join("\n")
     };
     assert_eq!(warnings("memory_mb = 40.0, cpu_share = 0.019"), "");
-    let told = warnings("memory_mb = 8.0, cpu_share = 0.005");
+    let warning = warnings("memory_mb = 8.0, cpu_share = 0.005");
     assert!(
-        told.contains("`settings.quota.cpu_share`: 0.005 is below 0.01"),
-        "{told}"
+        warning.contains("`settings.quota.cpu_share`: 0.005 is below 0.01"),
+        "{warning}"
     );
     assert!(
-        told.contains("`settings.quota.memory_mb`: 8 is below 16"),
-        "{told}"
+        warning.contains("`settings.quota.memory_mb`: 8 is below 16"),
+        "{warning}"
     );
 }
 
 #[test]
-fn bad_flags_and_files_are_told() {
-    let (code, err) = run(&["serve", "--config", "/nowhere/at-all.toml"], "info");
+fn errors_of_invalid_flags_and_missing_files_name_them() {
+    let (code, stderr) = run(&["serve", "--config", "/nowhere/at-all.toml"], "info");
     assert_eq!(code, Some(2));
-    assert!(err.contains("/nowhere/at-all.toml"), "{err}");
-    let (code, err) = run(&["serve", "--config", "x", "--no-such-flag"], "info");
+    assert!(stderr.contains("/nowhere/at-all.toml"), "{stderr}");
+    let (code, stderr) = run(&["serve", "--config", "x", "--no-such-flag"], "info");
     assert_eq!(code, Some(2));
-    assert!(err.contains("--no-such-flag"), "{err}");
-    let (code, err) = run(&["serve", "--config", "x", "--round-ms", "0"], "info");
+    assert!(stderr.contains("--no-such-flag"), "{stderr}");
+    let (code, stderr) = run(&["serve", "--config", "x", "--round-ms", "0"], "info");
     assert_eq!(code, Some(2));
-    assert!(err.contains("--record-round-ms"), "{err}");
-    let (code, err) = run(&["serve", "--config", "x"], "loud");
+    assert!(stderr.contains("--record-round-ms"), "{stderr}");
+    let (code, stderr) = run(&["serve", "--config", "x"], "loud");
     assert_eq!(code, Some(2));
-    assert!(err.contains("LOG_LEVEL"), "{err}");
+    assert!(stderr.contains("LOG_LEVEL"), "{stderr}");
     let (code, _) = run(&["--help"], "info");
     assert_eq!(code, Some(0));
 }
 
-/// Flags and variables that were renamed go on working under their earlier names; the new one wins.
+/// Flags and environment variables that were renamed are still accepted under their earlier names. If a variable is
+/// set under both names, the newer name takes precedence.
 #[test]
-fn earlier_names_of_flags_and_variables() {
+fn earlier_names_of_flags_and_variables_are_accepted() {
     let path = std::env::temp_dir().join(format!("aspenreel-{}-names.toml", std::process::id()));
-    std::fs::write(&path, GOOD).unwrap();
-    let lease_asked = |flags: &[&str], variables: &[(&str, &str)]| {
+    std::fs::write(&path, VALID_SETTINGS).unwrap();
+    // Each lease given below is too long. Returns the value that the message states.
+    let rejected_lease = |flags: &[&str], variables: &[(&str, &str)]| {
         let output = Command::new(env!("CARGO_BIN_EXE_aspenreel"))
             .arg("serve")
             .args(flags)
@@ -140,58 +146,77 @@
     };
     let earlier = ("ASPENREEL_HOLD_MS", "30001");
     let newer = ("ASPENREEL_LEADER_LEASE_MS", "30002");
-    assert_eq!(lease_asked(&["--hold-ms", "30000"], &[]), "30000");
-    assert_eq!(lease_asked(&["--leader-lease-ms", "30000"], &[]), "30000");
-    assert_eq!(lease_asked(&[], &[earlier]), "30001");
-    assert_eq!(lease_asked(&[], &[earlier, newer]), "30002");
+    assert_eq!(rejected_lease(&["--hold-ms", "30000"], &[]), "30000");
     assert_eq!(
-        lease_asked(&["--hold-ms", "30000"], &[earlier, newer]),
+        rejected_lease(&["--leader-lease-ms", "30000"], &[]),
         "30000"
     );
-    let patience = Command::new(env!("CARGO_BIN_EXE_aspenreel"))
+    assert_eq!(rejected_lease(&[], &[earlier]), "30001");
+    assert_eq!(rejected_lease(&[], &[earlier, newer]), "30002");
+    assert_eq!(
+        rejected_lease(&["--hold-ms", "30000"], &[earlier, newer]),
+        "30000"
+    );
+    let output = Command::new(env!("CARGO_BIN_EXE_aspenreel"))
         .args(["serve", "--dear-patience-ms", "x", "--config"])
         .arg(&path)
         .output()
         .unwrap();
-    let told = String::from_utf8(patience.stderr).unwrap();
-    assert!(told.contains("--on-demand-max-wait-ms"), "{told}");
+    let message = String::from_utf8(output.stderr).unwrap();
+    assert!(message.contains("--on-demand-max-wait-ms"), "{message}");
     std::fs::remove_file(&path).unwrap();
 }
 
-/// A cancellation's time is arithmetic: the lease of a leader that was refused alone, then the lease
-/// of a worker that went on reporting to it. Settings and flags with which the sum could be above
-/// `cancel_s` end the process; the largest value that works is named, and works.
+/// The time limit of a cancellation covers the lease of a leader that alone can't write to the key-value store,
+/// followed by the lease of a worker that goes on reporting to this leader. The program exits if the sum could exceed
+/// `cancel_s` with the given settings and flags. The message states the largest value that is accepted, and that
+/// value is accepted.
 #[test]
-fn a_cancellation_fits_into_its_time() {
-    let with = |lease: &str, hold: &str| {
-        let text = GOOD.replace("lease_s = 20.0", &format!("lease_s = {lease}"));
+fn leases_that_exceed_the_cancellation_bound_are_rejected() {
+    let error_with = |worker_lease_s: &str, leader_lease_ms: &str| {
+        let text = VALID_SETTINGS.replace("lease_s = 20.0", &format!("lease_s = {worker_lease_s}"));
         let path = std::env::temp_dir().join(format!(
-            "aspenreel-{}-bound-{lease}-{hold}.toml",
+            "aspenreel-{}-bound-{worker_lease_s}-{leader_lease_ms}.toml",
             std::process::id()
         ));
         std::fs::write(&path, text).unwrap();
         let file = path.to_str().unwrap();
-        let (code, err) = run(&["serve", "--hold-ms", hold, "--config", file], "info");
+        let (code, stderr) = run(
+            &["serve", "--hold-ms", leader_lease_ms, "--config", file],
+            "info",
+        );
         let _ = std::fs::remove_file(&path);
-        assert_eq!((code, err.lines().count()), (Some(2), 1), "{err}");
-        err.trim().to_string()
+        assert_eq!((code, stderr.lines().count()), (Some(2), 1), "{stderr}");
+        stderr.trim().to_string()
     };
-    let (hold, lease) = (with("20.0", "20000"), with("39.0", "8000"));
+    let leader_lease_error = error_with("20.0", "20000");
+    let worker_lease_error = error_with("39.0", "8000");
     assert_snapshot!(
-        "a_cancellation_fits_into_its_time",
-        format!("{hold}\n{lease}")
+        "leases_that_exceed_the_cancellation_bound_are_rejected",
+        format!("{leader_lease_error}\n{worker_lease_error}")
     );
-    let settings = |lease: &str| {
-        Settings::parse(&GOOD.replace("lease_s = 20.0", &format!("lease_s = {lease}"))).unwrap()
+    let settings = |worker_lease_s: &str| {
+        Settings::parse(
+            &VALID_SETTINGS.replace("lease_s = 20.0", &format!("lease_s = {worker_lease_s}")),
+        )
+        .unwrap()
     };
-    let fits = |lease: &str, hold: u64| {
-        let hold = Micros::from_millis(hold);
-        settings(lease).leader_lease(Some(hold)).is_ok()
+    let fits = |worker_lease_s: &str, leader_lease_ms: u64| {
+        let leader_lease = Micros::from_millis(leader_lease_ms);
+        settings(worker_lease_s)
+            .leader_lease(Some(leader_lease))
+            .is_ok()
     };
-    assert!(fits("20.0", 18_980) && !fits("20.0", 18_981), "{hold}");
-    assert!(fits("37.962", 1000) && !fits("37.963", 1000), "{lease}");
-    // Unless it is asked for, it is shorter where it must be, and nobody has to set anything.
-    let usual = |lease: &str| settings(lease).leader_lease(None).unwrap();
-    assert_eq!(usual("20.0"), Micros::from_millis(8000));
-    assert_eq!(usual("35.0"), Micros::from_millis(3965));
+    assert!(
+        fits("20.0", 18_980) && !fits("20.0", 18_981),
+        "{leader_lease_error}"
+    );
+    assert!(
+        fits("37.962", 1000) && !fits("37.963", 1000),
+        "{worker_lease_error}"
+    );
+    // Without the flag the default is shortened where necessary, so that no one has to set it.
+    let default_lease = |worker_lease_s: &str| settings(worker_lease_s).leader_lease(None).unwrap();
+    assert_eq!(default_lease("20.0"), Micros::from_millis(8000));
+    assert_eq!(default_lease("35.0"), Micros::from_millis(3965));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short soak runs with fixed seeds. Long ones are started by hand (`docs/operators/soak.md`).
+//! Short soak runs with fixed seeds. Long runs are started by hand (`docs/operators/soak.md`).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,8 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// Runs one run; the rules must be kept, and enough must happen to tell.
+/// Performs one soak run with this seed. No rule may be broken, and some jobs must be done and some cancelled:
+/// otherwise the run would prove nothing.
 fn soak(seed: u64) {
     let plan = RunPlan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_aspenreel")),
@@ -20,14 +21,15 @@
     assert!(report.done > 0 && report.cancelled > 0, "{report:?}");
 }
 
-/// Commands are held back while single ways are cut.
+/// With this seed, commands are delayed while single directions of links are cut.
 #[test]
-fn held_orders_and_cut_ways() {
+fn no_rule_is_broken_with_delayed_commands_and_half_cut_links() {
     soak(21);
 }
 
-/// Leaders end in series or stand still while commands are held back and ways are cut.
+/// With this seed, several leaders in a row are killed or paused while commands are delayed and single directions of
+/// links are cut.
 #[test]
-fn leaders_in_series() {
+fn no_rule_is_broken_when_successive_leaders_fail() {
     soak(1);
 }
