--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -82,9 +82,9 @@
     assert_snapshot!(trace.log);
 }
 
-/// A machine list that lags behind may still contain machines that were removed before a failover. The registry, or the
-/// time for which the list reports them as held, shows that they have existed for long. The next two lists without
-/// them therefore prove that they are gone, and jobs of earlier terms don't wait for most of a lease.
+/// A machine list that lags behind may still contain machines that were removed before a failover. The registry, or
+/// the time for which the list reports them as held, shows that they have existed for long. The next two lists
+/// without them therefore prove that they are gone, and jobs of earlier terms don't wait for most of a lease.
 #[test]
 fn machines_in_a_stale_list_are_gone_after_two_lists_without_them() {
     let mut trace = LeaderTrace::new(5, one_team());
