--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -8,7 +8,7 @@
 use aspenreel_simulation::setup::Setup;
 use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::summary::Summary;
-use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
+use aspenreel_simulation::workloads::{cancel_after_acceptance, every_nth, jobs};
 use std::sync::Arc;
 
 /// The fault begins then, and lasts for so long.
@@ -120,7 +120,7 @@
         let ids = jobs(sim, 4.0, 110.0, JOBS, |i, p| {
             p.run_s = 4.0 + f64::from(i % 5) * 4.0
         });
-        cancel_soon(sim, &every_other(&ids, 6), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 6), 15.0, rng);
         sim.at(BEGINS_S, move |sim| fault.begin(sim));
     });
     let mut measured = Measured::default();
@@ -154,11 +154,11 @@
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
         self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
-        self.unanswered.add(f64::from(end.unanswered_questions));
+        self.unanswered.add(f64::from(end.unanswered_requests));
         self.turnaround.extend(end.turnaround_s.iter().copied());
         let late = end.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
-        self.broken.extend(end.broken.iter().cloned());
+        self.broken.extend(end.violations.iter().cloned());
     }
 }
 
--- a/crates/simulation/src/fake_store.rs
+++ b/crates/simulation/src/fake_store.rs
@@ -1,5 +1,5 @@
-//! The key-value store's keys, holds and log, as the published protocol tells of them. Time is handed
-//! in, so that stand-ins on real time and the simulation on simulated time share it.
+//! Key-value store with keys, leases and a log of changes, according to the published protocol. The current time is
+//! a parameter, so that the simulation on simulated time and the stand-ins on real time can share the store.
 
 use aspenreel::http::cbor::{decode, encode, json_len};
 use aspenreel::store::token_bucket::TokenBucket;
@@ -9,57 +9,62 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The store: keys, leases and the log of changes.
+/// Key-value store: rows, leases and the log of changes.
 #[derive(Default)]
 pub struct FakeStore {
-    /// Data, revision, hold.
+    /// For each key: its data, the revision of its last change, and the lease that it is attached to.
     pub rows: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// Log of changes: revision, key, and data unless the key was deleted.
     log: Vec<(u64, String, Option<Value>)>,
-    /// When each hold ends, and its life.
+    /// For each lease: the time of its end, and its duration.
     leases: BTreeMap<u64, (Duration, Duration)>,
     next_lease: u64,
     revision: u64,
-    /// What the service takes, where that is limited.
+    /// Limits of requests, if there are any.
     pub limits: Option<Limits>,
-    /// Requests and changes since then.
-    spent: Option<(TokenBucket, TokenBucket)>,
-    /// Transactions that were larger than that.
-    pub refused: u32,
-    /// Requests that were more than that, and all since then.
-    pub throttled: u32,
-    /// Requests since the limits hold.
-    pub counted: u32,
+    /// Remaining budgets of requests and of changes, since the first request with limits.
+    rate_budgets: Option<(TokenBucket, TokenBucket)>,
+    /// Number of transactions that were rejected because they exceed the limits of size.
+    pub rejected_transactions: u32,
+    /// Number of requests that were rejected because they exceed the limits of rate.
+    pub throttled_requests: u32,
+    /// Number of all requests since the limits were set.
+    pub limited_requests: u32,
 }
 
-/// What the key-value store takes.
+/// Limits of the key-value store.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// Bytes of a value, at most.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Changes of a transaction, at most.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Requests per second.
+    /// Maximum rate of requests, per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum rate of changes, per second.
     pub write_rps: f64,
 }
 
-/// Bytes of a transaction, and how many conditions it may have for each change.
-const TRANSACTION_BYTES: usize = 64 * 1024;
-const GUARDS_OF_OPS: usize = 4;
+/// Maximum size of a transaction, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// A transaction may have this many times [`Limits::txn_ops`] preconditions.
+const PRECONDITIONS_PER_OP: usize = 4;
 
+/// Body of a transaction.
 #[derive(Deserialize)]
 struct Multi {
     guards: Vec<GuardIn>,
     apply: Vec<ChangeIn>,
 }
 
+/// Precondition of a transaction: the revision that a key must have, 0 if it must not exist.
 #[derive(Deserialize)]
 struct GuardIn {
     key: String,
     stamp: u64,
 }
 
+/// Change of a transaction: the key to write or to delete, the data to write, and the lease to attach the key to.
 #[derive(Deserialize)]
 struct ChangeIn {
     write: Option<String>,
@@ -68,49 +73,51 @@
     permit: Option<u64>,
 }
 
-/// An HTTP status and a body.
+/// HTTP status and body of a response.
 pub type StoreResponse = (u16, Vec<u8>);
 
-/// A response with this body.
-pub fn answer(status: u16, value: Result<Value, ciborium::value::Error>) -> StoreResponse {
+/// Response with this status and the encoded value as its body.
+pub fn response(status: u16, value: Result<Value, ciborium::value::Error>) -> StoreResponse {
     (status, encode(&value.unwrap()))
 }
 
+/// Parameters in the query of a request path.
 fn query(path: &str) -> HashMap<&str, &str> {
     let text = path.split_once('?').map_or("", |(_, q)| q);
     text.split('&').filter_map(|p| p.split_once('=')).collect()
 }
 
-/// What a watch asks for.
+/// Parameters of a watch request.
 pub struct Watch {
-    /// What the keys begin with.
-    pub starts: String,
-    /// The revision after which changes are wanted.
+    /// Prefix of the keys to watch.
+    pub prefix: String,
+    /// Revision after which changes are returned.
     pub since: u64,
-    /// How long the watch may stay open.
-    pub hold: Duration,
+    /// Maximum time that the watch waits for a change.
+    pub max_wait: Duration,
 }
 
 impl Watch {
-    /// A watch, as a request's path tells it.
-    pub fn of(path: &str) -> Watch {
+    /// Parses the path of a watch request.
+    pub fn parse(path: &str) -> Watch {
         let q = query(path);
         Watch {
-            starts: q["starts"].into(),
+            prefix: q["starts"].into(),
             since: q["since"].parse().unwrap(),
-            hold: Duration::from_millis(q["holdMs"].parse().unwrap()),
+            max_wait: Duration::from_millis(q["holdMs"].parse().unwrap()),
         }
     }
 }
 
 impl FakeStore {
-    /// The value of a key.
+    /// Data of a key, if it exists.
     pub fn data(&self, key: &str) -> Option<Value> {
         self.rows.get(key).map(|r| r.0.clone())
     }
 
+    /// Ends a lease and deletes the keys attached to it. False if there is no such lease.
     fn end_lease(&mut self, permit: u64) -> bool {
-        let had = self.leases.remove(&permit).is_some();
+        let existed = self.leases.remove(&permit).is_some();
         let keys: Vec<String> = self
             .rows
             .iter()
@@ -122,45 +129,45 @@
             self.rows.remove(&key);
             self.log.push((self.revision, key, None));
         }
-        had
+        existed
     }
 
-    /// Ends the holds that have run out; true if there were any.
+    /// Ends the leases that have expired; true if there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (end, _))| *end <= now)
             .map(|(p, _)| *p)
             .collect();
-        for permit in &over {
+        for permit in &expired {
             self.end_lease(*permit);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
-    /// When the next hold runs out.
-    pub fn next_end(&self) -> Option<Duration> {
+    /// Time at which the next lease expires.
+    pub fn next_lease_end(&self) -> Option<Duration> {
         self.leases.values().map(|(end, _)| *end).min()
     }
 
-    /// After an outage every hold has its full time again.
-    pub fn refresh(&mut self, now: Duration) {
+    /// Gives every lease its full duration again, as the service does after an outage.
+    pub fn renew_all_leases(&mut self, now: Duration) {
         for (end, life) in self.leases.values_mut() {
             *end = now + *life;
         }
     }
 
-    /// Carries out a transaction on preconditions.
-    pub fn multi(&mut self, body: &[u8]) -> StoreResponse {
+    /// Executes a transaction if its preconditions hold.
+    pub fn transaction(&mut self, body: &[u8]) -> StoreResponse {
         let multi: Multi = decode(body).unwrap();
-        if self.is_too_large(&multi, body) {
-            self.refused += 1;
-            return answer(400, cbor!({"error" => "too large"}));
+        if self.exceeds_size_limits(&multi, body) {
+            self.rejected_transactions += 1;
+            return response(400, cbor!({"error" => "too large"}));
         }
         for change in &multi.apply {
             if change.permit.is_some_and(|p| !self.leases.contains_key(&p)) {
-                return answer(400, cbor!({"error" => "no such lease"}));
+                return response(400, cbor!({"error" => "no such lease"}));
             }
         }
         let failed: Vec<&str> = multi
@@ -170,7 +177,7 @@
             .map(|g| g.key.as_str())
             .collect();
         if !failed.is_empty() {
-            return answer(409, cbor!({"failed" => failed, "epoch" => self.revision}));
+            return response(409, cbor!({"failed" => failed, "epoch" => self.revision}));
         }
         self.revision += 1;
         let revision = self.revision;
@@ -185,65 +192,66 @@
                 self.log.push((revision, key, None));
             }
         }
-        answer(200, cbor!({"epoch" => revision}))
+        response(200, cbor!({"epoch" => revision}))
     }
 
-    fn is_too_large(&self, multi: &Multi, body: &[u8]) -> bool {
+    /// True if the transaction exceeds a limit of size.
+    fn exceeds_size_limits(&self, multi: &Multi, body: &[u8]) -> bool {
         let Some(limits) = self.limits else {
             return false;
         };
-        let large = |c: &ChangeIn| {
+        let is_large = |c: &ChangeIn| {
             let data = c.data.as_ref();
             data.is_some_and(|d| json_len(d) > limits.value_bytes)
         };
         let whole: Value = decode(body).unwrap();
         multi.apply.len() > limits.txn_ops
-            || multi.guards.len() > GUARDS_OF_OPS * limits.txn_ops
-            || multi.apply.iter().any(large)
-            || json_len(&whole) > TRANSACTION_BYTES
+            || multi.guards.len() > PRECONDITIONS_PER_OP * limits.txn_ops
+            || multi.apply.iter().any(is_large)
+            || json_len(&whole) > MAX_TRANSACTION_BYTES
     }
 
-    /// True if the request, or its changes, are more than the service takes now.
-    fn is_too_much(&mut self, path: &str, body: &[u8], now: Duration) -> bool {
+    /// Counts the request, and returns true if it or its changes exceed a limit of rate now.
+    fn exceeds_rate_limits(&mut self, path: &str, body: &[u8], now: Duration) -> bool {
         let Some(limits) = self.limits else {
             return false;
         };
         let now = Moment(now.as_micros() as u64);
-        let (requests, changes) = self.spent.get_or_insert_with(|| {
-            let full = |rate| TokenBucket::new(rate, rate, now);
-            (full(limits.rps), full(limits.write_rps))
+        let (requests, changes) = self.rate_budgets.get_or_insert_with(|| {
+            let full_bucket = |rate| TokenBucket::new(rate, rate, now);
+            (full_bucket(limits.rps), full_bucket(limits.write_rps))
         });
         let wanted = match path {
             "/multi" => decode::<Multi>(body).unwrap().apply.len(),
             _ => 0,
         };
-        self.counted += 1;
+        self.limited_requests += 1;
         let granted = requests.take(1.0, now) && changes.take(wanted as f64, now);
-        self.throttled += u32::from(!granted);
+        self.throttled_requests += u32::from(!granted);
         !granted
     }
 
-    /// What a watch is told now; None if there is nothing yet.
+    /// Response to a watch with the changes so far; `None` if there are none yet.
     pub fn changes(&self, watch: &Watch) -> Option<StoreResponse> {
         let seen = self.log.partition_point(|(e, _, _)| *e <= watch.since);
         let log: Vec<Value> = self.log[seen..]
             .iter()
-            .filter(|(_, key, _)| key.starts_with(&watch.starts))
+            .filter(|(_, key, _)| key.starts_with(&watch.prefix))
             .map(|(e, key, data)| match data {
                 Some(d) => cbor!({"write" => key, "data" => d, "stamp" => e}).unwrap(),
                 None => cbor!({"delete" => key, "stamp" => e}).unwrap(),
             })
             .collect();
-        (!log.is_empty()).then(|| answer(200, cbor!({"epoch" => self.revision, "log" => log})))
+        (!log.is_empty()).then(|| response(200, cbor!({"epoch" => self.revision, "log" => log})))
     }
 
-    /// What a watch is told when its time is over.
-    pub fn no_changes(&self) -> StoreResponse {
+    /// Response to a watch that ends without changes.
+    pub fn empty_changes(&self) -> StoreResponse {
         let log: [Value; 0] = [];
-        answer(200, cbor!({"epoch" => self.revision, "log" => log}))
+        response(200, cbor!({"epoch" => self.revision, "log" => log}))
     }
 
-    /// One page of the keys with a prefix.
+    /// Response to a request for one page of the keys with a prefix.
     pub fn range(&self, path: &str) -> StoreResponse {
         let q = query(path);
         let most: usize = q["most"].parse().unwrap();
@@ -257,24 +265,24 @@
             .collect();
         let more = found.len() > most;
         let rows: Vec<_> = found.into_iter().take(most).collect();
-        answer(
+        response(
             200,
             cbor!({"rows" => rows, "more" => more, "epoch" => self.revision}),
         )
     }
 
-    /// One key.
+    /// Response to a request for one key.
     pub fn get(&self, key: &str) -> StoreResponse {
         match self.rows.get(key) {
-            Some((data, stamp, permit)) => answer(
+            Some((data, stamp, permit)) => response(
                 200,
                 cbor!({"key" => key, "data" => data, "stamp" => stamp, "permit" => permit}),
             ),
-            None => answer(404, cbor!({"epoch" => self.revision})),
+            None => response(404, cbor!({"epoch" => self.revision})),
         }
     }
 
-    /// `/leases`, and what follows that in the path.
+    /// Handles requests to `/holds`: grants, renews and ends leases. `rest` is the path after the prefix.
     pub fn leases(
         &mut self,
         method: &str,
@@ -292,7 +300,7 @@
             let life = Duration::from_millis(life.life_ms);
             self.next_lease += 1;
             self.leases.insert(self.next_lease, (now + life, life));
-            return answer(200, cbor!({"permit" => self.next_lease}));
+            return response(200, cbor!({"permit" => self.next_lease}));
         }
         let mut parts = rest.trim_start_matches('/').split('/');
         let permit: u64 = parts.next().unwrap().parse().unwrap();
@@ -308,14 +316,14 @@
         }
     }
 
-    /// Everything but watches.
+    /// Handles all requests except watches.
     pub fn call(&mut self, method: &str, path: &str, body: &[u8], now: Duration) -> StoreResponse {
         self.expire(now);
-        if self.is_too_much(path, body, now) {
-            return answer(429, cbor!({"error" => "too many"}));
+        if self.exceeds_rate_limits(path, body, now) {
+            return response(429, cbor!({"error" => "too many"}));
         }
         match path.split('?').next().unwrap() {
-            "/multi" => self.multi(body),
+            "/multi" => self.transaction(body),
             "/store" => self.range(path),
             plain => match plain.strip_prefix("/holds") {
                 Some(rest) => self.leases(method, rest, body, now),
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Several controllers, and all that they talk to, in one process on simulated time.
+//! Simulation of several controllers and the services that they talk to, in one process on simulated time.
 
 use crate::checker::{Checker, JobPlan};
 use crate::cloud_state::CloudState;
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// One cluster on simulated time.
+/// Cluster on simulated time.
 pub struct Simulation {
-    /// What runs its threads and events.
+    /// Scheduler of the simulation's threads and events.
     pub scheduler: Arc<DeterministicScheduler>,
-    /// What it is made of.
+    /// Configuration of the cluster.
     pub setup: Setup,
     pub(crate) state: Mutex<SimulationState>,
 }
 
 impl Simulation {
-    /// A cluster whose controllers start now; the seed decides everything that is drawn.
+    /// Creates a cluster and starts its machines and controllers. All random draws depend on the seed alone.
     pub fn new(seed: u64, setup: Setup) -> Arc<Simulation> {
         let limits = setup.teams.clone();
         let simulation = Arc::new(Simulation {
@@ -31,13 +31,13 @@
             state: Mutex::new(SimulationState {
                 store: FakeStore::default(),
                 store_is_down: false,
-                hidden: String::new(),
+                hidden_key: String::new(),
                 watchers: Vec::new(),
                 store_delay: 0,
-                slow_links: 1,
-                late_writes: None,
-                late_heartbeats: None,
-                kept_heartbeats: Vec::new(),
+                latency_factor: 1,
+                unanswered_writes: None,
+                duplicated_heartbeats: None,
+                heartbeats_for_next_leader: Vec::new(),
                 delayed_commands: DelayedCommands::default(),
                 nodes: (0..setup.nodes).map(|_| NodeState::default()).collect(),
                 zone_cuts: BTreeMap::new(),
@@ -55,35 +55,35 @@
             }),
             setup,
         });
-        crate::log::follow(&simulation.scheduler);
+        crate::log::init(&simulation.scheduler);
         for (type_name, zone, spot, count) in simulation.setup.machines.clone() {
             for _ in 0..count {
-                simulation.boot(type_name, zone, spot, 0);
+                simulation.add_machine(type_name, zone, spot, 0);
             }
         }
-        for n in 0..simulation.setup.nodes {
-            simulation.start_node(n);
+        for node in 0..simulation.setup.nodes {
+            simulation.start_node(node);
         }
-        simulation.check_rules();
+        simulation.check_time_limits_periodically();
         simulation
     }
 
-    /// The world's state. Never held while a controller's code runs.
+    /// Locks the state of the simulation. The lock must not be held while a controller's code runs.
     pub fn state(&self) -> MutexGuard<'_, SimulationState> {
         lock(&self.state)
     }
 
-    /// The simulated time.
+    /// Current simulated time.
     pub fn now(&self) -> Time {
         self.scheduler.now()
     }
 
-    /// The simulated time, as a duration.
+    /// Simulated time since the start, as a duration.
     pub fn since_start(&self) -> Duration {
         Duration::from_micros(self.now())
     }
 
-    /// Part of a test's plan: nothing is over before it.
+    /// Schedules a step of a test at this second. The simulation doesn't finish before its last step.
     pub fn at(
         self: &Arc<Self>,
         seconds: f64,
@@ -96,7 +96,7 @@
         self.at_time(secs(seconds), work);
     }
 
-    /// Does this work then.
+    /// Schedules `work` at a point in simulated time.
     pub fn at_time(
         self: &Arc<Self>,
         at: Time,
@@ -106,7 +106,7 @@
         self.scheduler.at(at, move || work(&simulation));
     }
 
-    /// Does this work after so long.
+    /// Schedules `work` after a span of simulated time.
     pub fn after(
         self: &Arc<Self>,
         span: Time,
@@ -115,7 +115,7 @@
         self.at_time(self.now() + span, work);
     }
 
-    /// A time in this range, drawn.
+    /// Draws a random time from this range.
     pub fn random(&self, range: std::ops::Range<Time>) -> Time {
         self.state().rng.u64(range)
     }
@@ -126,29 +126,30 @@
         self.state().transcript.add(now, channel, parts);
     }
 
-    /// One way through the network.
+    /// Draws the latency of one message: 0.2 to 1.5 ms, and for one message in 50, 2 to 40 ms. It is multiplied by
+    /// the state's `latency_factor`.
     pub fn latency(&self) -> Time {
         let mut state = self.state();
         let span = match state.rng.u32(0..50) {
             0 => state.rng.u64(2_000..40_000),
             _ => state.rng.u64(200..1_500),
         };
-        span * state.slow_links
+        span * state.latency_factor
     }
 
-    /// Looks at the rules now and then.
-    pub(crate) fn check_rules(self: &Arc<Self>) {
+    /// Checks the rules that have time limits now, and schedules the next check after half a second.
+    pub(crate) fn check_time_limits_periodically(self: &Arc<Self>) {
         let now = self.now();
-        self.state().checker.look(now);
-        self.after(secs(0.5), |sim| sim.check_rules());
+        self.state().checker.check_time_limits(now);
+        self.after(secs(0.5), |sim| sim.check_time_limits_periodically());
     }
 
-    /// A user submits this job at that second.
+    /// Schedules the submission of a job by a user at this second.
     pub fn submit(self: &Arc<Self>, at: f64, plan: JobPlan) {
         self.at(at, move |sim| sim.user_submits(plan));
     }
 
-    /// Runs up to this second.
+    /// Runs the simulation up to this second.
     pub fn run(&self, seconds: f64) -> &Self {
         self.scheduler.run_until(secs(seconds));
         self
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -1,7 +1,7 @@
 //! Half-cut links (`docs/half-cut-links.md`): single directions of links are cut, also together and now
 //! and then, in clusters whose controllers watch their links.
 
-use aspenreel_simulation::checker::{JobPlan, Question};
+use aspenreel_simulation::checker::{JobPlan, RequestKind};
 use aspenreel_simulation::directions::{Direction, Endpoint};
 use aspenreel_simulation::run::run;
 use aspenreel_simulation::setup::{LEASE_S, Setup};
@@ -25,8 +25,8 @@
     let ids = jobs(sim, 4.0, 100.0, 60, |i, p| {
         p.run_s = 4.0 + f64::from(i % 5) * 4.0
     });
-    ask_closely(sim, &every_other(&ids, 4));
-    cancel_soon(sim, &every_other(&ids, 5), 15.0, rng);
+    query_all_nodes_on_updates(sim, &every_nth(&ids, 4));
+    cancel_after_acceptance(sim, &every_nth(&ids, 5), 15.0, rng);
 }
 
 fn leader(sim: &Arc<Simulation>) -> usize {
@@ -441,7 +441,9 @@
                     Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
                     40.0,
                 );
-                sim.after(4_000_000, move |sim| sim.late_writes(share, at_once, 12.0));
+                sim.after(4_000_000, move |sim| {
+                    sim.leave_writes_unanswered(share, at_once, 12.0)
+                });
             });
         });
         for end in ends {
@@ -455,14 +457,14 @@
 fn cancellations_while_stepping_down() {
     let ends = run(16, &watching(3), |sim, rng| {
         let ids = jobs(sim, 4.0, 40.0, 40, |_, p| p.run_s = 25.0);
-        ask_closely(sim, &ids);
+        query_all_nodes_on_updates(sim, &ids);
         sim.at(25.0, |sim| {
             sim.cut_direction(
                 Direction::new(Endpoint::Workers, Endpoint::Node(leader(sim))),
                 30.0,
             );
         });
-        cancel_each(sim, &every_other(&ids, 2), 28.0, 42.0, rng);
+        cancel_each(sim, &every_nth(&ids, 2), 28.0, 42.0, rng);
     });
     for end in ends {
         assert!(end.cancelled >= 12, "{end:?}");
@@ -546,7 +548,7 @@
         for step in 0..150 {
             sim.at(25.0 + 0.1 * f64::from(step), move |sim| {
                 let id = format!("run-{}", step % 10);
-                sim.question(&id, Question::Status, step as usize % 3, |_, _| ());
+                sim.send_request(&id, RequestKind::Status, step as usize % 3, |_, _| ());
             });
         }
     });
