--- a/crates/simulation/src/scheduler.rs
+++ b/crates/simulation/src/scheduler.rs
@@ -229,7 +229,7 @@
             let event = {
                 let mut inner = lock(&self.inner);
                 let panics = std::mem::take(&mut inner.panics);
-                assert!(panics.is_empty(), "a thread panicked: {panics:?}");
+                assert!(panics.is_empty(), "simulated threads panicked: {panics:?}");
                 match inner.queue.first_entry() {
                     Some(e) if e.key().0 <= end => {
                         let (key, event) = e.remove_entry();
--- a/crates/simulation/src/sim_http.rs
+++ b/crates/simulation/src/sim_http.rs
@@ -19,7 +19,7 @@
     pub(crate) simulation: Arc<Simulation>,
     /// Number of the calling controller.
     pub(crate) node: usize,
-    /// Address of the called service; its port tells the kind of service.
+    /// Address of the called service; its port determines the kind of service.
     pub(crate) addr: SocketAddr,
     /// True if there is a connection to the worker with this address.
     pub(crate) connected: AtomicBool,
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -94,7 +94,10 @@
                 .map(|body| body.status),
         };
         if response.status == 503 {
-            assert!(response.retry_after_s.is_some(), "503 without Retry-After");
+            assert!(
+                response.retry_after_s.is_some(),
+                "node {node}: {kind:?} request for {id} answered with 503 without Retry-After"
+            );
             state.checker.unanswered(id, kind, sent, got);
         }
         state.checker.answered(id, &answer);
