--- a/tests/model/fault_combinations.rs
+++ b/tests/model/fault_combinations.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// Makes the users of these jobs cancel when the last task ends. Repeated, since a user exists only from the
-/// submission of the job on.
+/// Makes the users of these jobs cancel when the last task ends. The setting is repeated at intervals, since a user
+/// exists only from the submission of the job on.
 fn cancel_at_last_task_end(sim: &Arc<Simulation>, ids: Vec<String>) {
     for id in &ids {
         sim.change_user(id, |u| u.cancels_at_end = true);
--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -386,7 +386,7 @@
     }
 }
 
-/// The leader reaches neither peers nor workers, but the key-value store. Controllers exchange their link views
+/// The leader reaches the key-value store, but neither peers nor workers. Controllers exchange their link views
 /// through the store, and the leader hands over.
 #[test]
 fn handover_with_link_views_exchanged_through_the_store() {
--- a/tests/model/standing_jobs.rs
+++ b/tests/model/standing_jobs.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// The faults of machines that the operators' pages name, together with leader changes.
+/// Faults that the operators' pages name (machines that fail, freeze or are partitioned, lost messages, a partitioned
+/// zone), together with leader changes.
 #[test]
 fn standing_jobs_with_machine_faults_and_leader_changes() {
     let summaries = run(2 * SEEDS, &setup(), |sim, rng| {
