--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -220,7 +220,7 @@
 
 /// Links flap with periods from under a second to more than a lease. The number of leader changes stays low.
 #[test]
-fn flapping_links_cause_few_leader_changes() {
+fn few_leader_changes_while_links_flap() {
     const SPAN: f64 = 120.0;
     for (period, max_leaders) in [(0.5, 3), (2.0, 4), (5.0, 6), (10.0, 8), (2.2 * LEASE_S, 10)] {
         let summaries = run(8, &monitored(3), |sim, rng| {
@@ -251,7 +251,7 @@
 /// The links from the workers to all controllers flap out of step, so that there is always another controller that
 /// seems to reach more workers.
 #[test]
-fn worker_links_flapping_out_of_step_cause_few_leader_changes() {
+fn few_leader_changes_while_worker_links_flap_out_of_step() {
     let summaries = run(8, &monitored(3), |sim, rng| {
         add_workload(sim, rng);
         for node in 0..3 {
@@ -416,7 +416,7 @@
 /// Two zones are partitioned while the jobs need workers of both. In each zone the controllers seem to reach more
 /// workers than those of the other one.
 #[test]
-fn zone_partition_causes_few_leader_changes() {
+fn few_leader_changes_during_a_zone_partition() {
     for nodes in [3, 5] {
         let summaries = run(8, &monitored(nodes), |sim, rng| {
             add_workload(sim, rng);
