--- a/crates/simulation/src/sim_http.rs
+++ b/crates/simulation/src/sim_http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of a controller: to the store, the cloud and workers; and of users and workers to it.
+//! HTTP calls of controllers to the store, the cloud and workers, and of users to controllers.
 
 use crate::fake_store::Watch;
 use crate::pending_call::Slot;
@@ -14,10 +14,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// HTTP client of a simulated controller for one address.
 pub(crate) struct SimHttp {
     pub(crate) simulation: Arc<Simulation>,
+    /// Number of the calling controller.
     pub(crate) node: usize,
+    /// Address of the called service; its port determines the kind of service.
     pub(crate) addr: SocketAddr,
+    /// True if there is a connection to the worker with this address.
     pub(crate) connected: AtomicBool,
 }
 
@@ -37,22 +41,23 @@
         let answer = match self.addr.port() {
             2379 if path.starts_with("/changes") => {
                 self.simulation
-                    .watch(self.node, Watch::of(path), timeout.as_micros() as Time)
+                    .watch(self.node, Watch::parse(path), timeout.as_micros() as Time)
             }
             2379 => {
                 let slot = Slot::new(&self.simulation);
-                let there = self.simulation.latency();
-                let (n, to) = (self.node, slot.clone());
-                self.simulation
-                    .after(there, move |sim| sim.store_receives(n, request, to));
+                let request_latency = self.simulation.latency();
+                let (node, to) = (self.node, slot.clone());
+                self.simulation.after(request_latency, move |sim| {
+                    sim.store_receives(node, request, to)
+                });
                 slot.wait(&self.simulation, timeout)
             }
             8443 => {
                 let slot = Slot::new(&self.simulation);
-                let there = 20 * self.simulation.latency();
+                let request_latency = 20 * self.simulation.latency();
                 let to = slot.clone();
-                self.simulation.after(there, move |sim| {
-                    let answer = sim.cloud_asked(&request);
+                self.simulation.after(request_latency, move |sim| {
+                    let answer = sim.cloud_receives(&request);
                     sim.note_call(Channel::Cloud, &request, &answer);
                     to.arrive(sim, 20 * sim.latency(), answer);
                 });
@@ -60,13 +65,13 @@
             }
             _ => return self.call_worker(&request.body, timeout),
         };
-        self.received(answer)
+        self.call_result(answer)
     }
 }
 
 impl SimHttp {
-    /// The response that arrived, or else the end of its time.
-    pub(crate) fn received(
+    /// Result of a call: the response that arrived, or the timeout.
+    pub(crate) fn call_result(
         &self,
         answer: Option<(u16, Vec<u8>)>,
     ) -> Result<ClientResponse, CallError> {
@@ -77,13 +82,14 @@
         })
     }
 
+    /// Sends direct commands to a worker. Fails with `Unreachable` if no connection can be opened before the timeout.
     pub(crate) fn call_worker(
         &self,
         body: &[u8],
         timeout: Duration,
     ) -> Result<ClientResponse, CallError> {
-        let reached = self.simulation.reaches_worker(self.node, self.addr);
-        if !reached && !self.connected.load(Ordering::Relaxed) {
+        let is_reachable = self.simulation.can_connect_to_worker(self.node, self.addr);
+        if !is_reachable && !self.connected.load(Ordering::Relaxed) {
             let until = self.simulation.now() + timeout.as_micros() as Time;
             self.simulation.scheduler.sleep_until(until);
             return Err(CallError::Unreachable {
@@ -93,11 +99,11 @@
         }
         self.connected.store(true, Ordering::Relaxed);
         let slot = Slot::new(&self.simulation);
-        let there = self.simulation.latency();
-        let (to, n, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
-        self.simulation.after(there, move |sim| {
+        let request_latency = self.simulation.latency();
+        let (to, node, addr, body) = (slot.clone(), self.node, self.addr, body.to_vec());
+        self.simulation.after(request_latency, move |sim| {
             sim.note_message(Channel::Worker, &[addr.to_string().as_bytes(), &body]);
-            sim.commands_sent(n, addr, body, move |sim, answer| {
+            sim.commands_sent(node, addr, body, move |sim, answer| {
                 to.arrive(sim, sim.latency(), answer);
             });
         });
@@ -105,45 +111,46 @@
         if answer.is_none() {
             self.connected.store(false, Ordering::Relaxed);
         }
-        self.received(answer)
+        self.call_result(answer)
     }
 }
 
 impl Simulation {
-    /// A request reaches a node: its answer, if any, comes back through `then`.
-    pub fn ask_node(
+    /// Sends a request to a node. `then` gets the response, or `None` if the node is down when the request arrives.
+    pub fn call_node(
         self: &Arc<Self>,
-        n: usize,
+        node: usize,
         request: Request,
         then: impl FnOnce(&Arc<Simulation>, Option<Response>) + Send + 'static,
     ) {
-        let there = self.latency();
-        self.after(there, move |sim| {
-            let (process, node) = {
+        let request_latency = self.latency();
+        self.after(request_latency, move |sim| {
+            let (process, controller) = {
                 let state = sim.state();
-                (state.nodes[n].process, state.nodes[n].node.clone())
+                let node = &state.nodes[node];
+                (node.process, node.controller.clone())
             };
-            let (Some(process), Some(node)) = (process, node) else {
+            let (Some(process), Some(controller)) = (process, controller) else {
                 return then(sim, None);
             };
             let seed = sim.state().rng.u64(..);
             let simulation = sim.clone();
             let work = move || {
-                let os = node.os.clone();
+                let os = controller.os.clone();
                 let asked = Request {
                     method: request.method.clone(),
                     path: request.path.clone(),
                     body: request.body.clone(),
                 };
-                let response = node
+                let response = controller
                     .handle_without_blocking(request)
-                    .unwrap_or_else(|r| node.handle(r));
+                    .unwrap_or_else(|r| controller.handle(r));
                 let late = response.valid_until.is_some_and(|t| os.now() >= t);
                 let response = if late { Response::busy(1) } else { response };
                 let answer = (response.status, response.body.clone());
                 simulation.note_call(Channel::Controller, &asked, &answer);
-                let back = simulation.latency();
-                simulation.after(back, move |sim| then(sim, Some(response)));
+                let response_latency = simulation.latency();
+                simulation.after(response_latency, move |sim| then(sim, Some(response)));
             };
             sim.scheduler.spawn(process, seed, Box::new(work));
         });
