--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Whole controllers, workers and users on simulated time, under combinations of faults (`docs/meetings.md`).
+//! Whole controllers, workers and users on simulated time, under combinations of faults (`docs/fault-combinations.md`).
 //!
 //! Each test fails if its assertions fail or if the simulation's checker finds a violated rule.
 
