--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -36,12 +36,12 @@
 /// Three processes, the stand-ins that they talk to, and a relay on each way between them.
 pub struct LoopbackCluster {
     /// The store.
-    pub state: Arc<StoreServer>,
+    pub store: Arc<StoreServer>,
     /// The cloud, with its workers.
     pub cloud: Arc<CloudServer>,
     /// The controllers' processes.
     pub nodes: Nodes,
-    to_state: Vec<Relay>,
+    to_store: Vec<Relay>,
     to_peers: BTreeMap<(usize, usize), Relay>,
     heartbeats: Vec<Relay>,
     to_workers: Arc<Mutex<WorkerRelays>>,
@@ -54,10 +54,10 @@
         deployment: &Deployment,
         spawn: impl Fn(&Path) -> Child,
     ) -> LoopbackCluster {
-        let (state, state_addr) = StoreServer::start();
+        let (store, store_addr) = StoreServer::start();
         let (cloud, cloud_addr) = CloudServer::start();
         let addresses = Addresses::free();
-        let to_state: Vec<Relay> = (0..NODES).map(|_| Relay::to(state_addr)).collect();
+        let to_store: Vec<Relay> = (0..NODES).map(|_| Relay::to(store_addr)).collect();
         let heartbeats: Vec<Relay> = addresses.public.iter().map(|a| Relay::to(*a)).collect();
         let mut to_peers = BTreeMap::new();
         for from in 0..NODES {
@@ -74,13 +74,13 @@
         let checker = Checker::new(&[("a", deployment.team_cpus)], CANCEL_S);
         *cloud.environment.history.lock().unwrap() = Some(History::new(checker));
         cloud.environment.task_ms.store(TASK_MS, Ordering::Relaxed);
-        let states = [0, 1, 2].map(|n| to_state[n].addr);
+        let stores = [0, 1, 2].map(|n| to_store[n].addr);
         let peer_address = |from, to| to_peers[&(from, to)].addr;
         let nodes = Nodes::start(
             deployment,
             addresses,
             peer_address,
-            states,
+            stores,
             cloud_addr,
             tag,
             spawn,
@@ -89,10 +89,10 @@
             nodes.poll_until(n, "GET", "/up", &[], |s, _| s == 200);
         }
         LoopbackCluster {
-            state,
+            store,
             cloud,
             nodes,
-            to_state,
+            to_store,
             to_peers,
             heartbeats,
             to_workers,
@@ -100,10 +100,10 @@
     }
 
     /// Sets what happens to what goes one way.
-    pub fn set(&self, direction: Direction, traffic: Traffic) {
+    pub fn set_traffic(&self, direction: Direction, traffic: Traffic) {
         match (direction.from, direction.to) {
-            (Endpoint::Node(n), Endpoint::Store) => self.to_state[n].set_there(traffic),
-            (Endpoint::Store, Endpoint::Node(n)) => self.to_state[n].set_back(traffic),
+            (Endpoint::Node(n), Endpoint::Store) => self.to_store[n].set_there(traffic),
+            (Endpoint::Store, Endpoint::Node(n)) => self.to_store[n].set_back(traffic),
             (Endpoint::Workers, Endpoint::Node(n)) => {
                 self.heartbeats[n].set_there(traffic);
                 let mut workers = self.to_workers.lock().unwrap();
@@ -126,7 +126,7 @@
 
     /// Commands that go straight from this controller to workers are held back for so long, in order on each
     /// connection, and delivered once. Heartbeats and their answers are not touched.
-    pub fn delay_commands(&self, node: usize, traffic: Traffic) {
+    pub fn set_command_traffic(&self, node: usize, traffic: Traffic) {
         let mut workers = self.to_workers.lock().unwrap();
         workers.there[node] = traffic;
         workers.relays[node]
@@ -135,15 +135,15 @@
     }
 
     /// The controller that the key-value store names as leader, if there is one now.
-    pub fn leader_if_any(&self) -> Option<usize> {
-        leader(&self.state)
+    pub fn current_leader(&self) -> Option<usize> {
+        leader(&self.store)
     }
 
     /// The controller that leads, as soon as one does.
-    pub fn leader(&self) -> usize {
+    pub fn wait_for_leader(&self) -> usize {
         let deadline = Instant::now() + Duration::from_secs(120);
         loop {
-            if let Some(leader) = leader(&self.state) {
+            if let Some(leader) = leader(&self.store) {
                 return leader;
             }
             assert!(Instant::now() < deadline, "nobody leads");
@@ -152,7 +152,7 @@
     }
 
     /// Does something with the checker, at the time that it counts.
-    pub fn check(&self, work: impl FnOnce(&mut Checker, u64)) {
+    pub fn with_checker(&self, work: impl FnOnce(&mut Checker, u64)) {
         let mut history = self.cloud.environment.history.lock().unwrap();
         let history = history.as_mut().unwrap();
         let now = history.now();
@@ -180,7 +180,7 @@
         };
         let sent = self.now();
         let (status, answer) = self.nodes.call(node, method, &path, body);
-        self.check(|checker, got| {
+        self.with_checker(|checker, got| {
             if matches!(status, 200 | 201 | 404 | 400 | 422) {
                 let state = answer
                     .filter(|_| matches!(status, 200 | 201))
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -51,12 +51,12 @@
     }
 
     /// Sets what they want done at once.
-    pub fn demand(&mut self, demand: Demand) {
+    pub fn set_demand(&mut self, demand: Demand) {
         self.demand = demand;
     }
 
     /// One in so many jobs is cancelled, sooner or later.
-    pub fn cancels_one_in(&mut self, one_in: u32) {
+    pub fn cancel_one_in(&mut self, one_in: u32) {
         self.cancels_one_in = one_in;
     }
 
@@ -68,7 +68,8 @@
         self.next += 1;
         let tasks = self.rng.u32(1..=self.demand.max_tasks);
         let plan = JobPlan::new(self.next, tasks, self.demand.cpus, TASK_MS as f64 / 1000.0);
-        self.cluster.check(|checker, _| checker.submitted(&plan));
+        self.cluster
+            .with_checker(|checker, _| checker.submitted(&plan));
         self.open.push(plan);
     }
 
@@ -82,7 +83,7 @@
         let node = self.node();
         let mut accepted = false;
         let mut wants_cancel = false;
-        self.cluster.check(|checker, _| {
+        self.cluster.with_checker(|checker, _| {
             accepted = checker.is_accepted(&plan.id);
             wants_cancel = number_of(&plan).is_multiple_of(self.cancels_one_in);
         });
@@ -93,33 +94,33 @@
         };
         if question == Question::Cancel {
             self.cluster
-                .check(|checker, _| checker.asks_cancel(&plan.id));
+                .with_checker(|checker, _| checker.asks_cancel(&plan.id));
         }
         let body = job(&plan.id, plan.tasks, plan.cpus);
         self.cluster.ask(&plan.id, question, node, &body);
         let cluster = self.cluster;
         self.open.retain(|plan| {
             let mut ended = false;
-            cluster.check(|checker, _| ended = checker.ended(&plan.id).is_some());
+            cluster.with_checker(|checker, _| ended = checker.ended(&plan.id).is_some());
             !ended
         });
     }
 
     /// They do what they do for so long.
-    pub fn busy_for(&mut self, span: Duration) {
+    pub fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             if self.open.len() < self.demand.open_jobs {
                 self.submit();
             }
             self.ask_one();
-            self.cluster.check(Checker::look);
+            self.cluster.with_checker(Checker::look);
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Asks until every job has ended: none may be lost.
-    pub fn until_all_ended(&mut self) {
+    pub fn run_until_all_ended(&mut self) {
         let deadline = Instant::now() + Duration::from_secs(240);
         while !self.open.is_empty() {
             self.ask_one();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -117,7 +117,7 @@
             .iter()
             .map(|node| format!("controller {node} ended by itself")),
     );
-    cluster.check(|checker, now| {
+    cluster.with_checker(|checker, now| {
         checker.look(now);
         report.broken.extend(checker.broken.iter().cloned());
         report.starts = checker.starts;
@@ -169,9 +169,9 @@
             plan.seed ^ u64::from(number),
             number * JOBS_EACH,
         );
-        users.cancels_one_in(2);
+        users.cancel_one_in(2);
         let tasks = plan.workers / (USERS * OPEN_JOBS as u32 / 2);
-        users.demand(Demand {
+        users.set_demand(Demand {
             open_jobs: OPEN_JOBS,
             max_tasks: tasks.max(3),
             cpus: if plan.workers > MANY_WORKERS {
@@ -181,10 +181,10 @@
             },
         });
         while self.began.elapsed() < calm && !self.is_stopped() {
-            users.busy_for(Duration::from_millis(200));
+            users.run_for(Duration::from_millis(200));
         }
         if !self.is_stopped() {
-            users.until_all_ended();
+            users.run_until_all_ended();
         }
     }
 
@@ -214,9 +214,9 @@
                 lasts,
             } => {
                 let direction = Direction::all_of(self.node(target), NODES)[direction];
-                self.cluster.set(direction, traffic);
+                self.cluster.set_traffic(direction, traffic);
                 self.last(lasts);
-                self.cluster.set(direction, Traffic::Passes);
+                self.cluster.set_traffic(direction, Traffic::Passes);
             }
             Fault::DelayCommands {
                 target,
@@ -224,19 +224,20 @@
                 lasts,
             } => {
                 let node = self.node(target);
-                self.cluster.delay_commands(node, Traffic::Late(late_by));
+                self.cluster
+                    .set_command_traffic(node, Traffic::Late(late_by));
                 self.last(lasts);
-                self.cluster.delay_commands(node, Traffic::Passes);
+                self.cluster.set_command_traffic(node, Traffic::Passes);
             }
             Fault::Outage { lasts } => {
                 *self
                     .cluster
-                    .state
+                    .store
                     .down
                     .lock()
                     .unwrap_or_else(|e| e.into_inner()) = true;
                 self.last(lasts);
-                self.cluster.state.end_outage();
+                self.cluster.store.end_outage();
             }
             Fault::LeadersInSeries { count, every } => {
                 for _ in 0..count {
@@ -252,7 +253,7 @@
 
     fn node(&self, target: Target) -> usize {
         match target {
-            Target::Leader => self.cluster.leader_if_any().unwrap_or(0),
+            Target::Leader => self.cluster.current_leader().unwrap_or(0),
             Target::Node(node) => node,
         }
     }
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -30,34 +30,37 @@
     };
     let cluster = LoopbackCluster::start(tag, &Deployment::default(), spawn_with_link_health);
     let mut users = Users::new(&cluster, 1, 0);
-    users.busy_for(Duration::from_millis(2500));
+    users.run_for(Duration::from_millis(2500));
     for _ in 0..rounds {
         for choice in choices {
-            let all = Direction::all_of(cluster.leader(), NODES);
+            let all = Direction::all_of(cluster.wait_for_leader(), NODES);
             let ways: Vec<Direction> = choice.iter().map(|n| all[*n]).collect();
-            let set = |traffic| ways.iter().for_each(|way| cluster.set(*way, traffic));
+            let set = |traffic| {
+                ways.iter()
+                    .for_each(|way| cluster.set_traffic(*way, traffic))
+            };
             match trouble {
                 Fault::Steady(traffic) => {
                     set(*traffic);
-                    users.busy_for(CUT);
+                    users.run_for(CUT);
                     set(Traffic::Passes);
                 }
                 Fault::Flapping(period) => {
                     let ends = Instant::now() + 2 * CUT;
                     while Instant::now() < ends {
                         set(Traffic::Blocked);
-                        users.busy_for(*period / 2);
+                        users.run_for(*period / 2);
                         set(Traffic::Passes);
-                        users.busy_for(*period / 2);
+                        users.run_for(*period / 2);
                     }
                 }
             }
             let moment = users.rng.u64(200..900);
-            users.busy_for(Duration::from_millis(moment));
+            users.run_for(Duration::from_millis(moment));
         }
     }
-    users.until_all_ended();
-    cluster.check(|checker, now| {
+    users.run_until_all_ended();
+    cluster.with_checker(|checker, now| {
         checker.look(now);
         assert_eq!(checker.broken, Vec::<String>::new());
         assert!(checker.answered_done > 5, "hardly anything ran");
--- a/tests/service/held_commands.rs
+++ b/tests/service/held_commands.rs
@@ -16,15 +16,15 @@
     let held = Duration::from_secs_f64(CANCEL_S) + BEYOND;
     let cluster = LoopbackCluster::start("held", &Deployment::default(), spawn);
     let mut users = Users::new(&cluster, 3, 0);
-    users.cancels_one_in(2);
-    users.busy_for(Duration::from_millis(2500));
-    let leader = cluster.leader();
-    cluster.delay_commands(leader, Traffic::Late(held));
-    users.busy_for(Duration::from_secs(8));
-    cluster.delay_commands(leader, Traffic::Passes);
-    users.busy_for(held + BEYOND);
-    users.until_all_ended();
-    cluster.check(|checker: &mut Checker, now| {
+    users.cancel_one_in(2);
+    users.run_for(Duration::from_millis(2500));
+    let leader = cluster.wait_for_leader();
+    cluster.set_command_traffic(leader, Traffic::Late(held));
+    users.run_for(Duration::from_secs(8));
+    cluster.set_command_traffic(leader, Traffic::Passes);
+    users.run_for(held + BEYOND);
+    users.run_until_all_ended();
+    cluster.with_checker(|checker: &mut Checker, now| {
         checker.look(now);
         assert_eq!(checker.broken, Vec::<String>::new());
         assert!(checker.answered_done > 5, "hardly anything ran");
