--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -149,17 +149,17 @@
     }
 
     pub fn job(&mut self, submission: Submission) -> &mut Self {
-        self.accepted(submission, 0)
+        self.job_with_watermark(submission, 0)
     }
 
     /// A job of which an earlier term claimed every task.
-    pub fn old_job(&mut self, submission: Submission) -> &mut Self {
+    pub fn prior_term_job(&mut self, submission: Submission) -> &mut Self {
         let start_watermark = submission.tasks as u32;
-        self.accepted(submission, start_watermark)
+        self.job_with_watermark(submission, start_watermark)
     }
 
     /// A job of which an earlier term claimed the first tasks.
-    pub fn accepted(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
+    pub fn job_with_watermark(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
         self.epoch += 1;
         let mut earlier = String::new();
         if start_watermark > 0 {
@@ -218,15 +218,15 @@
     }
 
     pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
-        self.send_to(report);
+        self.send_for_token(report);
         self
     }
 
     /// Sends a report; the token of its answer, if it is answered.
-    pub fn send_to(&mut self, report: &Heartbeat) -> Option<u64> {
+    pub fn send_for_token(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace claims and the registry are written as soon as they are due.
         self.scheduler.run_placement_pass(self.now);
-        self.record_fleet();
+        self.apply_start_writes();
         let answer = self.scheduler.heartbeat(report, self.now);
         let fencing_token = match answer {
             HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token.0),
@@ -273,7 +273,7 @@
         if self.scheduler.placement.due {
             self.scheduler.run_placement_pass(self.now);
         }
-        self.record_fleet();
+        self.apply_start_writes();
         fencing_token
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// Writes what starts wait for.
-    pub fn record_fleet(&mut self) {
+    pub fn apply_start_writes(&mut self) {
         self.raise_fencing_token();
         let mut writes = self.scheduler.pending_watermark_writes();
         writes.extend(self.scheduler.pending_registry_writes(true));
@@ -298,7 +298,7 @@
     }
 
     /// A machine on an earlier term's registry.
-    pub fn recorded(&mut self, machine: &str, since: f64) -> &mut Self {
+    pub fn prior_term_machine(&mut self, machine: &str, since: f64) -> &mut Self {
         self.epoch += 1;
         let page = self.epoch as u32;
         let entries = vec![(machine.to_string(), 0)];
@@ -313,12 +313,15 @@
     pub fn on_timer(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
         self.scheduler.on_timer(self.now);
-        self.record_fleet();
+        self.apply_start_writes();
         self
     }
 
     /// Sends one direct call, if there is one, and ends it as told.
-    pub fn direct(&mut self, result: impl FnOnce(&mut LeaderTrace) -> DirectResult) -> &mut Self {
+    pub fn direct_call(
+        &mut self,
+        result: impl FnOnce(&mut LeaderTrace) -> DirectResult,
+    ) -> &mut Self {
         let Some(call) = self.scheduler.next_direct_call(self.now) else {
             self.note("no direct call");
             return self;
@@ -341,7 +344,7 @@
     }
 
     /// One write round; `commit` says whether the key-value store took it.
-    pub fn round(&mut self, commit: bool) -> &mut Self {
+    pub fn write_round(&mut self, commit: bool) -> &mut Self {
         let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
         writes.extend(self.scheduler.pending_retirements(100, 12));
@@ -398,13 +401,13 @@
             .collect();
         self.scheduler
             .reconcile_machine_list(&list, self.now, self.now);
-        self.record_fleet();
+        self.apply_start_writes();
         let names: Vec<&str> = machines.iter().map(|(n, _)| *n).collect();
         self.note(&format!("the cloud lists [{}]", names.join(", ")));
         self
     }
 
-    pub fn rentals(&mut self) -> &mut Self {
+    pub fn plan_scale_out(&mut self) -> &mut Self {
         self.scheduler.plan_scale_out(self.now);
         let requests: Vec<String> = self
             .scheduler
@@ -459,7 +462,7 @@
 impl LeaderTrace {
     /// One heartbeat of such a worker at `seconds`. Tasks run for `run` of their job. Jobs that it
     /// starts for the first time go into `begun`.
-    pub fn serve(
+    pub fn run_worker(
         &mut self,
         worker: &mut ExecutingWorker,
         seconds: f64,
@@ -482,7 +485,7 @@
         let done = worker.over.iter().map(|t| show(&t.0, t.1, "done"));
         report.tasks = running.chain(done).collect();
         let answer = self.scheduler.heartbeat(&report, self.now);
-        self.record_fleet();
+        self.apply_start_writes();
         let HeartbeatReply::Commands { commands, .. } = answer else {
             panic!("{answer:?}");
         };
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -45,7 +45,9 @@
     trace.scheduler.config.cancellation_bound = Micros::from_secs(5);
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
+    trace
+        .on_timer(1.0)
+        .direct_call(|_| DirectResult::OutcomeUnknown);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.on_timer(7.0);
 }
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -16,7 +16,7 @@
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
     trace
         .on_timer(1.0)
-        .direct(|_| DirectResult::OutcomeUnknown)
+        .direct_call(|_| DirectResult::OutcomeUnknown)
         .bound();
     let name = trace
         .scheduler
@@ -26,19 +26,19 @@
         .map(|m| m.name.clone())
         .unwrap();
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.round(true).view("run-1");
+    trace.write_round(true).view("run-1");
     trace.at(3.0).heartbeat(&name, &[]);
     trace.at(6.0).heartbeat(&name, &[]).bound();
     trace
         .at(7.0)
         .heartbeat(&name, &["run-1/0#2.1 stopped"])
-        .round(true);
+        .write_round(true);
     trace
         .at(9.0)
         .heartbeat(&name, &["run-1/0#2.1 stopped"])
         .bound();
     let next_epoch = trace.report(&name, 2, 2, &[]);
-    trace.at(40.0).send(&next_epoch).round(true);
+    trace.at(40.0).send(&next_epoch).write_round(true);
     assert_snapshot!(trace.log);
 }
 
@@ -54,7 +54,7 @@
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.round(true);
+    trace.write_round(true);
     trace
         .at(9.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
@@ -79,7 +79,7 @@
         trace.scheduler.apply_written(&write, 7);
     }
     trace.scheduler.on_timer(at(1.01));
-    trace.bound().direct(|_| unreachable!());
+    trace.bound().direct_call(|_| unreachable!());
     let start_watermarks = trace.scheduler.pending_watermark_writes();
     for write in &start_watermarks {
         trace.note(&format!("to be written: {:?}", write.kind));
@@ -91,7 +91,7 @@
     for write in trace.scheduler.pending_watermark_writes() {
         trace.note(&format!("to be written: {:?}", write.kind));
     }
-    trace.at(1.1).direct(|trace| {
+    trace.at(1.1).direct_call(|trace| {
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
     });
     assert_snapshot!(trace.log);
@@ -105,17 +105,17 @@
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.scheduler.run_placement_pass(at(1.0));
-    trace.record_fleet();
-    trace.bound().direct(|_| DirectResult::Unreachable);
-    trace.bound().direct(|_| unreachable!());
+    trace.apply_start_writes();
+    trace.bound().direct_call(|_| DirectResult::Unreachable);
+    trace.bound().direct_call(|_| unreachable!());
     // Another machine takes them; the first is asked again once it reports.
     trace.at(2.0).heartbeat("big-east-2", &[]).bound();
     trace.at(3.0).heartbeat("big-east-1", &[]);
-    trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
     trace
         .at(3.1)
-        .direct(|_| DirectResult::NotSent)
-        .direct(|_| unreachable!());
+        .direct_call(|_| DirectResult::NotSent)
+        .direct_call(|_| unreachable!());
     assert_snapshot!(trace.log);
 }
 
@@ -137,7 +137,7 @@
         }));
     }
     trace.scheduler.run_placement_pass(at(0.0));
-    trace.record_fleet();
+    trace.apply_start_writes();
     let calls = |trace: &mut LeaderTrace, seconds: f64| {
         let calls: Vec<_> =
             std::iter::from_fn(|| trace.scheduler.next_direct_call(at(seconds))).collect();
@@ -165,9 +165,9 @@
 #[test]
 fn a_machine_that_is_back_waits_for_its_record() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-1", -60.0);
+    trace.prior_term_machine("big-east-1", -60.0);
     trace.on_timer(21.0);
-    trace.record_fleet();
+    trace.apply_start_writes();
     trace.job(submission("run-1", |s| s.tasks = 1));
     let due = |trace: &LeaderTrace| trace.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
@@ -179,7 +179,7 @@
             "reports; recorded: {recorded}, pages due: {pages}"
         ));
     }
-    trace.record_fleet();
+    trace.apply_start_writes();
     let report = trace.report("big-east-1", 5, 2, &[]);
     trace.at(25.0).send(&report).bound();
     assert_snapshot!(trace.log);
@@ -193,11 +193,13 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
+    trace
+        .on_timer(1.0)
+        .direct_call(|_| DirectResult::OutcomeUnknown);
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.at(1.1).round(true);
+    trace.at(1.1).write_round(true);
     trace.at(4.0).heartbeat("big-east-1", &[]);
-    trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
     for t in [7.0, 15.0, 23.0] {
         trace.at(t).heartbeat("big-east-1", &[]).bound();
     }
@@ -205,6 +207,6 @@
         .at(26.0)
         .heartbeat("big-east-1", &[])
         .bound()
-        .round(true);
+        .write_round(true);
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -9,9 +9,9 @@
 #[test]
 fn takeover_waits_for_recorded_machines() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-1", -100.0);
-    trace.recorded("big-east-2", -100.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.prior_term_machine("big-east-1", -100.0);
+    trace.prior_term_machine("big-east-2", -100.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     trace.at(0.2).job(submission("run-2", |s| s.tasks = 1));
     let old_token = trace.report("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
     trace.at(0.5).send(&old_token);
@@ -27,8 +27,8 @@
 #[test]
 fn takeover_waits_a_lease_for_a_silent_machine() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 1));
+    trace.prior_term_machine("big-east-9", -1.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     for t in [1.0, 10.0, 20.0, 20.4] {
         trace.at(t).heartbeat("big-east-1", &[]);
         trace.on_timer(t).bound();
@@ -41,9 +41,9 @@
 #[test]
 fn unlisted_machines_are_gone() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-9", -60.0);
-    trace.recorded("big-east-8", -2.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 1));
+    trace.prior_term_machine("big-east-9", -60.0);
+    trace.prior_term_machine("big-east-8", -2.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace.at(2.0).list(&[("big-east-1", "running")]);
     trace.at(5.0).list(&[("big-east-1", "running")]).bound();
@@ -64,9 +64,9 @@
 #[test]
 fn the_last_leader_stood_still() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-1", -60.0);
-    trace.recorded("big-east-2", -60.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.prior_term_machine("big-east-1", -60.0);
+    trace.prior_term_machine("big-east-2", -60.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
     let woken = trace.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
     trace.at(3.0).send(&woken).bound();
@@ -77,7 +77,7 @@
     trace
         .at(5.0)
         .heartbeat("big-east-2", &["run-1/0#4.9 done"])
-        .round(true)
+        .write_round(true)
         .view("run-1");
     assert_snapshot!(trace.log);
 }
@@ -88,8 +88,8 @@
 #[test]
 fn listed_late_and_gone() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-9", -60.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 1));
+    trace.prior_term_machine("big-east-9", -60.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).heartbeat("big-east-1", &[]);
     trace.at(2.0).list(&[
         ("big-east-1", "running"),
@@ -133,7 +133,7 @@
     let after = due(&trace);
     trace.at(9.0).note(&after);
     trace.bound();
-    trace.record_fleet();
+    trace.apply_start_writes();
     trace.at(12.0).heartbeat("small-east-7", &[]).bound();
     assert_snapshot!(trace.log);
 }
@@ -142,11 +142,11 @@
 #[test]
 fn takeover_holds_only_what_may_be_unseen() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-9", -50.0);
-    trace.recorded("big-east-1", -50.0);
-    trace.accepted(submission("run-1", |s| s.tasks = 4), 2);
-    trace.old_job(submission("run-2", |s| s.tasks = 1));
-    trace.accepted(submission("run-3", |s| s.tasks = 1), 0);
+    trace.prior_term_machine("big-east-9", -50.0);
+    trace.prior_term_machine("big-east-1", -50.0);
+    trace.job_with_watermark(submission("run-1", |s| s.tasks = 4), 2);
+    trace.prior_term_job(submission("run-2", |s| s.tasks = 1));
+    trace.job_with_watermark(submission("run-3", |s| s.tasks = 1), 0);
     trace
         .at(1.0)
         .heartbeat("big-east-1", &["run-1/1#4.2 running"])
@@ -173,8 +173,8 @@
 #[test]
 fn a_copy_comes_first() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-1", -100.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.prior_term_machine("big-east-1", -100.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     let copy = trace.report(
         "big-east-1",
         4,
@@ -187,7 +187,7 @@
         trace.scheduler.prior_term.unreconciled
     );
     trace.note(&unreconciled);
-    trace.round(true).view("run-1");
+    trace.write_round(true).view("run-1");
     let own = trace.report("big-east-1", 5, 2, &[]);
     trace.at(2.0).send(&own).bound();
     trace.at(2.5).send(&copy).bound();
@@ -200,8 +200,8 @@
 #[test]
 fn a_copy_of_an_earlier_session_frees_nothing() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-1", -60.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 1));
+    trace.prior_term_machine("big-east-1", -60.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     trace.at(0.5).heartbeat("big-east-2", &[]);
     let copy = trace.report("big-east-1", 4, 1, &[]);
     let next_epoch = trace.report("big-east-1", 4, 2, &[]);
@@ -218,17 +218,17 @@
 #[test]
 fn claims_that_an_earlier_version_dropped() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("big-east-9", -50.0);
+    trace.prior_term_machine("big-east-9", -50.0);
     let standing = |s: &mut Submission| {
         s.kind = JobKind::Standing;
         s.tasks = 1;
     };
     // The registry's page has revision 101, the jobs the next ones.
     trace.scheduler.prior_term.older_version_led_at = 103;
-    trace.accepted(submission("run-1", standing), 0);
-    trace.accepted(submission("run-2", standing), 0);
-    trace.accepted(submission("run-3", standing), 0);
-    trace.accepted(submission("run-4", |s| s.tasks = 1), 0);
+    trace.job_with_watermark(submission("run-1", standing), 0);
+    trace.job_with_watermark(submission("run-2", standing), 0);
+    trace.job_with_watermark(submission("run-3", standing), 0);
+    trace.job_with_watermark(submission("run-4", |s| s.tasks = 1), 0);
     trace
         .at(1.0)
         .heartbeat("big-east-1", &[])
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -42,7 +42,7 @@
         }
         trace.at(seconds);
         let report = trace.report(self.name, self.fencing_token, self.agent_epoch, tasks);
-        let answer = trace.send_to(&report);
+        let answer = trace.send_for_token(&report);
         if let Some(fencing_token) = answer
             && fencing_token >= self.fencing_token
         {
@@ -71,7 +71,9 @@
     let mut worker = Worker::new("big-east-1");
     worker.heartbeat(&mut trace, 0.0, &[]);
     trace.at(0.5).job(submission("run-1", |s| s.tasks = 1));
-    trace.on_timer(1.0).direct(|_| DirectResult::OutcomeUnknown);
+    trace
+        .on_timer(1.0)
+        .direct_call(|_| DirectResult::OutcomeUnknown);
     let held = DelayedCommand {
         fencing_token: 2,
         agent_epoch: 1,
@@ -87,13 +89,13 @@
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Raised);
     trace.at(2.0);
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.round(true);
+    trace.write_round(true);
     for second in (3..=72).step_by(3) {
         worker.heartbeat(&mut trace, f64::from(second), &[]);
         if f64::from(second) < 2.0 + CANCEL_S {
             continue;
         }
-        trace.round(true);
+        trace.write_round(true);
         assert!(!worker.executes(held), "executed {second} s late");
     }
 }
@@ -111,7 +113,7 @@
     trace.scheduler.preempt_attempt("big-east-1", key);
     trace
         .at(2.0)
-        .direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+        .direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
     for second in (3..=60).step_by(3) {
         worker.heartbeat(&mut trace, f64::from(second), &[]);
         let is_bound = trace.scheduler.machines["big-east-1"]
@@ -132,14 +134,14 @@
     let (mut trace, mut worker, held) = a_start_in_doubt(Tokens::Refused);
     trace.at(2.0);
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.round(true);
+    trace.write_round(true);
     for second in (6..=54).step_by(4) {
         let second = f64::from(second);
         worker.heartbeat(&mut trace, second, &[]);
         trace.on_timer(second);
         assert!(second < 2.0 + CANCEL_S || !worker.executes(held));
     }
-    trace.round(true);
+    trace.write_round(true);
     assert_snapshot!(trace.log);
 }
 
@@ -185,7 +187,7 @@
     }));
     trace.on_timer(1.0);
     while trace.scheduler.fencing.unconfirmed_machine_count() < MACHINES as usize {
-        trace.direct(|_| DirectResult::OutcomeUnknown);
+        trace.direct_call(|_| DirectResult::OutcomeUnknown);
     }
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.raises_tokens = true;
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -12,7 +12,7 @@
     trace.job(submission("run-1", |s| s.tasks = 1));
     let overtaken = trace.report("big-east-1", 2, 1, &[]);
     trace.at(1.0).on_timer(1.0);
-    trace.direct(|trace| {
+    trace.direct_call(|trace| {
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
     });
     trace.at(1.1).send(&overtaken).bound();
@@ -59,25 +59,25 @@
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
-    trace.direct(|_| DirectResult::OutcomeUnknown).bound();
+    trace.direct_call(|_| DirectResult::OutcomeUnknown).bound();
     // Its lease runs out, and each agent epoch looks healthy.
     trace.at(3.0).heartbeat("big-east-1", &[]);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
-    trace.direct(|_| DirectResult::OutcomeUnknown);
+    trace.direct_call(|_| DirectResult::OutcomeUnknown);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(33.0).list(&[("big-east-1", "running")]);
-    trace.send(&next).bound().rentals();
+    trace.send(&next).bound().plan_scale_out();
     trace
         .at(36.0)
-        .direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 2, &[])));
+        .direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 2, &[])));
     trace.on_timer(36.5).bound();
     // Another one never heals.
     trace.at(50.0).heartbeat("small-west-1", &[]);
     for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
         let next = trace.report("small-west-1", 2, agent_epoch, &[]);
         trace.at(t).send(&next);
-        trace.direct(|_| DirectResult::OutcomeUnknown);
+        trace.direct_call(|_| DirectResult::OutcomeUnknown);
     }
     let due = trace.scheduler.plan_scale_in(at(126.0));
     trace.note(&format!("to return: {due:?}"));
@@ -94,7 +94,7 @@
     trace.at(3.0).heartbeat("big-east-1", &[]).bound();
     trace.at(6.0).heartbeat("big-east-1", &[]).bound();
     trace.heartbeat("big-east-2", &[]).bound();
-    trace.direct(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
     trace
         .at(9.0)
         .heartbeat("big-east-2", &["run-1/0#2.2 running"]);
@@ -142,13 +142,13 @@
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     trace.at(9.9);
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.direct(|trace| {
+    trace.direct_call(|trace| {
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"]))
     });
     trace.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     trace
         .on_timer(10.5)
-        .direct(|_| DirectResult::OutcomeUnknown)
+        .direct_call(|_| DirectResult::OutcomeUnknown)
         .bound();
     trace.at(12.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(trace.log);
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -24,8 +24,8 @@
         .at(9.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-1/1#2.2 running"])
         .view("run-1");
-    trace.round(false).view("run-1");
-    trace.at(11.0).round(true).view("run-1");
+    trace.write_round(false).view("run-1");
+    trace.at(11.0).write_round(true).view("run-1");
     trace
         .at(12.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-1/1#2.2 running"]);
@@ -33,12 +33,15 @@
         .at(14.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 done"])
         .view("run-1")
-        .round(true)
+        .write_round(true)
         .view("run-1");
     trace
         .at(15.0)
         .heartbeat("big-east-1", &["run-1/1#2.2 done"]);
-    trace.at(16.0).round(true).heartbeat("big-east-1", &[]);
+    trace
+        .at(16.0)
+        .write_round(true)
+        .heartbeat("big-east-1", &[]);
     assert_snapshot!(trace.log);
 }
 
@@ -46,18 +49,18 @@
 #[test]
 fn first_settle_wins() {
     let mut trace = LeaderTrace::new(3, one_team());
-    trace.old_job(submission("run-1", |s| s.tasks = 1));
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     trace.heartbeat("big-east-1", &["run-1/0#1.7 running"]);
     trace.heartbeat("big-east-2", &["run-1/0#2.9 running"]);
     trace.at(2.0).heartbeat("big-east-2", &["run-1/0#2.9 done"]);
-    trace.at(3.0).round(true).view("run-1");
+    trace.at(3.0).write_round(true).view("run-1");
     trace
         .at(3.5)
         .heartbeat("big-east-1", &["run-1/0#1.7 running"]);
     trace
         .at(4.0)
         .heartbeat("big-east-1", &["run-1/0#1.7 error"]);
-    trace.round(true).view("run-1");
+    trace.write_round(true).view("run-1");
     assert_snapshot!(trace.log);
 }
 
@@ -75,11 +78,11 @@
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.scheduler.request_cancellation("run-2", trace.now);
     trace.view("run-1").view("run-2");
-    trace.at(6.1).round(true).view("run-1").view("run-2");
+    trace.at(6.1).write_round(true).view("run-1").view("run-2");
     trace
         .at(7.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-2/0#2.2 done"]);
-    trace.round(true).view("run-2");
+    trace.write_round(true).view("run-2");
     assert_snapshot!(trace.log);
 }
 
@@ -110,7 +113,7 @@
         longest.is_some_and(|l| l < 3072)
     ));
     let mut next = LeaderTrace::new(3, one_team());
-    next.old_job(submission("run-1", |s| s.tasks = 100_000));
+    next.prior_term_job(submission("run-1", |s| s.tasks = 100_000));
     for write in &writes {
         trace.scheduler.apply_written(write, 500);
         if let PendingWriteKind::DoneSet { chunk, text, .. } = &write.kind {
@@ -125,9 +128,9 @@
     let remaining = next.scheduler.jobs.get("run-1").unwrap().remaining();
     trace.note(&format!("the next leader finds {remaining} tasks left"));
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.round(true);
+    trace.write_round(true);
     // More chunks than a transaction holds: they go in steps, the final record last.
-    trace.round(true).round(true).view("run-1");
+    trace.write_round(true).write_round(true).view("run-1");
     assert_snapshot!(trace.log);
 }
 
@@ -141,7 +144,7 @@
         .list(&[])
         .job(first.clone())
         .job(first.clone());
-    trace.rentals();
+    trace.plan_scale_out();
     let rented = || ProvisioningResult::Granted(vec!["big-east-7".into()]);
     trace
         .scheduler
@@ -149,7 +152,7 @@
     trace
         .scheduler
         .apply_provisioning_result("r-4-1", rented(), at(2.0));
-    trace.at(2.0).rentals();
+    trace.at(2.0).plan_scale_out();
     trace.at(9.0).heartbeat("big-east-7", &[]);
     trace
         .at(10.0)
@@ -157,7 +160,7 @@
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.scheduler.request_cancellation("run-1", trace.now);
     let writes = trace.scheduler.pending_final_writes(12);
-    trace.round(true).view("run-1");
+    trace.write_round(true).view("run-1");
     // The same transaction again fails on its revision; what is read back changes nothing.
     let record = aspenreel::jobs::DoneRecord {
         state: Some(aspenreel::jobs::Outcome::Cancelled),
@@ -169,7 +172,7 @@
     trace
         .at(11.0)
         .heartbeat("big-east-7", &["run-1/0#4.1 stopped"])
-        .round(true);
+        .write_round(true);
     trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
     trace.scheduler.drop_gone_machines(&["big-east-7".into()]);
     // A repeated rental that the cloud answers late names a machine that is gone.
@@ -264,7 +267,7 @@
     let call = trace.scheduler.next_direct_call(at(1.0)).unwrap();
     trace.note("a direct call with its starts is under way");
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.at(1.1).round(true);
+    trace.at(1.1).write_round(true);
     let report = trace.report(
         "big-east-1",
         2,
@@ -274,16 +277,20 @@
     trace
         .scheduler
         .direct_call_finished(&call, DirectResult::Answered(report), at(1.2));
-    trace.at(1.2).note("answered").round(true).view("run-1");
-    trace.direct(|trace| {
+    trace
+        .at(1.2)
+        .note("answered")
+        .write_round(true)
+        .view("run-1");
+    trace.direct_call(|trace| {
         let stopped = ["run-1/0#2.1 stopped", "run-1/1#2.2 stopped"];
         DirectResult::Answered(trace.report("big-east-1", 2, 1, &stopped))
     });
-    trace.at(2.0).round(true);
+    trace.at(2.0).write_round(true);
     trace.job(submission("run-2", |s| s.tasks = 1));
     trace.scheduler.request_cancellation("run-2", trace.now);
     trace
         .note("run-2 is cancelled before anything of it starts")
-        .round(true);
+        .write_round(true);
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -7,8 +7,8 @@
 #[test]
 fn quota_counts_unseen_machines() {
     let mut trace = LeaderTrace::new(2, vec![team("a", 8.0, 12.0)]);
-    trace.recorded("big-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 2));
+    trace.prior_term_machine("big-east-9", -1.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     trace.at(0.1).job(submission("run-2", |s| s.tasks = 3));
     trace
         .at(1.0)
@@ -25,8 +25,8 @@
 #[test]
 fn limits_count_what_unseen_machines_can_hold() {
     let mut trace = LeaderTrace::new(5, vec![team("a", 40.0, 40.0)]);
-    trace.recorded("small-east-9", -1.0);
-    trace.old_job(submission("run-1", |s| s.tasks = 3));
+    trace.prior_term_machine("small-east-9", -1.0);
+    trace.prior_term_job(submission("run-1", |s| s.tasks = 3));
     trace
         .scheduler
         .apply_done_record("run-1", 0, &done_record("0-1"), 50);
@@ -53,9 +53,9 @@
 #[test]
 fn zones_count_what_unseen_machines_may_run() {
     let mut trace = LeaderTrace::new(5, one_team());
-    trace.recorded("small-west-9", -1.0);
+    trace.prior_term_machine("small-west-9", -1.0);
     for (id, one_zone) in [("run-1", true), ("run-2", false)] {
-        trace.accepted(
+        trace.job_with_watermark(
             submission(id, |s| {
                 s.tasks = 6;
                 s.same_zone = one_zone;
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -39,28 +39,28 @@
         s.cpus = decimal(8.0);
         s.zone = Some("west".into());
     }));
-    trace.rentals();
-    trace.at(1.0).list(&[]).rentals();
+    trace.plan_scale_out();
+    trace.at(1.0).list(&[]).plan_scale_out();
     trace.scheduler.apply_provisioning_result(
         "r-4-1",
         ProvisioningResult::Granted(vec!["small-west-7".into()]),
         at(2.0),
     );
-    trace.at(2.0).rentals();
+    trace.at(2.0).plan_scale_out();
     trace.at(3.0).job(submission("run-2", |s| {
         s.cpus = decimal(8.0);
         s.tasks = 1;
         s.spot = false;
     }));
-    trace.rentals();
+    trace.plan_scale_out();
     trace
         .scheduler
         .apply_provisioning_result("r-4-2", ProvisioningResult::Unknown, at(4.0));
-    trace.at(4.0).rentals();
+    trace.at(4.0).plan_scale_out();
     trace
         .scheduler
         .apply_provisioning_result("r-4-2", ProvisioningResult::NoCapacity, at(5.0));
-    trace.at(5.0).rentals();
+    trace.at(5.0).plan_scale_out();
     assert_snapshot!(trace.log);
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn returns() {
     let mut trace = LeaderTrace::new(4, one_team());
-    trace.recorded("big-east-1", -300.0);
+    trace.prior_term_machine("big-east-1", -300.0);
     trace
         .at(1.0)
         .list(&[("big-east-1", "running"), ("small-west-2", "starting")]);
@@ -99,7 +99,7 @@
     }));
     trace.on_timer(1.0).bound();
     trace.list(&[("big-east-1", "running"), ("big-east-2", "running")]);
-    trace.rentals();
+    trace.plan_scale_out();
     assert_snapshot!(trace.log);
 }
 
@@ -112,14 +112,14 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.list(&[("big-east-1", "running")]);
-    trace.rentals();
+    trace.plan_scale_out();
     trace.note("an objective: services start within 2 s");
     trace.scheduler.config.objectives = vec![Objective {
         kind: "wait".into(),
         class: Some("portal".into()),
         within_s: 2.0,
     }];
-    trace.at(3.0).rentals();
+    trace.at(3.0).plan_scale_out();
     trace.scheduler.apply_provisioning_result(
         "r-2-1",
         ProvisioningResult::Granted(Vec::new()),
@@ -134,7 +134,7 @@
         }
     };
     reports(&mut trace);
-    trace.at(6.0).rentals();
+    trace.at(6.0).plan_scale_out();
     for n in 1..4 {
         trace.job(submission(&format!("run-{n}"), |s| {
             s.kind = JobKind::Standing;
@@ -143,6 +143,6 @@
             s.tasks = 1;
         }));
     }
-    trace.on_timer(7.0).bound().rentals();
+    trace.on_timer(7.0).bound().plan_scale_out();
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -26,7 +26,7 @@
     trace
         .at(60.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 done", "run-1/1#2.2 running"])
-        .round(true)
+        .write_round(true)
         .view("run-1");
     trace
         .at(63.0)
@@ -39,7 +39,7 @@
         .heartbeat("big-east-1", &["run-1/1#2.2 running"])
         .bound();
     trace.scheduler.request_cancellation("run-1", trace.now);
-    trace.at(70.0).round(true).view("run-1");
+    trace.at(70.0).write_round(true).view("run-1");
     assert_snapshot!(trace.log);
 }
 
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -22,7 +22,7 @@
             s.deadline_s = Some(decimal(20.0));
             s.accepted_us = (t * 1e6) as u64;
         }));
-        trace.serve(worker, t, &|_| 3.0, begun);
+        trace.run_worker(worker, t, &|_| 3.0, begun);
     }
 }
 
@@ -43,7 +43,7 @@
     let mut trace = LeaderTrace::new(2, teams);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
-    trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
+    trace.run_worker(&mut worker, 0.0, &|_| 3.0, &mut begun);
     patient(&mut trace);
     crowded(&mut trace, &mut worker, &mut begun, 1..160);
     for id in ["run-1", "run-2", "run-3", "run-4", "run-5"] {
@@ -62,7 +62,7 @@
     trace.scheduler.wall_at_start = aspenreel::time::WallTime(85_000_000);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
-    trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
+    trace.run_worker(&mut worker, 0.0, &|_| 3.0, &mut begun);
     // Accepted 85 s ago by the time of day.
     let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
