--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -61,7 +61,7 @@
             program: options.program.clone(),
             seed,
             workers: options.workers,
-            length: Duration::from_secs(options.seconds),
+            fault_period: Duration::from_secs(options.seconds),
         };
         let report = run(&plan, &stop);
         played += 1;
@@ -77,7 +77,7 @@
             bad += 1;
             println!(
                 "the schedule of seed {seed}:\n{}",
-                Schedule::draw(seed, plan.length)
+                Schedule::draw(seed, plan.fault_period)
             );
         }
     }
@@ -92,13 +92,13 @@
         report.starts,
         report.done,
         report.cancelled,
-        report.broken.len(),
+        report.failures.len(),
         report.seconds
     );
-    for line in report.broken.iter().take(MAX_LINES) {
+    for line in report.failures.iter().take(MAX_LINES) {
         println!("  {line}");
     }
-    if report.broken.len() > MAX_LINES {
-        println!("  and {} more", report.broken.len() - MAX_LINES);
+    if report.failures.len() > MAX_LINES {
+        println!("  and {} more", report.failures.len() - MAX_LINES);
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -35,14 +35,14 @@
     /// Workers that the users' jobs need at most, about.
     pub workers: u32,
     /// How long faults begin.
-    pub length: Duration,
+    pub fault_period: Duration,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     /// Broken rules, violated invariants, and processes that ended by themselves.
-    pub broken: Vec<String>,
+    pub failures: Vec<String>,
     /// Machines that the cloud has made.
     pub machines: u64,
     /// Starts of tasks.
@@ -71,14 +71,14 @@
     prepare(&cluster, plan.workers);
     let children = std::mem::take(&mut cluster.nodes.children);
     let controllers = Controllers::new(launch, &cluster.nodes.configs, children);
-    let schedule = Schedule::draw(plan.seed, plan.length);
+    let schedule = Schedule::draw(plan.seed, plan.fault_period);
     let run = Run {
         cluster: &cluster,
         controllers: &controllers,
         began: Instant::now(),
         stop,
     };
-    let calm = plan.length + longest_after_effect();
+    let calm = plan.fault_period + longest_after_effect();
     std::thread::scope(|scope| {
         for number in 0..USERS {
             let run = &run;
@@ -110,16 +110,16 @@
 
 /// What the controllers' logs, their processes and the checker tell in the end.
 fn collect_results(cluster: &LoopbackCluster, controllers: &Controllers, report: &mut RunReport) {
-    report.broken.extend(controllers.violations());
+    report.failures.extend(controllers.violations());
     let ended = controllers.ended();
-    report.broken.extend(
+    report.failures.extend(
         ended
             .iter()
             .map(|node| format!("controller {node} ended by itself")),
     );
     cluster.with_checker(|checker, now| {
         checker.look(now);
-        report.broken.extend(checker.broken.iter().cloned());
+        report.failures.extend(checker.broken.iter().cloned());
         report.starts = checker.starts;
         report.done = checker.answered_done;
         report.cancelled = checker.answered_cancelled;
@@ -277,5 +277,5 @@
 
 /// True if the rules were kept and enough happened to tell.
 pub fn is_good(report: &RunReport) -> bool {
-    report.broken.is_empty() && report.done > 0 && !report.is_partial
+    report.failures.is_empty() && report.done > 0 && !report.is_partial
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -13,10 +13,10 @@
         program: PathBuf::from(env!("CARGO_BIN_EXE_aspenreel")),
         seed,
         workers: 12,
-        length: Duration::from_secs(20),
+        fault_period: Duration::from_secs(20),
     };
     let report = run(&plan, &AtomicBool::new(false));
-    assert_eq!(report.broken, Vec::<String>::new(), "seed {seed}");
+    assert_eq!(report.failures, Vec::<String>::new(), "seed {seed}");
     assert!(report.done > 0 && report.cancelled > 0, "{report:?}");
 }
 
