--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: killed, paused and started again, none left behind.
+//! The controller processes of a run, which can be killed, paused and restarted; none outlives the run.
 
 use aspenreel_simulation::stand_ins::processes::spawn_controller;
 use rustix::process::{Pid, Signal, kill_process};
@@ -8,42 +8,42 @@
 use std::process::{Child, Stdio};
 use std::sync::{Mutex, MutexGuard};
 
-/// The word by which a line of the log tells of a violated invariant.
+/// Text that marks the log line of a violated invariant.
 const VIOLATION: &str = "invariant violated";
 
-/// What the processes of a run are started with.
+/// Program and flags with which the controllers of a run are started.
 #[derive(Clone, Debug)]
 pub struct Launch {
     /// The controllers' program.
     pub program: PathBuf,
-    /// Its flags beside those that every test gives.
+    /// Flags in addition to those that every test passes.
     pub flags: &'static [&'static str],
 }
 
-/// Starts a controller whose log goes to a file.
+/// Starts a controller that appends its log to a file beside its settings file.
 pub fn spawn(launch: &Launch, config: &Path) -> Child {
-    let log = log_of(config);
+    let log = log_path(config);
     let file = OpenOptions::new().create(true).append(true).open(log);
     let stderr = file.map_or(Stdio::inherit(), Stdio::from);
     spawn_controller(&launch.program, config, launch.flags, "error", stderr)
 }
 
-/// The file that takes the log of the process with this settings file.
-fn log_of(config: &Path) -> PathBuf {
+/// Returns the path of the log of the controller with this settings file.
+fn log_path(config: &Path) -> PathBuf {
     config.with_extension("log")
 }
 
-/// The running processes. They end when this is dropped.
+/// The controller processes. They are killed when this value is dropped.
 pub struct Controllers {
     launch: Launch,
     configs: Vec<PathBuf>,
     children: Mutex<Vec<Child>>,
-    /// Which of them were not killed.
+    /// By controller: false after `kill` until `start`.
     running: Mutex<Vec<bool>>,
 }
 
 impl Controllers {
-    /// Takes over processes that run already.
+    /// Takes over processes that are already running.
     pub fn new(launch: Launch, configs: &[PathBuf], children: Vec<Child>) -> Controllers {
         Controllers {
             launch,
@@ -61,7 +61,7 @@
         self.running.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Kills a process; false if it is away already.
+    /// Kills a process; returns false if it has already been killed.
     pub fn kill(&self, node: usize) -> bool {
         let running = &mut self.running()[node];
         if !std::mem::replace(running, false) {
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Starts a killed process again.
+    /// Restarts a killed process.
     pub fn start(&self, node: usize) {
         let config = &self.configs[node];
         let child = spawn(&self.launch, config);
@@ -81,12 +81,12 @@
         self.running()[node] = true;
     }
 
-    /// Stops a process in its tracks.
+    /// Suspends a process with `SIGSTOP`.
     pub fn pause(&self, node: usize) {
         self.signal(node, Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with `SIGCONT`.
     pub fn resume(&self, node: usize) {
         self.signal(node, Signal::CONT);
     }
@@ -98,25 +98,27 @@
         }
     }
 
-    /// Processes that ended by themselves.
-    pub fn ended(&self) -> Vec<usize> {
+    /// Returns the controllers whose processes have exited. At the end of a run all killed processes have been
+    /// restarted, so these exited by themselves.
+    pub fn exited(&self) -> Vec<usize> {
         let mut children = self.children();
-        let ended = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
+        let has_exited = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
         (0..children.len())
-            .filter(|node| ended(&mut children[*node]))
+            .filter(|node| has_exited(&mut children[*node]))
             .collect()
     }
 
-    /// Lines of the logs that tell of violated invariants, and of panics.
+    /// Returns the log lines of violated invariants and of panics.
     pub fn violations(&self) -> Vec<String> {
         let mut found = Vec::new();
         for config in &self.configs {
             let mut text = String::new();
-            if let Ok(mut file) = File::open(log_of(config)) {
+            if let Ok(mut file) = File::open(log_path(config)) {
                 let _ = file.read_to_string(&mut text);
             }
-            let told = |line: &&str| line.contains(VIOLATION) || line.contains("panicked at");
-            found.extend(text.lines().filter(told).map(String::from));
+            let is_violation =
+                |line: &&str| line.contains(VIOLATION) || line.contains("panicked at");
+            found.extend(text.lines().filter(is_violation).map(String::from));
         }
         found
     }
@@ -129,7 +131,7 @@
             let _ = child.wait();
         }
         for config in &self.configs {
-            let _ = std::fs::remove_file(log_of(config));
+            let _ = std::fs::remove_file(log_path(config));
         }
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,6 +1,6 @@
-//! `aspenreel-soak`: runs soak runs and tells how each ended.
+//! `aspenreel-soak`: executes soak runs and prints the result of each.
 
-use aspenreel_soak::run::{RunPlan, RunReport, is_good, run};
+use aspenreel_soak::run::{RunPlan, RunReport, has_passed, run};
 use aspenreel_soak::schedule::Schedule;
 use clap::Parser;
 use std::path::PathBuf;
@@ -9,39 +9,39 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Runs real controllers under random faults, checked from outside. Leases and delays are scaled: a worker's
-/// lease takes 4 s, a cancellation 8 s. The workers and their machines are simulated.
+/// Runs real controllers under random faults and checks the service rules from outside. Leases and delays are
+/// scaled: a worker lease takes 4 s, a cancellation 8 s. The workers and their machines are simulated.
 #[derive(Debug, Parser)]
 struct Options {
-    /// The controllers' program
+    /// Program of the controllers
     #[arg(long, default_value = "target/release/aspenreel")]
     program: PathBuf,
-    /// The first seed; a failing run is played again with its seed and `--runs 1`
+    /// Seed of the first run; repeat a failed run with its seed and `--runs 1`
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds
+    /// Number of runs, with consecutive seeds
     #[arg(long, default_value_t = 1)]
     runs: u64,
-    /// Workers that the jobs need at most, about
+    /// Approximate maximum number of workers that the jobs need
     #[arg(long, default_value_t = 12)]
     workers: u32,
-    /// For so many seconds faults begin
+    /// Length of the period in which faults begin, in seconds
     #[arg(long, default_value_t = 40)]
     seconds: u64,
-    /// Print the faults of each seed instead of playing them
+    /// Print the faults of each seed instead of running them
     #[arg(long)]
     schedules: bool,
 }
 
-/// Broken rules that are told of one run.
+/// Maximum number of failures printed for one run.
 const MAX_LINES: usize = 12;
 
 fn main() -> ExitCode {
     let options = Options::parse();
     let stop = Arc::new(AtomicBool::new(false));
-    let asked = stop.clone();
-    if let Err(e) = ctrlc::set_handler(move || asked.store(true, Ordering::Relaxed)) {
-        eprintln!("signals are not handled: {e}");
+    let stop_requested = stop.clone();
+    if let Err(e) = ctrlc::set_handler(move || stop_requested.store(true, Ordering::Relaxed)) {
+        eprintln!("cannot install the signal handler: {e}");
     }
     if options.schedules {
         for seed in options.seed..options.seed + options.runs {
@@ -54,8 +54,8 @@
         eprintln!("--program {}: no such file", options.program.display());
         return ExitCode::from(2);
     }
-    let mut bad = 0;
-    let mut played = 0;
+    let mut failed = 0;
+    let mut executed = 0;
     for seed in options.seed..options.seed + options.runs {
         let plan = RunPlan {
             program: options.program.clone(),
@@ -64,30 +64,30 @@
             fault_period: Duration::from_secs(options.seconds),
         };
         let report = run(&plan, &stop);
-        played += 1;
-        tell(seed, &report);
+        executed += 1;
+        print_report(seed, &report);
         if report.is_partial {
             println!(
-                "stopped: {played} of {} runs played, the last in part",
+                "stopped: {executed} of {} runs executed, the last one in part",
                 options.runs
             );
             return ExitCode::from(3);
         }
-        if !is_good(&report) {
-            bad += 1;
+        if !has_passed(&report) {
+            failed += 1;
             println!(
-                "the schedule of seed {seed}:\n{}",
+                "fault schedule of seed {seed}:\n{}",
                 Schedule::draw(seed, plan.fault_period)
             );
         }
     }
-    println!("{played} runs, {bad} with something broken");
-    ExitCode::from(u8::from(bad > 0))
+    println!("{executed} runs, {failed} failed");
+    ExitCode::from(u8::from(failed > 0))
 }
 
-fn tell(seed: u64, report: &RunReport) {
+fn print_report(seed: u64, report: &RunReport) {
     println!(
-        "seed {seed}: {} machines, {} starts, {} jobs done, {} cancelled, {} broken, {} s",
+        "seed {seed}: {} machines, {} starts, {} jobs done, {} cancelled, {} failures, {} s",
         report.machines,
         report.starts,
         report.done,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
-//! One run: a cluster, its users, and the faults of a schedule.
+//! One soak run: a cluster, its users, and the faults of a schedule.
 
 use crate::controllers::{self, Controllers, Launch};
-use crate::schedule::{Fault, Planned, Schedule, Target};
+use crate::schedule::{Fault, PlannedFault, Schedule, Target};
 use aspenreel_simulation::directions::Direction;
 use aspenreel_simulation::stand_ins::deployment::{CANCEL_S, Deployment};
 use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
@@ -11,53 +11,55 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Threads of users. Each has jobs of its own.
+/// Number of user threads. Each has its own jobs.
 const USERS: u32 = 3;
-/// Jobs that one thread of users has open at once.
+/// Number of jobs that one user thread has open at the same time.
 const OPEN_JOBS: usize = 8;
-/// Numbers of jobs that one thread of users may take.
+/// Size of the range of job numbers of one user thread.
 const JOBS_EACH: u32 = 100_000;
-/// A stand-in machine's CPUs.
+/// CPUs of a machine of the stand-in cloud.
 const MACHINE_CPUS: f64 = 8.0;
-/// From so many workers on they report less often, as on a site.
+/// Above this number of workers heartbeats are less frequent, as in production.
 const MANY_WORKERS: u32 = 50;
-/// A run with many workers has them all along.
-const KEEP_MACHINES: [&str; 2] = ["--idle-ms", "3600000"];
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Flags of a run with more than `MANY_WORKERS` workers: idle machines are kept, so that the run has all its machines
+/// from start to end.
+const KEEP_MACHINES_FLAGS: [&str; 2] = ["--idle-ms", "3600000"];
+/// Interval at which a waiting thread checks whether the run has been stopped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// The controllers' program.
+    /// Program of the controllers.
     pub program: PathBuf,
-    /// Draws the faults, and what users do.
+    /// Seed of the fault schedule and of the users' requests.
     pub seed: u64,
-    /// Workers that the users' jobs need at most, about.
+    /// Approximate maximum number of workers that the jobs need.
     pub workers: u32,
-    /// How long faults begin.
+    /// Time from the start of the run in which faults begin.
     pub fault_period: Duration,
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    /// Broken rules, violated invariants, and processes that ended by themselves.
+    /// Broken service rules, violated invariants, panics, and controllers that exited by themselves.
     pub failures: Vec<String>,
-    /// Machines that the cloud has made.
+    /// Number of machines that the cloud has created.
     pub machines: u64,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub starts: u32,
-    /// Jobs that users knew to be done.
+    /// Number of jobs that users were told are done.
     pub done: u32,
-    /// Jobs that users knew to be cancelled.
+    /// Number of jobs that users were told are cancelled.
     pub cancelled: u32,
-    /// How long it took.
+    /// Duration of the run in seconds.
     pub seconds: u64,
-    /// It was told to stop before its end.
+    /// True if the run was stopped before its end.
     pub is_partial: bool,
 }
 
-/// Runs one run. Nothing of it is left when it returns.
+/// Executes one run. All its processes have ended and all its files are deleted when this returns.
 pub fn run(plan: &RunPlan, stop: &AtomicBool) -> RunReport {
     let began = Instant::now();
     let deployment = Deployment {
@@ -78,11 +80,11 @@
         began: Instant::now(),
         stop,
     };
-    let calm = plan.fault_period + longest_after_effect();
+    let users_until = plan.fault_period + longest_after_effect();
     std::thread::scope(|scope| {
         for number in 0..USERS {
             let run = &run;
-            scope.spawn(move || run.use_it(plan, number, calm));
+            scope.spawn(move || run.run_users(plan, number, users_until));
         }
         run.inject_faults(scope, &schedule);
     });
@@ -96,10 +98,10 @@
     report
 }
 
-/// How the controllers' processes are started.
+/// Returns the program and flags of the controllers.
 fn launch(plan: &RunPlan) -> Launch {
     let flags: &[&str] = match plan.workers > MANY_WORKERS {
-        true => &KEEP_MACHINES,
+        true => &KEEP_MACHINES_FLAGS,
         false => &[],
     };
     Launch {
@@ -108,14 +110,14 @@
     }
 }
 
-/// What the controllers' logs, their processes and the checker tell in the end.
+/// Adds the results of the controllers' logs, their processes and the checker to the report.
 fn collect_results(cluster: &LoopbackCluster, controllers: &Controllers, report: &mut RunReport) {
     report.failures.extend(controllers.violations());
-    let ended = controllers.ended();
+    let exited = controllers.exited();
     report.failures.extend(
-        ended
+        exited
             .iter()
-            .map(|node| format!("controller {node} ended by itself")),
+            .map(|node| format!("controller {node} exited by itself")),
     );
     cluster.with_checker(|checker, now| {
         checker.look(now);
@@ -126,11 +128,13 @@
     });
 }
 
-/// After the last fault, what it held back still arrives, and a cancellation's time passes.
+/// Time after the last fault in which messages that it held back can still arrive and a cancellation can still take
+/// effect.
 fn longest_after_effect() -> Duration {
     Duration::from_secs_f64(CANCEL_S) + Duration::from_secs(14)
 }
 
+/// Sets the cloud's limits for this number of workers, and starts the machines of a large run.
 fn prepare(cluster: &LoopbackCluster, workers: u32) {
     let cloud = &cluster.cloud;
     cloud
@@ -157,16 +161,16 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Waits until that moment of the run; false if the run is to stop.
+    /// Waits until this time of the run; returns false if the run has been stopped.
     fn wait_until(&self, at: Duration) -> bool {
         while self.began.elapsed() < at && !self.is_stopped() {
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(STOP_CHECK_INTERVAL);
         }
         !self.is_stopped()
     }
 
-    /// One thread of users: half of their jobs are cancelled.
-    fn use_it(&self, plan: &RunPlan, number: u32, calm: Duration) {
+    /// Runs one user thread, which cancels half of its jobs, until `users_until`, and then until its jobs have ended.
+    fn run_users(&self, plan: &RunPlan, number: u32, users_until: Duration) {
         let mut users = Users::new(
             self.cluster,
             plan.seed ^ u64::from(number),
@@ -183,7 +187,7 @@
                 2.0
             },
         });
-        while self.began.elapsed() < calm && !self.is_stopped() {
+        while self.began.elapsed() < users_until && !self.is_stopped() {
             users.run_for(Duration::from_millis(200));
         }
         if !self.is_stopped() {
@@ -191,23 +195,23 @@
         }
     }
 
-    /// Begins each fault in its time, beside the others.
+    /// Starts a thread for each fault of the schedule: faults may overlap.
     fn inject_faults<'s>(&'s self, scope: &'s std::thread::Scope<'s, '_>, schedule: &Schedule) {
         for planned in schedule.0.clone() {
             scope.spawn(move || self.inject_fault(planned));
         }
     }
 
-    fn inject_fault(&self, planned: Planned) {
+    fn inject_fault(&self, planned: PlannedFault) {
         if !self.wait_until(planned.at) {
             return;
         }
         match planned.fault {
-            Fault::Kill { target, back_after } => self.kill(self.node(target), back_after),
+            Fault::Kill { target, back_after } => self.kill(self.target_node(target), back_after),
             Fault::Pause { target, lasts } => {
-                let node = self.node(target);
+                let node = self.target_node(target);
                 self.controllers.pause(node);
-                self.last(lasts);
+                self.wait_for(lasts);
                 self.controllers.resume(node);
             }
             Fault::Cut {
@@ -216,9 +220,9 @@
                 traffic,
                 lasts,
             } => {
-                let direction = Direction::all_of(self.node(target), NODES)[direction];
+                let direction = Direction::all_of(self.target_node(target), NODES)[direction];
                 self.cluster.set_traffic(direction, traffic);
-                self.last(lasts);
+                self.wait_for(lasts);
                 self.cluster.set_traffic(direction, Traffic::Passes);
             }
             Fault::DelayCommands {
@@ -226,10 +230,10 @@
                 late_by,
                 lasts,
             } => {
-                let node = self.node(target);
+                let node = self.target_node(target);
                 self.cluster
                     .set_command_traffic(node, Traffic::Late(late_by));
-                self.last(lasts);
+                self.wait_for(lasts);
                 self.cluster.set_command_traffic(node, Traffic::Passes);
             }
             Fault::Outage { lasts } => {
@@ -239,7 +243,7 @@
                     .down
                     .lock()
                     .unwrap_or_else(|e| e.into_inner()) = true;
-                self.last(lasts);
+                self.wait_for(lasts);
                 self.cluster.store.end_outage();
             }
             Fault::LeadersInSeries { count, every } => {
@@ -247,35 +251,36 @@
                     if self.is_stopped() {
                         break;
                     }
-                    self.kill(self.node(Target::Leader), every / 2);
-                    self.last(every / 2);
+                    self.kill(self.target_node(Target::Leader), every / 2);
+                    self.wait_for(every / 2);
                 }
             }
         }
     }
 
-    fn node(&self, target: Target) -> usize {
+    fn target_node(&self, target: Target) -> usize {
         match target {
             Target::Leader => self.cluster.current_leader().unwrap_or(0),
             Target::Node(node) => node,
         }
     }
 
-    fn last(&self, span: Duration) {
+    fn wait_for(&self, span: Duration) {
         self.wait_until(self.began.elapsed() + span);
     }
 
-    /// A process that is away already stays away for as long as it was to.
+    /// Kills a process and restarts it after `back_after`. A process that is already down stays down for the time
+    /// that the earlier kill set.
     fn kill(&self, node: usize, back_after: Duration) {
         if !self.controllers.kill(node) {
             return;
         }
-        self.last(back_after);
+        self.wait_for(back_after);
         self.controllers.start(node);
     }
 }
 
-/// True if the rules were kept and enough happened to tell.
-pub fn is_good(report: &RunReport) -> bool {
+/// True if nothing failed, the run was not stopped, and at least one job was done: a run without any proves nothing.
+pub fn has_passed(report: &RunReport) -> bool {
     report.failures.is_empty() && report.done > 0 && !report.is_partial
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,83 +1,84 @@
-//! Which faults come when, drawn by a seed.
+//! Schedules of faults, drawn from a seed.
 
 use aspenreel_simulation::stand_ins::relay::Traffic;
 use std::fmt;
 use std::time::Duration;
 
-/// Which controller a fault hits.
+/// Controller that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// Whoever leads when it begins.
+    /// The leader at the time when the fault begins.
     Leader,
-    /// The one with this number.
+    /// The controller with this number.
     Node(usize),
 }
 
-/// What happens.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed and started again.
+    /// A controller process is killed and restarted.
     Kill {
-        /// Whose process.
+        /// Controller whose process is killed.
         target: Target,
-        /// Until it is started again.
+        /// Time until the restart.
         back_after: Duration,
     },
-    /// The process stands still.
+    /// A controller process is suspended.
     Pause {
-        /// Whose process.
+        /// Controller whose process is suspended.
         target: Target,
-        /// Until it goes on.
+        /// Time until the process is resumed.
         lasts: Duration,
     },
-    /// The directions of a controller's links, by their numbers in `Direction::all_of`.
+    /// One direction of one of a controller's links is blocked, delayed or reset.
     Cut {
-        /// Whose direction.
+        /// Controller whose link is affected.
         target: Target,
-        /// Its number.
+        /// Index of the direction in `Direction::all_of`.
         direction: usize,
-        /// What happens to what goes in this direction.
+        /// Treatment of the bytes that are sent in this direction.
         traffic: Traffic,
-        /// Until the direction is open again.
+        /// Time until the direction is open again.
         lasts: Duration,
     },
-    /// Commands straight to workers arrive late, once and unanswered; heartbeats are not touched.
+    /// Commands that a controller sends to workers' own addresses arrive late and once, and their responses are
+    /// discarded. Heartbeats are not affected.
     DelayCommands {
-        /// Whose commands.
+        /// Controller whose commands are delayed.
         target: Target,
-        /// From their sending to their arrival.
+        /// Time from the sending of a command to its arrival.
         late_by: Duration,
-        /// For how long commands that are sent come late.
+        /// Period in which commands that are sent are delayed.
         lasts: Duration,
     },
-    /// The key-value store refuses everybody.
+    /// The key-value store refuses all requests.
     Outage {
-        /// Until it answers again.
+        /// Time until the store serves requests again.
         lasts: Duration,
     },
-    /// Leaders are killed one after the other.
+    /// Successive leaders are killed.
     LeadersInSeries {
-        /// How many.
+        /// Number of leaders that are killed.
         count: u32,
-        /// From one to the next.
+        /// Time from one kill to the next; the process is restarted after half of it.
         every: Duration,
     },
 }
 
-/// A fault and when it begins, counted from the start of the run.
+/// A fault with its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
-    /// When it begins.
+pub struct PlannedFault {
+    /// Start of the fault, from the start of the run.
     pub at: Duration,
-    /// What happens then.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The faults of one run, in their order.
+/// The faults of one run, ordered by start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Schedule(pub Vec<Planned>);
+pub struct Schedule(pub Vec<PlannedFault>);
 
-/// What kinds of fault there are. Commands that are held back meet each of the others.
+/// Kinds of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Kill,
@@ -88,6 +89,8 @@
     LeadersInSeries,
 }
 
+/// Kinds from which a schedule draws. `DelayCommands` is listed three times, so that delayed commands are combined
+/// with each of the other kinds.
 const ALL_KINDS: [Kind; 8] = [
     Kind::Kill,
     Kind::Pause,
@@ -99,25 +102,26 @@
     Kind::DelayCommands,
 ];
 
-/// Directions of one controller's links in a cluster of three.
+/// Number of directions of one controller's links in a cluster of three.
 const DIRECTIONS: usize = 8;
-/// Before the first fault jobs run.
-const FIRST: Duration = Duration::from_millis(2500);
+/// Time before the first fault, in which jobs run undisturbed.
+const FIRST_FAULT_AT: Duration = Duration::from_millis(2500);
 
 impl Schedule {
-    /// Faults over so long a time, two or three at once.
+    /// Draws faults over this time. Groups of one to three faults begin every 2 s to 6 s, each fault up to 1.5 s
+    /// after the start of its group.
     pub fn draw(seed: u64, length: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let kinds = draw_kinds(&mut rng);
         let mut planned = Vec::new();
-        let mut at = FIRST;
+        let mut at = FIRST_FAULT_AT;
         while at < length {
             for _ in 0..rng.u32(1..=3) {
-                let spread = millis(&mut rng, 0, 1500);
+                let offset = millis(&mut rng, 0, 1500);
                 let kind = kinds[rng.usize(0..kinds.len())];
                 let fault = draw_fault(kind, &mut rng);
-                planned.push(Planned {
-                    at: at + spread,
+                planned.push(PlannedFault {
+                    at: at + offset,
                     fault,
                 });
             }
@@ -139,7 +143,8 @@
     }
 }
 
-/// Some of the kinds: where leaders end all the time, nothing takes long enough to be late.
+/// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: where leaders are killed all the time,
+/// nothing lasts long enough to be late.
 fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<Kind> {
     let mut kinds = ALL_KINDS.to_vec();
     rng.shuffle(&mut kinds);
