--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -1,4 +1,4 @@
-//! Controllers of the program under test.
+//! Starts controllers of the program under test.
 
 use aspenreel_simulation::stand_ins::cloud_server::CloudServer;
 pub use aspenreel_simulation::stand_ins::deployment::Deployment;
@@ -11,20 +11,20 @@
 use std::process::{Child, Stdio};
 use std::sync::Arc;
 
-/// Three processes of the newest version.
-pub fn start(state: SocketAddr, cloud: SocketAddr, tag: &str) -> Nodes {
-    start_with_stores([state; 3], cloud, tag)
+/// Starts three controllers of the program under test that share one key-value store.
+pub fn start(store: SocketAddr, cloud: SocketAddr, tag: &str) -> Nodes {
+    start_with_stores([store; 3], cloud, tag)
 }
 
-/// The same, each with its own way to the key-value store.
-pub fn start_with_stores(states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
-    start_program(program_under_test(), states, cloud, tag)
+/// Starts three controllers of the program under test, each with an address of its own for the key-value store.
+pub fn start_with_stores(stores: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
+    start_program(program_under_test(), stores, cloud, tag)
 }
 
-/// Processes of some version.
+/// Starts three controllers from `program`, which may be an earlier version.
 pub fn start_program(
     program: &Path,
-    states: [SocketAddr; 3],
+    stores: [SocketAddr; 3],
     cloud: SocketAddr,
     tag: &str,
 ) -> Nodes {
@@ -35,27 +35,29 @@
         &Deployment::default(),
         addresses,
         peer_address,
-        states,
+        stores,
         cloud,
         tag,
         |path| spawn_program(program, path),
     )
 }
 
+/// Returns the path of the program that cargo built for this test.
 pub fn program_under_test() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_aspenreel"))
 }
 
+/// Starts a controller of the program under test.
 pub fn spawn(config: &Path) -> Child {
     spawn_program(program_under_test(), config)
 }
 
-/// A process of some version.
+/// Starts a controller from `program`, which may be an earlier version.
 pub fn spawn_program(program: &Path, config: &Path) -> Child {
     spawn_controller(program, config, &[], "error", Stdio::inherit())
 }
 
-/// A process that watches its links, with delays that suit the tests' short leases.
+/// Starts a controller with `--half-cut-links`, and with delays that fit the short leases of the tests.
 pub fn spawn_with_link_health(config: &Path) -> Child {
     let flags = [
         "--half-cut-links",
@@ -77,15 +79,15 @@
     )
 }
 
-/// Three controllers that are up, and the stand-ins that they talk to.
+/// Starts the key-value store, the cloud and three controllers, and waits until the controllers are up.
 pub fn start_cluster(tag: &str) -> (Arc<StoreServer>, Arc<CloudServer>, Nodes) {
-    let (state, state_addr) = StoreServer::start();
+    let (store, store_addr) = StoreServer::start();
     let (cloud, cloud_addr) = CloudServer::start();
-    let nodes = start(state_addr, cloud_addr, tag);
-    let named = |i: usize| (format!("n-{i}"), nodes.public[i]);
+    let nodes = start(store_addr, cloud_addr, tag);
+    let named = |n: usize| (format!("n-{n}"), nodes.public[n]);
     *cloud.controllers.lock().unwrap() = (0..3).map(named).collect();
     for n in 0..3 {
         nodes.poll_until(n, "GET", "/up", &[], |s, _| s == 200);
     }
-    (state, cloud, nodes)
+    (store, cloud, nodes)
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -1,4 +1,4 @@
-//! A small world for traces: events go into a `SchedulerState`, and what it wants is written down.
+//! Traces of the scheduler: a test feeds events into a `SchedulerState`, and the trace logs its replies.
 
 use aspenreel::http::cbor::{Number, decode, encode};
 use aspenreel::jobs::LocalStatus;
@@ -16,15 +16,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
+/// A leader's scheduler, the log of its trace, and the time.
 pub struct LeaderTrace {
     pub scheduler: SchedulerState,
     pub log: String,
     pub now: Moment,
-    /// The key-value store takes higher fencing tokens.
+    /// True if the key-value store accepts higher fencing tokens.
     pub raises_tokens: bool,
+    /// Latest heartbeat sequence number of each machine.
     sequences: BTreeMap<String, u64>,
-    told: BTreeMap<String, u64>,
-    epoch: u64,
+    /// Latest fencing token that was sent to each machine.
+    sent_tokens: BTreeMap<String, u64>,
+    /// Store revision of the latest write.
+    revision: u64,
 }
 
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> TeamSettings {
@@ -37,7 +41,7 @@
     }
 }
 
-/// One team whose quota is no limit in most traces.
+/// One team with a quota that most traces don't reach.
 pub fn one_team() -> Vec<TeamSettings> {
     vec![team("a", 100.0, 100.0)]
 }
@@ -70,7 +74,8 @@
     decode(&encode(&wire)).unwrap()
 }
 
-/// `run-1/0#5 running`: a task as a worker reports it.
+/// Parses a reported task in the form `run-1/0#5.1 running`: task id, term and counter of the attempt, and status
+/// or, for an ended task, exit reason.
 fn task_report(text: &str) -> ReportedTask {
     let mut words = text.split(' ');
     let (task_id, attempt) = words.next().unwrap().split_once('#').unwrap();
@@ -81,7 +86,7 @@
         "done" => (TaskStatus::Exited, Some(ExitReason::Done)),
         "stopped" => (TaskStatus::Exited, Some(ExitReason::Stopped)),
         "error" => (TaskStatus::Exited, Some(ExitReason::Error)),
-        other => panic!("{other}"),
+        other => panic!("unknown task status {other:?}"),
     };
     let (term, counter) = attempt.split_once('.').unwrap();
     let attempt = (term.parse::<u64>().unwrap() << 32) | counter.parse::<u64>().unwrap();
@@ -94,7 +99,8 @@
     }
 }
 
-fn show(command: &WorkerCommand) -> String {
+/// Formats a command in the form `run run-1/0#5.1`.
+fn format_command(command: &WorkerCommand) -> String {
     let kind = match command.kind {
         CommandKind::Run => "run",
         CommandKind::Stop => "stop",
@@ -105,7 +111,7 @@
 }
 
 impl LeaderTrace {
-    /// A leader of `term` that took over at second 0.
+    /// Creates a leader of `term` that took over at second 0.
     pub fn new(term: u64, teams: Vec<TeamSettings>) -> LeaderTrace {
         let config = SchedulerConfig {
             teams,
@@ -132,47 +138,50 @@
             now: at(0.0),
             raises_tokens: true,
             sequences: BTreeMap::new(),
-            told: BTreeMap::new(),
-            epoch: 100,
+            sent_tokens: BTreeMap::new(),
+            revision: 100,
         }
     }
 
+    /// Logs a line with the present time in seconds.
     pub fn note(&mut self, text: &str) -> &mut Self {
         let seconds = (self.now - at(0.0)).as_secs_f64();
         writeln!(self.log, "{seconds:>6.1}  {text}").unwrap();
         self
     }
 
+    /// Sets the time.
     pub fn at(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
         self
     }
 
+    /// Accepts a job of which no task is claimed.
     pub fn job(&mut self, submission: Submission) -> &mut Self {
         self.job_with_watermark(submission, 0)
     }
 
-    /// A job of which an earlier term claimed every task.
+    /// Accepts a job of which an earlier term claimed every task.
     pub fn prior_term_job(&mut self, submission: Submission) -> &mut Self {
         let start_watermark = submission.tasks as u32;
         self.job_with_watermark(submission, start_watermark)
     }
 
-    /// A job of which an earlier term claimed the first tasks.
+    /// Accepts a job of which an earlier term claimed the tasks below `start_watermark`.
     pub fn job_with_watermark(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
-        self.epoch += 1;
+        self.revision += 1;
         let mut earlier = String::new();
         if start_watermark > 0 {
-            let page = self.epoch as u32;
+            let page = self.revision as u32;
             let entries = vec![(s.id.clone(), start_watermark)];
             self.scheduler
                 .jobs
                 .start_watermarks
-                .load(page, self.epoch, entries);
+                .load(page, self.revision, entries);
             earlier = format!(" under an earlier term, {start_watermark} claimed");
         }
         self.scheduler
-            .add_job(&s, self.epoch, self.now, WallTime(s.accepted_us));
+            .add_job(&s, self.revision, self.now, WallTime(s.accepted_us));
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
             s.id, s.tasks, s.cpus.0, s.priority
@@ -180,6 +189,7 @@
         self
     }
 
+    /// Creates the next report of a machine, without sending it.
     pub fn report(
         &mut self,
         machine: &str,
@@ -189,7 +199,7 @@
     ) -> Heartbeat {
         let sequence = self.sequences.entry(machine.to_string()).or_insert(0);
         *sequence += 1;
-        // Names tell type and zone: `small-east-1`.
+        // Machine names have the form `small-east-1`: type, zone and number.
         let parts: Vec<&str> = machine.split('-').collect();
         Heartbeat {
             machine: machine.into(),
@@ -205,42 +215,45 @@
         }
     }
 
+    /// Sends a report with the latest fencing token that the machine has received, in agent epoch 1.
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
         let fencing_token = self.known_token(machine);
         let report = self.report(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
-    /// The highest token that a worker which takes every answer has seen.
+    /// Returns the fencing token of a worker that has received every reply.
     fn known_token(&self, machine: &str) -> u64 {
-        let told = self.told.get(machine).copied();
-        told.unwrap_or(self.scheduler.term)
+        let sent = self.sent_tokens.get(machine).copied();
+        sent.unwrap_or(self.scheduler.term)
     }
 
+    /// Sends a report and logs the reply.
     pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
         self.send_for_token(report);
         self
     }
 
-    /// Sends a report; the token of its answer, if it is answered.
+    /// Sends a report and logs the reply. Returns the fencing token of the reply, if it carries one.
     pub fn send_for_token(&mut self, report: &Heartbeat) -> Option<u64> {
-        // In a trace claims and the registry are written as soon as they are due.
+        // In a trace start watermarks and the machine registry are written as soon as they are due.
         self.scheduler.run_placement_pass(self.now);
         self.apply_start_writes();
-        let answer = self.scheduler.heartbeat(report, self.now);
-        let fencing_token = match answer {
+        let reply = self.scheduler.heartbeat(report, self.now);
+        let fencing_token = match reply {
             HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token.0),
             _ => None,
         };
         if let Some(fencing_token) = fencing_token {
-            self.told.insert(report.machine.clone(), fencing_token);
+            self.sent_tokens
+                .insert(report.machine.clone(), fencing_token);
         }
-        let text = match answer {
+        let text = match reply {
             HeartbeatReply::Commands {
                 fencing_token,
                 commands,
             } => {
-                let commands: Vec<String> = commands.iter().map(show).collect();
+                let commands: Vec<String> = commands.iter().map(format_command).collect();
                 let text = match commands.is_empty() {
                     true => "nothing to do".to_string(),
                     false => commands.join(", "),
@@ -257,7 +270,10 @@
             .iter()
             .map(|t| {
                 let (term, n) = (t.attempt >> 32, t.attempt & 0xffff_ffff);
-                let end = t.exit_reason.map(|c| format!(" {c:?}")).unwrap_or_default();
+                let end = t
+                    .exit_reason
+                    .map(|reason| format!(" {reason:?}"))
+                    .unwrap_or_default();
                 format!("{}#{term}.{n} {:?}{end}", t.task_id, t.status)
             })
             .collect();
@@ -269,7 +285,8 @@
             report.fencing_token,
             tasks.join(", ")
         ));
-        // What passes too close to the last one left undone is done by the next tick.
+        // A placement pass that came too soon after the previous one left its work undone; the next timer event
+        // would do it.
         if self.scheduler.placement.due {
             self.scheduler.run_placement_pass(self.now);
         }
@@ -277,7 +294,7 @@
         fencing_token
     }
 
-    /// Puts a higher fencing token on record, if one is wanted.
+    /// Records a higher fencing token, if the scheduler asks for one and the store accepts it.
     fn raise_fencing_token(&mut self) {
         if self.raises_tokens && self.scheduler.fencing_token_raise_due(self.now) {
             let fencing_token = FencingToken(self.scheduler.fencing.newest().0 + 1);
@@ -286,30 +303,34 @@
         }
     }
 
-    /// Writes what starts wait for.
+    /// Applies the writes that must precede task starts: a higher fencing token, start watermarks and the machine
+    /// registry.
     pub fn apply_start_writes(&mut self) {
         self.raise_fencing_token();
         let mut writes = self.scheduler.pending_watermark_writes();
         writes.extend(self.scheduler.pending_registry_writes(true));
         for write in &writes {
-            self.epoch += 1;
-            self.scheduler.apply_written(write, self.epoch);
+            self.revision += 1;
+            self.scheduler.apply_written(write, self.revision);
         }
     }
 
-    /// A machine on an earlier term's registry.
-    pub fn prior_term_machine(&mut self, machine: &str, since: f64) -> &mut Self {
-        self.epoch += 1;
-        let page = self.epoch as u32;
+    /// Adds a machine from the registry of an earlier term that existed at `existed_at` seconds.
+    pub fn prior_term_machine(&mut self, machine: &str, existed_at: f64) -> &mut Self {
+        self.revision += 1;
+        let page = self.revision as u32;
         let entries = vec![(machine.to_string(), 0)];
         self.scheduler
             .provisioning
             .registry
-            .load(page, self.epoch, entries);
-        self.scheduler.prior_term.note_machine(machine, at(since));
+            .load(page, self.revision, entries);
+        self.scheduler
+            .prior_term
+            .note_machine(machine, at(existed_at));
         self
     }
 
+    /// Sets the time and runs the scheduler's timer event.
     pub fn on_timer(&mut self, seconds: f64) -> &mut Self {
         self.now = at(seconds);
         self.scheduler.on_timer(self.now);
@@ -317,7 +338,7 @@
         self
     }
 
-    /// Sends one direct call, if there is one, and ends it as told.
+    /// Takes the next direct call, if there is one, and finishes it with `result`.
     pub fn direct_call(
         &mut self,
         result: impl FnOnce(&mut LeaderTrace) -> DirectResult,
@@ -326,7 +347,7 @@
             self.note("no direct call");
             return self;
         };
-        let commands: Vec<String> = call.commands.iter().map(show).collect();
+        let commands: Vec<String> = call.commands.iter().map(format_command).collect();
         let result = result(self);
         let end = match &result {
             DirectResult::Answered(_) => "answered",
@@ -343,36 +364,41 @@
         self
     }
 
-    /// One write round; `commit` says whether the key-value store took it.
+    /// Runs one round of writes. With `commit` the store has applied them, else it gave no answer.
     pub fn write_round(&mut self, commit: bool) -> &mut Self {
         let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
         writes.extend(self.scheduler.pending_retirements(100, 12));
-        let told: Vec<String> = writes
+        let texts: Vec<String> = writes
             .iter()
             .map(|w| {
                 let id = |job| &self.scheduler.jobs.table[job].spec.id;
                 match &w.kind {
-                    PendingWriteKind::FinalState(j, o) => format!("{} is {o:?}", id(j)),
+                    PendingWriteKind::FinalState(job, outcome) => {
+                        format!("{} is {outcome:?}", id(job))
+                    }
                     PendingWriteKind::DoneSet { job, chunk, text } => {
                         format!("{} chunk {chunk} = {text:.40}", id(job))
                     }
-                    PendingWriteKind::Retirement(j, o) => format!("{} is {o:?} and retired", id(j)),
+                    PendingWriteKind::Retirement(job, outcome) => {
+                        format!("{} is {outcome:?} and retired", id(job))
+                    }
                     other => format!("{other:?}"),
                 }
             })
             .collect();
         let end = if commit { "written" } else { "no answer" };
-        self.note(&format!("round: [{}] {end}", told.join("; ")));
+        self.note(&format!("round: [{}] {end}", texts.join("; ")));
         if commit {
             for write in &writes {
-                self.epoch += 1;
-                self.scheduler.apply_written(write, self.epoch);
+                self.revision += 1;
+                self.scheduler.apply_written(write, self.revision);
             }
         }
         self
     }
 
+    /// Logs the status of a job as users are told.
     pub fn view(&mut self, id: &str) -> &mut Self {
         let text = match self.scheduler.job_status(id) {
             LocalStatus::View(v) => format!(
@@ -388,6 +414,7 @@
         self
     }
 
+    /// Reconciles the fleet with a machine list of the cloud; each machine has a name and a status.
     pub fn list(&mut self, machines: &[(&str, &str)]) -> &mut Self {
         let list: Vec<ListedMachine> = machines
             .iter()
@@ -407,6 +434,7 @@
         self
     }
 
+    /// Plans the scale-out and logs the provisioning requests.
     pub fn plan_scale_out(&mut self) -> &mut Self {
         self.scheduler.plan_scale_out(self.now);
         let requests: Vec<String> = self
@@ -414,10 +442,14 @@
             .provisioning
             .requests
             .iter()
-            .map(|h| {
+            .map(|request| {
                 format!(
                     "{} {} {} in {}, spot {}",
-                    h.name, h.count, h.type_name, h.offer.zone, h.offer.spot
+                    request.name,
+                    request.count,
+                    request.type_name,
+                    request.offer.zone,
+                    request.offer.spot
                 )
             })
             .collect();
@@ -425,7 +457,7 @@
         self
     }
 
-    /// What is bound, by machine.
+    /// Logs the tasks that hold resources, by machine.
     pub fn bound(&mut self) -> &mut Self {
         let mut lines = Vec::new();
         for m in self.scheduler.machines.values() {
@@ -442,11 +474,13 @@
     }
 }
 
-/// A worker as a long trace needs it: it does what it is told, and its tasks end by themselves.
+/// A worker for long traces: it executes the commands that it receives, and its tasks end by themselves.
 pub struct ExecutingWorker {
     pub name: String,
+    /// Task id, attempt and end in seconds of each running task.
     tasks: Vec<(String, u64, f64)>,
-    over: Vec<(String, u64)>,
+    /// Task id and attempt of each ended task that the leader hasn't cleared.
+    ended: Vec<(String, u64)>,
 }
 
 impl ExecutingWorker {
@@ -454,14 +488,15 @@
         ExecutingWorker {
             name: name.into(),
             tasks: Vec::new(),
-            over: Vec::new(),
+            ended: Vec::new(),
         }
     }
 }
 
 impl LeaderTrace {
-    /// One heartbeat of such a worker at `seconds`. Tasks run for `run` of their job. Jobs that it
-    /// starts for the first time go into `begun`.
+    /// Sends one heartbeat of the worker at `seconds`, executes the commands of the reply, and applies the pending
+    /// writes of job results. A task takes `run` seconds, given its job's id. `begun` gets the time of the first
+    /// start of each job.
     pub fn run_worker(
         &mut self,
         worker: &mut ExecutingWorker,
@@ -470,10 +505,10 @@
         begun: &mut BTreeMap<String, f64>,
     ) {
         self.now = at(seconds);
-        let (over, tasks): (Vec<_>, Vec<_>) = worker.tasks.drain(..).partition(|t| t.2 <= seconds);
+        let (ended, tasks): (Vec<_>, Vec<_>) = worker.tasks.drain(..).partition(|t| t.2 <= seconds);
         worker.tasks = tasks;
-        worker.over.extend(over.into_iter().map(|t| (t.0, t.1)));
-        let show = |task_id: &str, attempt: u64, status: &str| {
+        worker.ended.extend(ended.into_iter().map(|t| (t.0, t.1)));
+        let task = |task_id: &str, attempt: u64, status: &str| {
             task_report(&format!(
                 "{task_id}#{}.{} {status}",
                 attempt >> 32,
@@ -481,13 +516,13 @@
             ))
         };
         let mut report = self.report(&worker.name, self.scheduler.term, 1, &[]);
-        let running = worker.tasks.iter().map(|t| show(&t.0, t.1, "running"));
-        let done = worker.over.iter().map(|t| show(&t.0, t.1, "done"));
+        let running = worker.tasks.iter().map(|t| task(&t.0, t.1, "running"));
+        let done = worker.ended.iter().map(|t| task(&t.0, t.1, "done"));
         report.tasks = running.chain(done).collect();
-        let answer = self.scheduler.heartbeat(&report, self.now);
+        let reply = self.scheduler.heartbeat(&report, self.now);
         self.apply_start_writes();
-        let HeartbeatReply::Commands { commands, .. } = answer else {
-            panic!("{answer:?}");
+        let HeartbeatReply::Commands { commands, .. } = reply else {
+            panic!("heartbeat of {} got no commands: {reply:?}", worker.name);
         };
         for command in commands {
             match command.kind {
@@ -498,19 +533,19 @@
                     worker.tasks.push((command.task_id, command.attempt, ends));
                 }
                 CommandKind::Stop => worker.tasks.retain(|t| t.1 != command.attempt),
-                CommandKind::Clear => worker.over.retain(|t| t.1 != command.attempt),
+                CommandKind::Clear => worker.ended.retain(|t| t.1 != command.attempt),
             }
         }
         let mut writes = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
         writes.extend(self.scheduler.pending_retirements(100, 12));
         for write in &writes {
-            self.epoch += 1;
-            self.scheduler.apply_written(write, self.epoch);
+            self.revision += 1;
+            self.scheduler.apply_written(write, self.revision);
         }
     }
 }
 
-pub fn decimal(x: f64) -> Number {
-    Number(x)
+pub fn decimal(value: f64) -> Number {
+    Number(value)
 }
