--- a/crates/report/src/bin/fleet-size.rs
+++ b/crates/report/src/bin/fleet-size.rs
@@ -1,13 +1,13 @@
-//! Measures what fleets of several sizes cost their leader. Each size runs in a process of its own, so that
-//! memory is not reused between them.
+//! Measures the cost of a fleet of one size for its leader. Each size needs a process of its own, so that the memory
+//! of one measurement is not reused by the next.
 
 use aspenreel_report::fleet_size::measure;
 use clap::Parser;
 
-/// Measures a leader's memory, and its time for a heartbeat and a placement pass
+/// Measures the memory of a leader, and its time for a heartbeat and a placement pass
 #[derive(Debug, Parser)]
 struct Options {
-    /// How many machines there are
+    /// Number of machines in the fleet
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     machines: u32,
 }
--- a/crates/report/src/bin/half-cut-links.rs
+++ b/crates/report/src/bin/half-cut-links.rs
@@ -1,4 +1,4 @@
-//! Measures half-cut links with and without the flag, and writes the report.
+//! Measures runs with half-cut links with and without `--half-cut-links`, and writes the report.
 
 use aspenreel_report::half_cut_links::{compare, page, table};
 use clap::Parser;
@@ -8,10 +8,10 @@
 /// Runs cut and flapping links with and without --half-cut-links, and writes an HTML report
 #[derive(Debug, Parser)]
 struct Options {
-    /// Runs of each fault, with and without the flag
+    /// Number of runs of each fault, with and without the flag
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     seeds: u64,
-    /// Where the report is written
+    /// File to which the report is written
     #[arg(
         long,
         value_name = "FILE",
@@ -33,7 +33,10 @@
             ExitCode::SUCCESS
         }
         Err(e) => {
-            eprintln!("half-cut-links: {}: {e}", options.out.display());
+            eprintln!(
+                "half-cut-links: cannot write the report {}: {e}",
+                options.out.display()
+            );
             ExitCode::FAILURE
         }
     }
--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -1,4 +1,5 @@
-//! What a fleet of some size costs its leader: memory, and time for a heartbeat and a placement pass.
+//! Measures how the memory of a leader, and its time for a heartbeat and a placement pass, depend on the size of its
+//! fleet.
 
 use aspenreel::http::cbor::{decode, encode};
 use aspenreel::jobs::Submission;
@@ -14,28 +15,29 @@
 use std::time::{Duration, Instant};
 
 const TERM: u64 = 3;
-const TASKS_A_MACHINE: u32 = 4;
-const CPUS_A_TASK: f64 = 2.0;
+const TASKS_PER_MACHINE: u32 = 4;
+const CPUS_PER_TASK: f64 = 2.0;
+/// Size of a memory page, in which `/proc/self/statm` counts.
 const PAGE_BYTES: usize = 4096;
 
-/// What was measured.
+/// Cost of one fleet for its leader.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetCost {
-    /// How many machines there were.
+    /// Number of machines in the fleet.
     pub machines: u32,
-    /// Memory that the process took for them, in bytes.
+    /// Growth of the process's resident memory during the measurement, in bytes.
     pub bytes: usize,
-    /// Attempts that the first pass decided.
+    /// Number of attempts that the first placement pass created.
     pub placed: usize,
-    /// The pass that placed a task on every CPU.
+    /// Duration of the placement pass that filled all CPUs of the fleet.
     pub filling_pass: Duration,
-    /// A pass with one more job, while nothing has room.
+    /// Duration of a placement pass with one more job, when no machine has room.
     pub full_pass: Duration,
-    /// One heartbeat of a machine with its tasks, on average.
+    /// Mean duration of a heartbeat of a machine that runs its tasks.
     pub heartbeat: Duration,
 }
 
-/// Builds a leader with so many machines, all with room, and work for every CPU.
+/// Creates a leader with this many empty machines and a job that fills them, and measures its cost.
 pub fn measure(machines: u32) -> FleetCost {
     let before = resident_bytes();
     let mut scheduler = SchedulerState::new(config(machines), TERM, at(0), 1);
@@ -54,23 +56,23 @@
     for number in 0..machines {
         scheduler.heartbeat(&report(number, 2, Vec::new()), at(60));
     }
-    add_job(&mut scheduler, 1, machines * TASKS_A_MACHINE, 61);
-    let filling = Instant::now();
+    add_job(&mut scheduler, 1, machines * TASKS_PER_MACHINE, 61);
+    let filling_start = Instant::now();
     scheduler.run_placement_pass(at(61));
-    let filling_pass = filling.elapsed();
+    let filling_pass = filling_start.elapsed();
     let placed = scheduler.machines.values().map(|m| m.attempts.len()).sum();
     add_job(&mut scheduler, 2, machines, 62);
-    let full = Instant::now();
+    let full_start = Instant::now();
     scheduler.run_placement_pass(at(62));
-    let full_pass = full.elapsed();
+    let full_pass = full_start.elapsed();
     let reports: Vec<Heartbeat> = (0..machines)
-        .map(|number| report(number, 3, running(&scheduler, number)))
+        .map(|number| report(number, 3, running_tasks(&scheduler, number)))
         .collect();
-    let beating = Instant::now();
+    let heartbeats_start = Instant::now();
     for report in &reports {
         scheduler.heartbeat(report, at(63));
     }
-    let heartbeat = beating.elapsed() / machines;
+    let heartbeat = heartbeats_start.elapsed() / machines;
     drop(reports);
     FleetCost {
         machines,
@@ -86,12 +88,12 @@
     Moment(365 * 24 * 3_600_000_000 + seconds * 1_000_000)
 }
 
-fn name(number: u32) -> String {
+fn machine_name(number: u32) -> String {
     format!("n-{number:06}")
 }
 
 fn config(machines: u32) -> SchedulerConfig {
-    let cpus = f64::from(machines) * CPUS_A_TASK * f64::from(TASKS_A_MACHINE);
+    let cpus = f64::from(machines) * CPUS_PER_TASK * f64::from(TASKS_PER_MACHINE);
     SchedulerConfig {
         teams: vec![TeamSettings {
             name: "a".into(),
@@ -120,12 +122,12 @@
 fn catalog() -> Catalog {
     let wire = cbor!({"builds" => [{"label" => "small", "cpus" => 8, "ramGb" => 32, "cacheGb" => 50,
         "fetchGbPerS" => 1.0, "rate" => 0.4, "lowPrice" => 0.1, "startupS" => 20, "yards" => ["east"]}]});
-    decode(&encode(&wire.expect("it is CBOR"))).expect("it is a catalog")
+    decode(&encode(&wire.expect("valid CBOR"))).expect("valid catalog")
 }
 
 fn report(number: u32, sequence: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
     Heartbeat {
-        machine: name(number),
+        machine: machine_name(number),
         addr: "10.1.0.1:9000".into(),
         type_name: "small".into(),
         zone: "east".into(),
@@ -138,9 +140,9 @@
     }
 }
 
-/// A machine's tasks as its worker would report them.
-fn running(scheduler: &SchedulerState, number: u32) -> Vec<ReportedTask> {
-    let machine = &scheduler.machines[&name(number)];
+/// Returns the tasks of a machine as its worker would report them.
+fn running_tasks(scheduler: &SchedulerState, number: u32) -> Vec<ReportedTask> {
+    let machine = &scheduler.machines[&machine_name(number)];
     let task = |key: &aspenreel::workers::AttemptKey| ReportedTask {
         task_id: format!("run-1/{}", key.task),
         attempt: key.attempt,
@@ -152,13 +154,13 @@
 }
 
 fn add_job(scheduler: &mut SchedulerState, id: u32, tasks: u32, seconds: u64) {
-    let plan = JobPlan::new(id, tasks, CPUS_A_TASK, 60.0);
+    let plan = JobPlan::new(id, tasks, CPUS_PER_TASK, 60.0);
     let submission = Submission::decode(&body_of(&plan));
-    let submission = submission.expect("it is a submission");
+    let submission = submission.expect("valid submission");
     scheduler.add_job(&submission, 100 + u64::from(id), at(seconds), WallTime(0));
 }
 
-/// The memory that the process holds, as the system counts it; 0 where it doesn't tell.
+/// Returns the resident memory of the process in bytes, from `/proc/self/statm`; 0 if that file can't be read.
 fn resident_bytes() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok());
--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -1,8 +1,8 @@
-//! Half-cut links with and without `--half-cut-links`, on the same seeds.
+//! Compares runs with half-cut links with and without `--half-cut-links`, on the same seeds.
 
 use crate::html::{Block, Page, Table};
 use crate::plot::{GroupedBars, PlotError};
-use crate::statistics::{Distribution, figure};
+use crate::statistics::{Distribution, format_figure};
 use aspenreel_simulation::directions::{Direction, Endpoint};
 use aspenreel_simulation::run::run_seeds;
 use aspenreel_simulation::setup::Setup;
@@ -11,73 +11,76 @@
 use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
 use std::sync::Arc;
 
-/// The fault begins then, and lasts for so long.
+/// Time of a run at which the fault begins, in seconds.
 const BEGINS_S: f64 = 30.0;
+/// Duration of the fault, in seconds.
 const LASTS_S: f64 = 60.0;
+/// Number of jobs in a run.
 const JOBS: u32 = 90;
-/// A job that takes longer than this is late: alone on its machine it takes a third.
+/// A job that takes longer than this, in seconds, is late. Alone on its machine it takes a third of this.
 const LATE_S: f64 = 60.0;
 
-/// What is done to the leader's links.
+/// A fault of the leader's links.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Reports of workers don't arrive.
+    /// Heartbeats of workers don't reach the leader.
     NoReports,
-    /// Answers and commands don't reach workers.
+    /// Responses and commands don't reach the workers.
     NoAnswers,
-    /// Nothing passes between the leader and workers.
+    /// Both directions between the leader and the workers are cut.
     NoWorkers,
-    /// Neither workers nor peers; the key-value store is there.
-    OnlyState,
-    /// The key-value store refuses transactions, and nothing else.
+    /// The leader reaches neither workers nor peers, only the key-value store.
+    OnlyStore,
+    /// The key-value store refuses the leader's transactions, and nothing else.
     WritesRefused,
-    /// The key-value store is silent.
-    NoState,
-    /// Nothing passes between the leader and workers for half of each period.
+    /// Both directions between the leader and the key-value store are cut.
+    NoStore,
+    /// The links between the leader and the workers are cut for half of each period, given in seconds.
     WorkersFlap(f64),
-    /// The same between the leader and the key-value store.
-    StateFlaps(f64),
+    /// The link between the leader and the key-value store is cut for half of each period, given in seconds.
+    StoreFlaps(f64),
 }
 
-/// A fault with the name that it has in tables and plots.
-pub const TROUBLES: [(&str, Fault); 12] = [
+/// All faults, with their names in tables and plots.
+pub const FAULTS: [(&str, Fault); 12] = [
     ("no reports", Fault::NoReports),
     ("no answers", Fault::NoAnswers),
     ("no workers", Fault::NoWorkers),
-    ("only state", Fault::OnlyState),
+    ("only state", Fault::OnlyStore),
     ("no writes", Fault::WritesRefused),
-    ("no state", Fault::NoState),
+    ("no state", Fault::NoStore),
     ("workers 2 s", Fault::WorkersFlap(2.0)),
     ("workers 10 s", Fault::WorkersFlap(10.0)),
     ("workers 36 s", Fault::WorkersFlap(36.0)),
-    ("state 2 s", Fault::StateFlaps(2.0)),
-    ("state 10 s", Fault::StateFlaps(10.0)),
-    ("state 36 s", Fault::StateFlaps(36.0)),
+    ("state 2 s", Fault::StoreFlaps(2.0)),
+    ("state 10 s", Fault::StoreFlaps(10.0)),
+    ("state 36 s", Fault::StoreFlaps(36.0)),
 ];
 
 const WITHOUT: fn(usize) -> &'static [&'static str] = |_| &[];
 const WITH: fn(usize) -> &'static [&'static str] = |_| &["--half-cut-links"];
 
-/// What was measured of one fault, with or without the flag, over all seeds.
+/// Measurements of one fault, with or without the flag, over all seeds.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    /// From the cut to the last start that the first leader decided, in seconds.
+pub struct Measurements {
+    /// Time from the cut to the last task start that the first leader decided, in seconds.
     pub last_decision: Distribution,
-    /// From the cut to the first start that the next leader decided, where there was one.
+    /// Time from the cut to the first task start that the next leader decided, in seconds; only of runs with one.
     pub next_decision: Distribution,
-    /// Leaders a minute while the fault lasted.
+    /// Leaders per minute during the fault.
     pub leaders_per_minute: Distribution,
-    /// Users' questions that got no useful answer, in each run.
+    /// Number of user requests without a useful response, in each run.
     pub unanswered: Distribution,
-    /// How long jobs took.
+    /// Time from the first answered request about each job until its user was told that it is done, in seconds.
     pub turnaround: Distribution,
-    /// Jobs that took longer than `LATE_S`, in each run.
+    /// Number of jobs that took longer than `LATE_S`, in each run.
     pub late: Distribution,
-    /// Broken rules.
+    /// Broken service rules, of all runs.
     pub broken: Vec<String>,
 }
 
 impl Fault {
+    /// Cuts the links of the current leader.
     fn begin(self, sim: &Arc<Simulation>) {
         let leader = sim.leader_or_any();
         let own = Endpoint::Node(leader);
@@ -91,53 +94,60 @@
             Fault::NoReports => cut(vec![Direction::new(Endpoint::Workers, own)]),
             Fault::NoAnswers => cut(vec![Direction::new(own, Endpoint::Workers)]),
             Fault::NoWorkers => cut(both(Endpoint::Workers)),
-            Fault::NoState => cut(both(Endpoint::Store)),
+            Fault::NoStore => cut(both(Endpoint::Store)),
             Fault::WritesRefused => sim.refuse_writes(leader, LASTS_S),
             Fault::WorkersFlap(period) => {
                 sim.flap_directions(both(Endpoint::Workers), period, LASTS_S)
             }
-            Fault::StateFlaps(period) => {
+            Fault::StoreFlaps(period) => {
                 sim.flap_directions(both(Endpoint::Store), period, LASTS_S)
             }
-            Fault::OnlyState => {
-                let state = |direction: &Direction| {
+            Fault::OnlyStore => {
+                let is_store_link = |direction: &Direction| {
                     direction.from == Endpoint::Store || direction.to == Endpoint::Store
                 };
                 let directions = Direction::all_of(leader, sim.setup.nodes).into_iter();
-                cut(directions.filter(|direction| !state(direction)).collect());
+                cut(directions
+                    .filter(|direction| !is_store_link(direction))
+                    .collect());
             }
         }
     }
 }
 
-/// Runs a fault with each seed.
-pub fn measure(fault: Fault, seeds: &[u64], watching: bool) -> Measured {
+/// Runs a fault with each seed, and with `--half-cut-links` if `with_flag` is set.
+pub fn measure(fault: Fault, seeds: &[u64], with_flag: bool) -> Measurements {
     let setup = Setup {
-        flags: if watching { WITH } else { WITHOUT },
+        flags: if with_flag { WITH } else { WITHOUT },
         ..Setup::default()
     };
-    let ends = run_seeds(seeds, &setup, |sim, rng| {
-        let ids = jobs(sim, 4.0, 110.0, JOBS, |i, p| {
-            p.run_s = 4.0 + f64::from(i % 5) * 4.0
+    let summaries = run_seeds(seeds, &setup, |sim, rng| {
+        let ids = jobs(sim, 4.0, 110.0, JOBS, |number, plan| {
+            plan.run_s = 4.0 + f64::from(number % 5) * 4.0
         });
         cancel_soon(sim, &every_other(&ids, 6), 15.0, rng);
         sim.at(BEGINS_S, move |sim| fault.begin(sim));
     });
-    let mut measured = Measured::default();
-    for end in &ends {
-        measured.add(end);
+    let mut measurements = Measurements::default();
+    for summary in &summaries {
+        measurements.add(summary);
     }
-    measured
+    measurements
 }
 
-impl Measured {
-    fn add(&mut self, end: &Summary) {
+impl Measurements {
+    /// Adds the results of one run.
+    fn add(&mut self, summary: &Summary) {
         let seconds = |time: u64| time as f64 / 1e6;
         let during = |time: f64| (BEGINS_S..BEGINS_S + LASTS_S).contains(&time);
-        let first_term = end.terms.iter().rfind(|(at, _, _)| seconds(*at) < BEGINS_S);
+        let first_term = summary
+            .terms
+            .iter()
+            .rfind(|(at, _, _)| seconds(*at) < BEGINS_S);
         let first_term = first_term.map_or(0, |(_, term, _)| *term);
         let starts = || {
-            end.starts_by_term
+            summary
+                .starts_by_term
                 .0
                 .iter()
                 .map(|(at, term)| (seconds(*at), *term))
@@ -148,35 +158,35 @@
         let mut new = starts().filter(|(at, term)| *term > first_term && during(*at));
         self.next_decision
             .extend(new.next().map(|(at, _)| at - BEGINS_S));
-        let leaders = end
+        let leaders = summary
             .terms
             .iter()
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
         self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
-        self.unanswered.add(f64::from(end.unanswered_questions));
-        self.turnaround.extend(end.turnaround_s.iter().copied());
-        let late = end.turnaround_s.iter().filter(|t| **t > LATE_S).count();
+        self.unanswered.add(f64::from(summary.unanswered_questions));
+        self.turnaround.extend(summary.turnaround_s.iter().copied());
+        let late = summary.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
-        self.broken.extend(end.broken.iter().cloned());
+        self.broken.extend(summary.broken.iter().cloned());
     }
 }
 
-/// One fault, measured without and with the flag.
+/// Measurements of one fault without and with the flag.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// The fault's name.
+    /// Name of the fault.
     pub name: &'static str,
-    /// Without `--half-cut-links`.
-    pub without: Measured,
-    /// With it.
-    pub with: Measured,
+    /// Runs without `--half-cut-links`.
+    pub without: Measurements,
+    /// Runs with `--half-cut-links`.
+    pub with: Measurements,
 }
 
-/// Runs all faults.
+/// Measures all faults with this many seeds, without and with the flag.
 pub fn compare(seeds: u64) -> Vec<Comparison> {
     let seeds: Vec<u64> = (1..=seeds).collect();
-    TROUBLES
+    FAULTS
         .into_iter()
         .map(|(name, fault)| Comparison {
             name,
@@ -186,10 +196,11 @@
         .collect()
 }
 
-type Select = fn(&Measured) -> Option<f64>;
+/// Reads a figure from the measurements.
+type Select = fn(&Measurements) -> Option<f64>;
 
-/// What is shown: its title, and how it is read off.
-const SHOWN: [(&str, &str, Select); 6] = [
+/// Figures of the report: title, unit, and how the figure is read.
+const FIGURES: [(&str, &str, Select); 6] = [
     (
         "From the cut to the old leader's last decision, median",
         "seconds",
@@ -200,26 +211,28 @@
         "seconds",
         |m| m.next_decision.quantile(0.5),
     ),
-    ("Leaders a minute, mean", "leaders", |m| {
+    ("Leaders per minute, mean", "leaders", |m| {
         m.leaders_per_minute.mean()
     }),
-    ("Questions in vain a run, mean", "questions", |m| {
-        m.unanswered.mean()
-    }),
+    (
+        "Requests without a useful response per run, mean",
+        "requests",
+        |m| m.unanswered.mean(),
+    ),
     ("Time until done, 95th percentile", "seconds", |m| {
         m.turnaround.quantile(0.95)
     }),
-    ("Late jobs a run, mean", "jobs", |m| m.late.mean()),
+    ("Late jobs per run, mean", "jobs", |m| m.late.mean()),
 ];
 
-/// All figures as one table: without and with the flag in each cell.
+/// Returns all figures as one table; each cell has the figure without and the figure with the flag.
 pub fn table(comparisons: &[Comparison]) -> Table {
-    let mut header = vec!["trouble".to_string()];
-    header.extend(SHOWN.iter().map(|(title, _, _)| title.to_string()));
+    let mut header = vec!["fault".to_string()];
+    header.extend(FIGURES.iter().map(|(title, _, _)| title.to_string()));
     let rows = comparisons.iter().map(|comparison| {
-        let cells = SHOWN.iter().map(|(_, _, select)| {
+        let cells = FIGURES.iter().map(|(_, _, select)| {
             let (without, with) = (select(&comparison.without), select(&comparison.with));
-            format!("{} → {}", figure(without), figure(with))
+            format!("{} → {}", format_figure(without), format_figure(with))
         });
         [comparison.name.to_string()]
             .into_iter()
@@ -232,15 +245,15 @@
     }
 }
 
-/// The report as a page.
+/// Returns the report as a page.
 pub fn page(comparisons: &[Comparison], seeds: u64) -> Result<Page, PlotError> {
     let about = format!(
-        "Simulated machines and time, the controllers' own code; three controllers, eight machines, {JOBS} jobs; \
-         {seeds} seeds for each trouble, the same with and without --half-cut-links. The trouble begins after \
-         {BEGINS_S} s and lasts {LASTS_S} s. A job is late after {LATE_S} s. Figures: without → with the flag."
+        "Simulated machines and time, production code of the controllers; three controllers, eight machines, \
+         {JOBS} jobs; {seeds} seeds for each fault, the same with and without --half-cut-links. The fault begins \
+         after {BEGINS_S} s and lasts {LASTS_S} s. A job is late after {LATE_S} s. Figures: without → with the flag."
     );
     let mut blocks = vec![Block::Paragraph(about), Block::Table(table(comparisons))];
-    for (title, unit, select) in SHOWN {
+    for (title, unit, select) in FIGURES {
         let bars = GroupedBars {
             title: title.into(),
             y_label: unit.into(),
@@ -264,7 +277,7 @@
         .collect();
     let rules = match broken.len() {
         0 => "No rule was broken in any run.".to_string(),
-        n => format!("{n} broken rules: {broken:?}"),
+        count => format!("{count} broken rules: {broken:?}"),
     };
     blocks.push(Block::Paragraph(rules));
     Ok(Page {
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,4 +1,4 @@
-//! A page of headings, paragraphs, tables and plots, in one file.
+//! HTML pages of headings, paragraphs, tables and plots, each in a single file.
 
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 
@@ -6,19 +6,19 @@
  table{border-collapse:collapse;margin:1rem 0}th,td{padding:.25rem .7rem;border-bottom:1px solid #ccc;\
  text-align:right}th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}";
 
-/// One table.
+/// A table of texts.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The first row.
+    /// Titles of the columns.
     pub header: Vec<String>,
-    /// The others.
+    /// Cells of the rows below the header.
     pub rows: Vec<Vec<String>>,
 }
 
-/// What stands on a page, in its order.
+/// A part of a page.
 #[derive(Clone, Debug)]
 pub enum Block {
-    /// A heading.
+    /// A second-level heading.
     Heading(String),
     /// A paragraph.
     Paragraph(String),
@@ -28,17 +28,17 @@
     Plot(String),
 }
 
-/// A page.
+/// A page with a title.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// Its title.
+    /// Title, which is also the first-level heading.
     pub title: String,
-    /// What stands on it.
+    /// Parts of the page, from top to bottom.
     pub blocks: Vec<Block>,
 }
 
 impl Page {
-    /// The page as HTML.
+    /// Renders the page as a complete HTML document.
     pub fn to_html(&self) -> String {
         let page = html! {
             (DOCTYPE)
@@ -75,7 +75,7 @@
 }
 
 impl Table {
-    /// The table in the form of the documentation's pages.
+    /// Renders the table as Markdown, for the documentation.
     pub fn to_markdown(&self) -> String {
         let line = |cells: &[String]| format!("| {} |\n", cells.join(" | "));
         let rule: Vec<String> = self.header.iter().map(|_| "---".into()).collect();
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,8 +1,7 @@
-//! Measurements of aspenreel's subsystems, as HTML reports with plots.
+//! Measurements of aspenreel's subsystems, and HTML reports of them with tables and plots.
 //!
-//! Each report is made by one command, and holds everything in a single file: tables for reading, plots
-//! for seeing. The figures come from the simulation of [`aspenreel_simulation`]: *simulated* machines, simulated
-//! time, the production code of the controllers.
+//! One command makes one report, which is a single file. The figures come from the simulation in
+//! [`aspenreel_simulation`]: machines and time are simulated, the code of the controllers is the production code.
 
 pub mod fleet_size;
 pub mod half_cut_links;
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,7 +1,8 @@
-//! Grouped bars as SVG.
+//! Bar charts with grouped bars, as SVG.
 
 use plotters::prelude::*;
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (1150, 420);
 const FONT: (&str, i32) = ("sans-serif", 15);
 const COLOURS: [RGBColor; 3] = [
@@ -9,34 +10,34 @@
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
 ];
-/// Part of a group's width that its bars take together.
+/// Fraction of a group's width that its bars take together.
 const BARS_WIDTH: f64 = 0.7;
-/// Room above the highest bar.
+/// Factor from the highest bar to the top of the vertical axis.
 const HEADROOM: f64 = 1.15;
 
-/// A plot that couldn't be drawn.
+/// Failure to draw a plot.
 #[derive(Debug, thiserror::Error)]
-#[error("plot {title}: {reason}")]
+#[error("cannot draw plot {title:?}: {reason}")]
 pub struct PlotError {
     title: String,
     reason: String,
 }
 
-/// Bars side by side for each group, one for each series.
+/// A chart with a group of bars for each category, and in each group one bar for each series.
 #[derive(Clone, Debug)]
 pub struct GroupedBars {
-    /// The plot's title.
+    /// Title of the chart.
     pub title: String,
-    /// What the bars' height is.
+    /// Label of the vertical axis.
     pub y_label: String,
-    /// The series' names.
+    /// Names of the series.
     pub series: Vec<String>,
-    /// Each group's name and a value for each series, where there is one.
+    /// Name of each group, and its value for each series; `None` draws no bar.
     pub groups: Vec<(String, Vec<Option<f64>>)>,
 }
 
 impl GroupedBars {
-    /// The plot as SVG.
+    /// Renders the chart as SVG.
     pub fn to_svg(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         let drawn = self.draw(&mut svg);
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// The bars of one series.
+    /// Returns the bars of one series.
     fn bars(&self, number: usize, colour: RGBColor) -> Vec<Rectangle<(f64, f64)>> {
         let width = BARS_WIDTH / self.series.len() as f64;
         let mut bars = Vec::new();
--- a/crates/report/src/statistics.rs
+++ b/crates/report/src/statistics.rs
@@ -1,15 +1,15 @@
-//! Medians and the like, by a histogram library.
+//! Quantiles and means of many values, kept in a histogram.
 
 use hdrhistogram::Histogram;
 
-/// Three significant figures.
-const PRECISION: u8 = 3;
-/// Larger values count as this one: more than a day in seconds.
-const LARGEST: u64 = 100_000_000;
-/// Values are kept in thousandths.
+/// Number of significant decimal digits that the histogram keeps.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Largest recorded value, in thousandths; larger values count as this one. In seconds this is more than a day.
+const MAX_VALUE: u64 = 100_000_000;
+/// Factor from a value to its recorded form: values are kept in thousandths.
 const SCALE: f64 = 1000.0;
 
-/// Many values of one kind.
+/// Distribution of the values of one quantity.
 #[derive(Clone, Debug)]
 pub struct Distribution {
     histogram: Histogram<u64>,
@@ -17,42 +17,42 @@
 
 impl Default for Distribution {
     fn default() -> Self {
-        let histogram = Histogram::new_with_max(LARGEST, PRECISION);
+        let histogram = Histogram::new_with_max(MAX_VALUE, SIGNIFICANT_DIGITS);
         Distribution {
-            // Only a precision above five, or a largest value below two, is refused.
-            histogram: histogram.expect("the bounds are valid"),
+            // `new_with_max` refuses only a precision above 5 or a largest value below 2.
+            histogram: histogram.expect("valid histogram bounds"),
         }
     }
 }
 
 impl Distribution {
-    /// Adds a value; negative ones count as 0.
+    /// Adds a value; a negative value counts as 0.
     pub fn add(&mut self, value: f64) {
         self.histogram
             .saturating_record((value * SCALE).max(0.0) as u64);
     }
 
-    /// How many values there are.
+    /// Returns the number of values.
     pub fn len(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// True if there are none.
+    /// True if there are no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The value that this share of all doesn't exceed; None if there are none.
-    pub fn quantile(&self, share: f64) -> Option<f64> {
-        (!self.is_empty()).then(|| self.histogram.value_at_quantile(share) as f64 / SCALE)
+    /// Returns the value that this fraction of all values doesn't exceed; `None` if there are no values.
+    pub fn quantile(&self, fraction: f64) -> Option<f64> {
+        (!self.is_empty()).then(|| self.histogram.value_at_quantile(fraction) as f64 / SCALE)
     }
 
-    /// The largest value.
+    /// Returns the largest value; `None` if there are no values.
     pub fn max(&self) -> Option<f64> {
         (!self.is_empty()).then(|| self.histogram.max() as f64 / SCALE)
     }
 
-    /// The mean.
+    /// Returns the mean; `None` if there are no values.
     pub fn mean(&self) -> Option<f64> {
         (!self.is_empty()).then(|| self.histogram.mean() / SCALE)
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// A figure with one digit behind the point, or a dash.
-pub fn figure(value: Option<f64>) -> String {
+/// Formats a figure with one decimal place; `None` becomes a dash.
+pub fn format_figure(value: Option<f64>) -> String {
     value.map_or("-".into(), |value| format!("{value:.1}"))
 }
--- a/crates/report/tests/pages.rs
+++ b/crates/report/tests/pages.rs
@@ -1,12 +1,12 @@
-//! What reports are made of.
+//! The parts of reports: pages, tables, plots, statistics, and one short measurement.
 
 use aspenreel_report::half_cut_links::{Fault, measure};
 use aspenreel_report::html::{Block, Page, Table};
 use aspenreel_report::plot::GroupedBars;
-use aspenreel_report::statistics::{Distribution, figure};
+use aspenreel_report::statistics::{Distribution, format_figure};
 
 #[test]
-fn pages_escape_what_they_show() {
+fn pages_escape_titles_paragraphs_and_cells() {
     let page = Page {
         title: "a < b".into(),
         blocks: vec![
@@ -18,17 +18,17 @@
         ],
     };
     let html = page.to_html();
-    for wanted in [
+    for expected in [
         "<h1>a &lt; b</h1>",
         "<p>&lt;script&gt;</p>",
         "<th>x &amp; y</th>",
     ] {
-        assert!(html.contains(wanted), "{wanted} isn't in {html}");
+        assert!(html.contains(expected), "{expected} isn't in {html}");
     }
 }
 
 #[test]
-fn tables_are_written_for_the_documentation_too() {
+fn tables_render_as_markdown() {
     let table = Table {
         header: vec!["cut".into(), "s".into()],
         rows: vec![vec!["no reports".into(), "9.1".into()]],
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_bar_for_each_value_that_there_is() {
+fn grouped_bars_have_one_bar_for_each_present_value() {
     let bars = GroupedBars {
         title: "bars".into(),
         y_label: "s".into(),
@@ -52,28 +52,35 @@
     };
     let svg = bars.to_svg().unwrap();
     let filled = |colour: &str| svg.matches(&format!("fill=\"{colour}\"")).count();
-    // Each series also has its square in the legend.
+    // The legend has one more square for each series.
     assert_eq!((filled("#888888"), filled("#1F77B4")), (3, 2), "{svg}");
     assert!(svg.contains(">\na\n<") || svg.contains(">a<"), "{svg}");
 }
 
 #[test]
-fn quantiles() {
+fn distributions_have_quantiles_and_a_mean() {
     let mut values = Distribution::default();
-    assert_eq!(figure(values.quantile(0.5)), "-");
+    assert_eq!(format_figure(values.quantile(0.5)), "-");
     values.extend([1.0, 2.0, 3.0, 4.0, 100.0]);
-    let read = [0.5, 0.95].map(|share| figure(values.quantile(share)));
-    assert_eq!(read, ["3.0", "100.0"]);
-    assert_eq!((figure(values.mean()), values.len()), ("22.0".into(), 5));
+    let quantiles = [0.5, 0.95].map(|fraction| format_figure(values.quantile(fraction)));
+    assert_eq!(quantiles, ["3.0", "100.0"]);
+    assert_eq!(
+        (format_figure(values.mean()), values.len()),
+        ("22.0".into(), 5)
+    );
 }
 
-/// A short measurement: with the flag the lead changes, nothing breaks, and the next leader decides.
+/// With `--half-cut-links` a leader that receives no heartbeats is replaced once, no service rule is broken, and the
+/// next leader starts tasks after the last start of the old one.
 #[test]
-fn a_leader_without_reports_is_measured() {
-    let measured = measure(Fault::NoReports, &[1], true);
-    assert_eq!(measured.broken, Vec::<String>::new());
-    assert_eq!(measured.leaders_per_minute.mean(), Some(1.0));
-    let (last, next) = (measured.last_decision.max(), measured.next_decision.max());
+fn leader_without_heartbeats_is_replaced() {
+    let measurements = measure(Fault::NoReports, &[1], true);
+    assert_eq!(measurements.broken, Vec::<String>::new());
+    assert_eq!(measurements.leaders_per_minute.mean(), Some(1.0));
+    let (last, next) = (
+        measurements.last_decision.max(),
+        measurements.next_decision.max(),
+    );
     assert!(last < next, "{last:?} {next:?}");
-    assert!(!measured.turnaround.is_empty());
+    assert!(!measurements.turnaround.is_empty());
 }
