--- a/tests/code_shape/exceptions.rs
+++ b/tests/code_shape/exceptions.rs
@@ -1,112 +1,124 @@
-//! The kept list of what doesn't hold the limits yet, and its comparison with the tree as it is.
+//! The list of exceptions from the limits, and its comparison with the measured tree.
 
-use crate::imports::{self, Circle};
+use crate::imports::{self, Cycle};
 use crate::source::Source;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
+/// Maximum number of lines of a file in a `src` folder.
 pub const MAX_PRODUCT_LINES: usize = 400;
+/// Maximum number of lines of a test file.
 pub const MAX_TEST_LINES: usize = 800;
+/// Maximum number of lines of a function.
 pub const MAX_FUNCTION_LINES: usize = 60;
 
-/// What goes beyond a limit, and how far.
+/// Figure of each file or function that exceeds a limit.
 pub type Excesses = BTreeMap<String, usize>;
 
+/// Everything that exceeds a limit, whether measured or allowed.
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exceptions {
-    /// Lines of files that are too long.
+    /// Number of lines of each file that is too long.
     pub files: Excesses,
-    /// Lines of functions that are too long.
+    /// Number of lines of each function that is too long.
     pub functions: Excesses,
-    /// Identifiers with withdrawn words, by file.
-    pub withdrawn: Excesses,
-    pub circles: BTreeSet<Circle>,
+    /// Number of identifiers with wire words outside wire modules, by file.
+    pub wire_words: Excesses,
+    /// Import cycles among files.
+    pub cycles: BTreeSet<Cycle>,
 }
 
 impl Exceptions {
-    /// What the tree needs today.
+    /// Measures which exceptions the sources need.
     pub fn measure(sources: &[Source]) -> Exceptions {
         let mut measured = Exceptions::default();
         for source in sources {
-            let most = if source.is_product() {
+            let max_lines = if source.is_product() {
                 MAX_PRODUCT_LINES
             } else {
                 MAX_TEST_LINES
             };
-            if source.lines > most {
+            if source.lines > max_lines {
                 measured.files.insert(source.path.clone(), source.lines);
             }
-            let long = source
+            let long_functions = source
                 .functions
                 .iter()
                 .filter(|(_, lines)| **lines > MAX_FUNCTION_LINES);
             measured
                 .functions
-                .extend(long.map(|(name, lines)| (name.clone(), *lines)));
-            if source.withdrawn > 0 {
+                .extend(long_functions.map(|(name, lines)| (name.clone(), *lines)));
+            if source.wire_words > 0 {
                 measured
-                    .withdrawn
-                    .insert(source.path.clone(), source.withdrawn);
+                    .wire_words
+                    .insert(source.path.clone(), source.wire_words);
             }
         }
-        measured.circles = imports::circles(&imports::edges(sources));
+        measured.cycles = imports::cycles(&imports::edges(sources));
         measured
     }
 
-    /// In the form of the data file.
+    /// Formats the exceptions as in `exceptions.toml`.
     pub fn to_toml(&self) -> String {
-        let mut text = String::from("circles = [\n");
-        for circle in &self.circles {
-            let files: String = circle.iter().map(|f| format!("    {f:?},\n")).collect();
+        let mut text = String::from("cycles = [\n");
+        for cycle in &self.cycles {
+            let files: String = cycle.iter().map(|f| format!("    {f:?},\n")).collect();
             let _ = writeln!(text, "  [\n{files}  ],");
         }
         text.push_str("]\n");
-        let tables = [&self.files, &self.functions, &self.withdrawn];
-        for (title, table) in ["files", "functions", "withdrawn"].iter().zip(tables) {
+        let tables = [&self.files, &self.functions, &self.wire_words];
+        for (title, table) in ["files", "functions", "wire_words"].iter().zip(tables) {
             let _ = writeln!(text, "\n[{title}]");
-            for (name, amount) in table {
-                let _ = writeln!(text, "{name:?} = {amount}");
+            for (name, figure) in table {
+                let _ = writeln!(text, "{name:?} = {figure}");
             }
         }
         text
     }
 }
 
-/// A line for each excess that isn't allowed, and for each exception that is wider than needed.
-pub fn compare_amounts(measured: &Excesses, kept: &Excesses) -> Vec<String> {
-    let names: BTreeSet<&String> = measured.keys().chain(kept.keys()).collect();
-    let amount = |table: &Excesses, name: &String| table.get(name).copied().unwrap_or(0);
+/// Returns a line for each excess that isn't allowed, and for each exception that allows more than is needed.
+pub fn compare_excesses(measured: &Excesses, exceptions: &Excesses) -> Vec<String> {
+    let names: BTreeSet<&String> = measured.keys().chain(exceptions.keys()).collect();
+    let figure = |table: &Excesses, name: &String| table.get(name).copied().unwrap_or(0);
     let problem = |name: &String| {
-        let (is, allowed) = (amount(measured, name), amount(kept, name));
-        match is.cmp(&allowed) {
-            std::cmp::Ordering::Greater if allowed == 0 => Some(format!("{name}: {is}, new")),
-            std::cmp::Ordering::Greater => Some(format!("{name}: {is}, at most {allowed} allowed")),
-            std::cmp::Ordering::Less if is == 0 => Some(format!(
-                "{name}: within the limit, take its exception ({allowed}) out"
-            )),
-            std::cmp::Ordering::Less => {
-                Some(format!("{name}: {is}, lower its exception from {allowed}"))
+        let (actual, allowed) = (figure(measured, name), figure(exceptions, name));
+        match actual.cmp(&allowed) {
+            std::cmp::Ordering::Greater if allowed == 0 => Some(format!("{name}: {actual}, new")),
+            std::cmp::Ordering::Greater => {
+                Some(format!("{name}: {actual}, at most {allowed} allowed"))
             }
+            std::cmp::Ordering::Less if actual == 0 => Some(format!(
+                "{name}: within the limit, remove its exception ({allowed})"
+            )),
+            std::cmp::Ordering::Less => Some(format!(
+                "{name}: {actual}, lower its exception from {allowed}"
+            )),
             std::cmp::Ordering::Equal => None,
         }
     };
     names.into_iter().filter_map(problem).collect()
 }
 
-/// The same for circles.
-pub fn compare_circles(measured: &BTreeSet<Circle>, kept: &BTreeSet<Circle>) -> Vec<String> {
-    let known = |files: &Circle| kept.iter().any(|k| files.is_subset(k));
-    let grown = measured.difference(kept).map(|files| match known(files) {
-        true => format!("smaller circle, shrink its exception to it: {files:?}"),
-        false => {
-            let nearest = kept.iter().max_by_key(|k| k.intersection(files).count());
-            let joined: Vec<_> = nearest.map_or(vec![], |k| files.difference(k).collect());
-            format!("new or larger circle: {files:?}; beyond the nearest kept one: {joined:?}")
-        }
-    });
-    let gone = kept.difference(measured);
-    let gone = gone.map(|files| format!("no such circle any more: {files:?}"));
-    grown.chain(gone).collect()
+/// Returns a line for each cycle that isn't allowed, and for each exception that allows more than is needed.
+pub fn compare_cycles(measured: &BTreeSet<Cycle>, allowed: &BTreeSet<Cycle>) -> Vec<String> {
+    let is_part = |files: &Cycle| allowed.iter().any(|other| files.is_subset(other));
+    let changed = measured
+        .difference(allowed)
+        .map(|files| match is_part(files) {
+            true => format!("smaller cycle, shrink its exception to this: {files:?}"),
+            false => {
+                let nearest = allowed
+                    .iter()
+                    .max_by_key(|other| other.intersection(files).count());
+                let added: Vec<_> =
+                    nearest.map_or(vec![], |other| files.difference(other).collect());
+                format!("new or larger cycle: {files:?}; not in the nearest allowed one: {added:?}")
+            }
+        });
+    let removed = allowed.difference(measured);
+    let removed = removed.map(|files| format!("no such cycle any more: {files:?}"));
+    changed.chain(removed).collect()
 }
--- a/tests/code_shape/made_up.rs
+++ b/tests/code_shape/made_up.rs
@@ -1,6 +1,6 @@
-//! The checks themselves, on made-up sources that violate them.
+//! Tests of the checks on made-up sources, which violate the limits or only just keep them.
 
-use crate::exceptions::{Exceptions, compare_amounts, compare_circles};
+use crate::exceptions::{Exceptions, compare_cycles, compare_excesses};
 use crate::source::Source;
 
 fn measure(files: &[(&str, &str)]) -> Exceptions {
@@ -11,15 +11,15 @@
     Exceptions::measure(&sources)
 }
 
-fn circle(files: &[&str]) -> crate::imports::Circle {
+fn cycle(files: &[&str]) -> crate::imports::Cycle {
     files.iter().map(|f| f.to_string()).collect()
 }
 
 const LIB: (&str, &str) = ("src/lib.rs", "pub mod a; pub mod b;");
 
-/// Through a re-export, a renamed module, a macro's arguments and a glob.
+/// A cycle is found through a re-export, a renamed module, the arguments of a macro and a glob import.
 #[test]
-fn circles_are_found() {
+fn cycles_are_found() {
     let a = (
         "src/a/mod.rs",
         "mod inner; pub use inner::Inner; pub struct Own;",
@@ -32,9 +32,9 @@
         "src/b.rs",
         "use crate::a::Inner; pub fn ready() -> bool { true }",
     );
-    let expected = [circle(&["src/a/inner.rs", "src/b.rs"])];
+    let expected = [cycle(&["src/a/inner.rs", "src/b.rs"])];
     assert_eq!(
-        Vec::from_iter(measure(&[LIB, a, inner, plain]).circles),
+        Vec::from_iter(measure(&[LIB, a, inner, plain]).cycles),
         expected
     );
     let renamed = (
@@ -42,19 +42,19 @@
         "use crate::a as other; pub fn ready(_: other::Inner) {}",
     );
     assert_eq!(
-        Vec::from_iter(measure(&[LIB, a, inner, renamed]).circles),
+        Vec::from_iter(measure(&[LIB, a, inner, renamed]).cycles),
         expected
     );
     let glob = ("src/b.rs", "use super::a::*; pub fn ready(_: Inner) {}");
     assert_eq!(
-        Vec::from_iter(measure(&[LIB, a, inner, glob]).circles),
+        Vec::from_iter(measure(&[LIB, a, inner, glob]).cycles),
         expected
     );
 }
 
-/// A re-export, a module declaration and the same names in another package make none.
+/// A re-export, a module declaration and the same names in another package form no cycle.
 #[test]
-fn what_is_no_circle() {
+fn reexports_and_other_packages_form_no_cycle() {
     let a = (
         "src/a/mod.rs",
         "mod inner; pub use inner::Inner; pub struct Own;",
@@ -68,29 +68,29 @@
         "crates/c/src/a/inner.rs",
         "use crate::b::Both; pub struct Inner(Both);",
     );
-    assert!(measure(&[LIB, a, inner, b, elsewhere]).circles.is_empty());
+    assert!(measure(&[LIB, a, inner, b, elsewhere]).cycles.is_empty());
     let used = (
         "src/a/mod.rs",
         "mod inner; pub use inner::Inner; pub struct Own(Inner);",
     );
-    let expected = [circle(&["src/a/inner.rs", "src/a/mod.rs"])];
+    let expected = [cycle(&["src/a/inner.rs", "src/a/mod.rs"])];
     assert_eq!(
-        Vec::from_iter(measure(&[LIB, used, inner]).circles),
+        Vec::from_iter(measure(&[LIB, used, inner]).cycles),
         expected
     );
 }
 
 #[test]
-fn circles_may_only_shrink() {
-    let (small, large) = (circle(&["a", "b"]), circle(&["a", "b", "c"]));
-    let compare = |measured: &crate::imports::Circle, kept: &crate::imports::Circle| {
-        compare_circles(&[measured.clone()].into(), &[kept.clone()].into())
+fn cycles_that_differ_from_their_exceptions_are_reported() {
+    let (small, large) = (cycle(&["a", "b"]), cycle(&["a", "b", "c"]));
+    let compare = |measured: &crate::imports::Cycle, allowed: &crate::imports::Cycle| {
+        compare_cycles(&[measured.clone()].into(), &[allowed.clone()].into())
     };
     assert!(compare(&small, &small).is_empty());
-    assert!(compare(&large, &small)[0].contains("larger circle"));
+    assert!(compare(&large, &small)[0].contains("larger cycle"));
     assert!(compare(&small, &large)[0].contains("shrink"));
-    assert!(compare_circles(&[].into(), &[small.clone()].into())[0].contains("no such circle"));
-    assert!(compare_circles(&[small].into(), &[].into())[0].contains("new"));
+    assert!(compare_cycles(&[].into(), &[small.clone()].into())[0].contains("no such cycle"));
+    assert!(compare_cycles(&[small].into(), &[].into())[0].contains("new"));
 }
 
 #[test]
@@ -118,9 +118,10 @@
     assert_eq!(measured.functions["src/a.rs::free"], 61);
 }
 
-/// As parts of identifiers in any case, also inside macros; not in comments, strings or longer words.
+/// Wire words are found as parts of identifiers in any case, also in macros, but not in comments, strings, attributes
+/// or longer words.
 #[test]
-fn withdrawn_words_are_found() {
+fn wire_words_are_found() {
     let bad = "struct YardKey { last_tick: u64 }\nfn f(k: u64) { println!(\"{}\", k + baton()); }";
     let good = "//! The host.\n#[serde(rename = \"host\")]\nstruct Ticket { hostname: u64 }";
     let wire = "struct Report { yard: String, pieces: u64 }";
@@ -132,27 +133,27 @@
         ("src/inline.rs", inline),
     ]);
     assert_eq!(
-        Vec::from_iter(measured.withdrawn),
+        Vec::from_iter(measured.wire_words),
         [("src/bad.rs".to_string(), 3)]
     );
 }
 
 #[test]
-fn amounts_may_only_shrink() {
-    let table = |amount: usize| [("a".to_string(), amount)].into();
-    assert!(compare_amounts(&table(5), &table(5)).is_empty());
-    assert!(compare_amounts(&table(6), &table(5))[0].contains("at most 5"));
-    assert!(compare_amounts(&table(4), &table(5))[0].contains("lower"));
-    assert!(compare_amounts(&table(4), &[].into())[0].contains("new"));
-    assert!(compare_amounts(&[].into(), &table(4))[0].contains("take its exception"));
+fn excesses_that_differ_from_their_exceptions_are_reported() {
+    let table = |figure: usize| [("a".to_string(), figure)].into();
+    assert!(compare_excesses(&table(5), &table(5)).is_empty());
+    assert!(compare_excesses(&table(6), &table(5))[0].contains("at most 5"));
+    assert!(compare_excesses(&table(4), &table(5))[0].contains("lower"));
+    assert!(compare_excesses(&table(4), &[].into())[0].contains("new"));
+    assert!(compare_excesses(&[].into(), &table(4))[0].contains("remove its exception"));
 }
 
-/// What is measured is printed in the form in which exceptions are kept.
+/// The measured tree is written in the format of `exceptions.toml`.
 #[test]
-fn exceptions_survive_their_form() {
+fn exceptions_are_equal_after_a_toml_round_trip() {
     let text = "// A line.\n".repeat(450) + "struct Yard;";
     let mut measured = measure(&[("src/a.rs", &text)]);
-    measured.circles = [circle(&["src/a.rs", "src/b.rs"])].into();
+    measured.cycles = [cycle(&["src/a.rs", "src/b.rs"])].into();
     assert_eq!(
         toml::from_str::<Exceptions>(&measured.to_toml()).unwrap(),
         measured
--- a/tests/code_shape/source.rs
+++ b/tests/code_shape/source.rs
@@ -1,4 +1,4 @@
-//! Reads Rust files and measures them: lines, functions, withdrawn words, modules with their paths.
+//! Parses Rust files and measures them: lines, functions, wire words, and modules with their paths.
 
 use proc_macro2::{Ident, TokenStream, TokenTree};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,48 +6,54 @@
 use syn::spanned::Spanned;
 use syn::visit::{self, Visit};
 
-/// Words of the operators' wire that only wire modules may use as (part of) an identifier, in the
-/// singular; a plural `s` is understood. `docs/glossary.md` has the terms to use instead.
-pub const WITHDRAWN: [&str; 22] = [
+/// Words of the operators' wire format that only wire modules may use as an identifier or a part of one. They are in
+/// the singular; their plural with `s` counts as well. `docs/glossary.md` has the terms to use instead.
+pub const WIRE_WORDS: [&str; 22] = [
     "baton", "bookmark", "build", "cause", "crew", "foreman", "guess", "hire", "host", "knock",
     "lane", "loaner", "piece", "rank", "recall", "session", "shape", "shift", "stash", "tick",
     "verb", "yard",
 ];
 
-/// The names of modules from the root of a crate to one of them.
+/// Names of the modules from the root of a crate to a module.
 pub type ModulePath = Vec<String>;
 
-/// A `use` of one name.
+/// One imported name of a `use`.
 pub struct Import {
-    /// The name that it binds; `None` for `*`.
+    /// Name that the import binds; `None` for `*`.
     pub name: Option<String>,
+    /// Path of the imported item.
     pub path: Vec<String>,
-    /// Any `pub` form: passes the name on.
+    /// True for any form of `pub use`.
     pub reexport: bool,
 }
 
-/// A module, whether a file of its own or written inside one.
+/// A module, in a file of its own or inline.
 #[derive(Default)]
 pub struct Module {
+    /// File that contains the module.
     pub file: String,
+    /// Names of the items that the module defines.
     pub items: BTreeSet<String>,
     pub imports: Vec<Import>,
-    /// Every path that stands in its code.
+    /// All paths in the module's code.
     pub paths: BTreeSet<Vec<String>>,
 }
 
 /// A measured file.
 pub struct Source {
+    /// Path of the file below the root of the repository.
     pub path: String,
     pub lines: usize,
-    /// Lines of each function, from its `fn` line (attributes and comments before it aside).
+    /// Number of lines of each function from its `fn` line to its closing brace, without the attributes and comments
+    /// before it.
     pub functions: BTreeMap<String, usize>,
-    /// Identifiers outside wire modules with a withdrawn word.
-    pub withdrawn: usize,
+    /// Number of identifiers outside wire modules that contain a wire word.
+    pub wire_words: usize,
     pub modules: BTreeMap<ModulePath, Module>,
 }
 
 impl Source {
+    /// Parses and measures a file; panics if it is not valid Rust.
     pub fn new(path: &str, text: &str) -> Source {
         let parsed = syn::parse_file(text).unwrap_or_else(|e| panic!("{path}: {e}"));
         let module = module_path(path);
@@ -58,7 +64,7 @@
                 path: path.to_string(),
                 lines: text.lines().count(),
                 functions: BTreeMap::new(),
-                withdrawn: 0,
+                wire_words: 0,
                 modules: BTreeMap::new(),
             },
         };
@@ -67,35 +73,36 @@
         reader.source
     }
 
-    /// True for files of `src` folders; the others are tests.
+    /// True for files in `src` folders; all others are tests.
     pub fn is_product(&self) -> bool {
         self.path.starts_with("src/") || self.path.contains("/src/")
     }
 
-    /// The folder of the crate: empty for the daemon.
+    /// Returns the folder of the file's crate, which is empty for the daemon.
     pub fn package(&self) -> &str {
         let source_folder = self.path.rfind("src/").unwrap_or(0);
         &self.path[..source_folder]
     }
 }
 
-/// All Rust files of the daemon, the packages and the tests.
+/// Reads all Rust files of the daemon, the packages and the tests.
 pub fn read_tree(root: &Path) -> Vec<Source> {
     let mut files = BTreeSet::new();
     for top in ["src", "crates", "tests"] {
         list_files(&root.join(top), &mut files);
     }
     let read = |file: &std::path::PathBuf| {
-        let text = std::fs::read_to_string(file).expect("a source file");
-        let path = file.strip_prefix(root).expect("a path below the root");
+        let text = std::fs::read_to_string(file).expect("read a source file");
+        let path = file.strip_prefix(root).expect("path below the root");
         Source::new(&path.to_string_lossy(), &text)
     };
     files.iter().map(read).collect()
 }
 
+/// Adds all Rust files below a folder.
 fn list_files(folder: &Path, files: &mut BTreeSet<std::path::PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a source folder") {
-        let path = entry.expect("an entry of a source folder").path();
+    for entry in std::fs::read_dir(folder).expect("list a source folder") {
+        let path = entry.expect("read an entry of a source folder").path();
         if path.is_dir() {
             list_files(&path, files);
         } else if path.extension().is_some_and(|e| e == "rs") {
@@ -104,7 +111,7 @@
     }
 }
 
-/// `src/a/b.rs` is `[a, b]`; `src/a/mod.rs` is `[a]`; `src/lib.rs` is the root.
+/// Returns the module path of a file: `src/a/b.rs` is `[a, b]`, `src/a/mod.rs` is `[a]`, `src/lib.rs` is the root.
 fn module_path(path: &str) -> ModulePath {
     let inside = path.rsplit_once("src/").map_or(path, |(_, inside)| inside);
     let stem = inside.strip_suffix(".rs").unwrap_or(inside);
@@ -115,7 +122,7 @@
     parts
 }
 
-/// The words of an identifier in snake case or camel case, in lower case.
+/// Splits an identifier in snake case or camel case into its words, in lower case.
 fn words(identifier: &str) -> Vec<String> {
     let mut split = String::new();
     let mut after_lower = false;
@@ -129,19 +136,22 @@
     split.split('_').map(String::from).collect()
 }
 
-fn is_withdrawn(word: &str) -> bool {
+fn is_wire_word(word: &str) -> bool {
     let singular = word.strip_suffix('s').unwrap_or(word);
-    WITHDRAWN.contains(&word) || WITHDRAWN.contains(&singular)
+    WIRE_WORDS.contains(&word) || WIRE_WORDS.contains(&singular)
 }
 
+/// Visitor that fills a `Source` from a parsed file.
 struct Reader {
     source: Source,
+    /// The module that is being visited.
     module: ModulePath,
-    /// The type whose `impl` or the trait whose body is being read.
+    /// Prefix of function names: the type whose `impl` or the trait whose body is being visited, with `::`.
     owner: String,
 }
 
 impl Reader {
+    /// Returns the entry of the current module, and creates it if there is none.
     fn enter_module(&mut self) -> &mut Module {
         let module = self.source.modules.entry(self.module.clone()).or_default();
         module.file.clone_from(&self.source.path);
@@ -154,7 +164,7 @@
         }
     }
 
-    /// Paths and identifiers inside a macro's arguments, which `syn` leaves unparsed.
+    /// Reads paths and identifiers in the arguments of a macro, which `syn` doesn't parse.
     fn read_tokens(&mut self, tokens: TokenStream) {
         let mut path = Vec::new();
         let mut colons = 0;
@@ -181,6 +191,7 @@
         self.add_path(path);
     }
 
+    /// Records the lines of a function; of functions with the same name the longest counts.
     fn add_function(&mut self, name: &Ident, signature: &syn::Signature, block: &syn::Block) {
         let first = signature.fn_token.span().start().line;
         let lines = block.span().end().line + 1 - first;
@@ -189,7 +200,8 @@
         *longest = lines.max(*longest);
     }
 
-    /// Visits with the owner's name set; `visit` must use the default visitor.
+    /// Calls `visit` with this owner set, and restores the outer owner afterwards. `visit` must call the default
+    /// visitor function: the overridden method would recurse endlessly.
     fn with_owner(&mut self, owner: String, visit: impl FnOnce(&mut Self)) {
         let outer = std::mem::replace(&mut self.owner, owner);
         visit(self);
@@ -232,8 +244,8 @@
 
     fn visit_ident(&mut self, name: &Ident) {
         let in_wire = self.module.iter().any(|m| m == "wire");
-        if !in_wire && words(&name.to_string()).iter().any(|w| is_withdrawn(w)) {
-            self.source.withdrawn += 1;
+        if !in_wire && words(&name.to_string()).iter().any(|w| is_wire_word(w)) {
+            self.source.wire_words += 1;
         }
     }
 
