--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -71,7 +71,7 @@
     pub leaders_per_minute: Distribution,
     /// Number of user requests without a useful response, in each run.
     pub unanswered: Distribution,
-    /// Time from the first answered request about each job until its user was told that it is done, in seconds.
+    /// Time from the first answered request about each job until it was reported as done, in seconds.
     pub turnaround: Distribution,
     /// Number of jobs that took longer than `LATE_S`, in each run.
     pub late: Distribution,
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -129,22 +129,22 @@
 }
 
 impl Handler for CloudServer {
-    fn handle(&self, r: Request) -> Response {
-        match r.path.split('?').next().unwrap() {
+    fn handle(&self, request: Request) -> Response {
+        match request.path.split('?').next().unwrap() {
             "/catalog" => answer(
                 200,
                 cbor!({"builds" => [{"label" => "small", "cpus" => 8, "ramGb" => 32.0,
                     "cacheGb" => 50, "fetchGbPerS" => 1, "rate" => 0.4, "lowPrice" => 0.1,
                     "startupS" => 1, "yards" => ["east"]}]}),
             ),
-            "/rentals" if r.method == "POST" => {
+            "/rentals" if request.method == "POST" => {
                 #[derive(Deserialize)]
                 struct ProvisioningCall {
                     #[serde(rename = "hire")]
                     request: String,
                     count: usize,
                 }
-                let call: ProvisioningCall = decode(&r.body).unwrap();
+                let call: ProvisioningCall = decode(&request.body).unwrap();
                 let known = self
                     .provisioning_requests
                     .lock()
@@ -161,9 +161,9 @@
                 });
                 answer(200, cbor!({"hosts" => names}))
             }
-            "/rentals" => answer(200, self.list_page(&r.path)),
+            "/rentals" => answer(200, self.list_page(&request.path)),
             "/rentals/return" => {
-                self.remove_returned(&r.body);
+                self.remove_returned(&request.body);
                 answer(200, cbor!({}))
             }
             _ => Response::new(200, encode(&cbor!({}).unwrap())),
--- a/crates/simulation/src/stand_ins/relay.rs
+++ b/crates/simulation/src/stand_ins/relay.rs
@@ -23,7 +23,7 @@
     /// Bytes sent to the target are held back for this long, even if the sender has timed out and closed the
     /// connection meanwhile, and then delivered once, on a separate connection. The response is discarded.
     Late(Duration),
-    /// Connections are reset.
+    /// Connections are reset: open ones are closed, and new ones are closed at once.
     Reset,
 }
 
--- a/crates/simulation/src/stand_ins/store_server.rs
+++ b/crates/simulation/src/stand_ins/store_server.rs
@@ -93,25 +93,30 @@
 }
 
 impl Handler for StoreProxy {
-    fn handle(&self, r: Request) -> Response {
+    fn handle(&self, request: Request) -> Response {
         let refuses = *self.refuses.lock().unwrap();
         match refuses {
             true => Response::new(503, Vec::new()),
-            false => self.store.handle(r),
+            false => self.store.handle(request),
         }
     }
 }
 
 impl Handler for StoreServer {
-    fn handle(&self, r: Request) -> Response {
+    fn handle(&self, request: Request) -> Response {
         if *self.down.lock().unwrap() {
             return Response::new(503, Vec::new());
         }
-        let (status, body) = if r.path.starts_with("/changes") {
-            self.changes(&Watch::of(&r.path))
+        let (status, body) = if request.path.starts_with("/changes") {
+            self.changes(&Watch::of(&request.path))
         } else {
             let mut store = self.store.lock().unwrap();
-            let answer = store.call(&r.method, &r.path, &r.body, self.started.elapsed());
+            let answer = store.call(
+                &request.method,
+                &request.path,
+                &request.body,
+                self.started.elapsed(),
+            );
             self.changed.notify_all();
             answer
         };
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -325,8 +325,8 @@
 }
 
 impl Handler for Worker {
-    fn handle(&self, r: Request) -> Response {
-        let commands: DirectCommands = decode(&r.body).unwrap();
+    fn handle(&self, request: Request) -> Response {
+        let commands: DirectCommands = decode(&request.body).unwrap();
         let controller = self.controller.load(Ordering::Relaxed);
         // A lease that has expired ends before anything else happens, also if the commands were held back on their
         // way.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -49,9 +49,9 @@
     pub machines: u64,
     /// Number of task starts.
     pub starts: u32,
-    /// Number of jobs that users were told are done.
+    /// Number of jobs that were reported to users as done.
     pub done: u32,
-    /// Number of jobs that users were told are cancelled.
+    /// Number of jobs that were reported to users as cancelled.
     pub cancelled: u32,
     /// Duration of the run in seconds.
     pub seconds: u64,
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -13,7 +13,7 @@
     Node(usize),
 }
 
-/// A fault.
+/// A fault that is injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A controller process is killed and restarted.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule(pub Vec<PlannedFault>);
 
-/// Kinds of fault.
+/// Kind of a fault, without its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Kill,
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -168,23 +168,31 @@
     }
 
     /// Accepts a job of which an earlier term claimed the tasks below `start_watermark`.
-    pub fn job_with_watermark(&mut self, s: Submission, start_watermark: u32) -> &mut Self {
+    pub fn job_with_watermark(
+        &mut self,
+        submission: Submission,
+        start_watermark: u32,
+    ) -> &mut Self {
         self.revision += 1;
         let mut earlier = String::new();
         if start_watermark > 0 {
             let page = self.revision as u32;
-            let entries = vec![(s.id.clone(), start_watermark)];
+            let entries = vec![(submission.id.clone(), start_watermark)];
             self.scheduler
                 .jobs
                 .start_watermarks
                 .load(page, self.revision, entries);
             earlier = format!(" under an earlier term, {start_watermark} claimed");
         }
-        self.scheduler
-            .add_job(&s, self.revision, self.now, WallTime(s.accepted_us));
+        self.scheduler.add_job(
+            &submission,
+            self.revision,
+            self.now,
+            WallTime(submission.accepted_us),
+        );
         self.note(&format!(
             "{} accepted{earlier}: {} x {} CPUs, {:?}",
-            s.id, s.tasks, s.cpus.0, s.priority
+            submission.id, submission.tasks, submission.cpus.0, submission.priority
         ));
         self
     }
@@ -398,7 +406,7 @@
         self
     }
 
-    /// Logs the status of a job as users are told.
+    /// Logs the status of a job that users get.
     pub fn view(&mut self, id: &str) -> &mut Self {
         let text = match self.scheduler.job_status(id) {
             LocalStatus::View(v) => format!(
@@ -460,14 +468,14 @@
     /// Logs the tasks that hold resources, by machine.
     pub fn bound(&mut self) -> &mut Self {
         let mut lines = Vec::new();
-        for m in self.scheduler.machines.values() {
-            let tasks: Vec<String> = m
+        for machine in self.scheduler.machines.values() {
+            let tasks: Vec<String> = machine
                 .attempts
                 .iter()
                 .filter(|(_, a)| a.holds_resources())
                 .map(|(k, _)| format!("{}/{}", self.scheduler.jobs.table[&k.job].spec.id, k.task))
                 .collect();
-            lines.push(format!("{}: {}", m.name, tasks.join(" ")));
+            lines.push(format!("{}: {}", machine.name, tasks.join(" ")));
         }
         self.note(&format!("bound: [{}]", lines.join("; ")));
         self
