--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -58,7 +58,7 @@
 }
 
 /// Starts a controller with `--half-cut-links`, and with delays that fit the short leases of the tests.
-pub fn spawn_with_link_health(config: &Path) -> Child {
+pub fn spawn_with_link_monitoring(config: &Path) -> Child {
     let flags = [
         "--half-cut-links",
         "--link-down-after-ms",
