--- a/tests/common/nodes.rs
+++ b/tests/common/nodes.rs
@@ -1,9 +1,9 @@
-//! Controllers of the program under test.
+//! Starts controllers of the program under test.
 
 use aspenreel_simulation::stand_ins::cloud_server::CloudServer;
 pub use aspenreel_simulation::stand_ins::deployment::Deployment;
 pub use aspenreel_simulation::stand_ins::ports::Addresses;
-use aspenreel_simulation::stand_ins::processes::spawn_with;
+use aspenreel_simulation::stand_ins::processes::spawn_controller;
 pub use aspenreel_simulation::stand_ins::processes::{JobStatus, Nodes, job, leader};
 use aspenreel_simulation::stand_ins::store_server::StoreServer;
 use std::net::SocketAddr;
@@ -11,47 +11,54 @@
 use std::process::{Child, Stdio};
 use std::sync::Arc;
 
-/// Three processes of the newest version.
-pub fn start(state: SocketAddr, cloud: SocketAddr, tag: &str) -> Nodes {
-    start_with([state; 3], cloud, tag)
+/// Starts three controllers of the program under test that share one key-value store.
+pub fn start(store: SocketAddr, cloud: SocketAddr, tag: &str) -> Nodes {
+    start_with_stores([store; 3], cloud, tag)
 }
 
-/// The same, each with its own way to the key-value store.
-pub fn start_with(states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
-    start_as(newest(), states, cloud, tag)
+/// Starts three controllers of the program under test, each with an address of its own for the key-value store.
+pub fn start_with_stores(stores: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
+    start_program(program_under_test(), stores, cloud, tag)
 }
 
-/// Processes of some version.
-pub fn start_as(program: &Path, states: [SocketAddr; 3], cloud: SocketAddr, tag: &str) -> Nodes {
+/// Starts three controllers from `program`, which may be an earlier version.
+pub fn start_program(
+    program: &Path,
+    stores: [SocketAddr; 3],
+    cloud: SocketAddr,
+    tag: &str,
+) -> Nodes {
     let addresses = Addresses::free();
     let peers = addresses.peers.clone();
     let peer_address = |_, to: usize| peers[to];
-    Nodes::start_at(
+    Nodes::start(
         &Deployment::default(),
         addresses,
         peer_address,
-        states,
+        stores,
         cloud,
         tag,
-        |path| spawn_as(program, path),
+        |path| spawn_program(program, path),
     )
 }
 
-pub fn newest() -> &'static Path {
+/// Returns the path of the program that cargo built for this test.
+pub fn program_under_test() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_aspenreel"))
 }
 
+/// Starts a controller of the program under test.
 pub fn spawn(config: &Path) -> Child {
-    spawn_as(newest(), config)
+    spawn_program(program_under_test(), config)
 }
 
-/// A process of some version.
-pub fn spawn_as(program: &Path, config: &Path) -> Child {
-    spawn_with(program, config, &[], "error", Stdio::inherit())
+/// Starts a controller from `program`, which may be an earlier version.
+pub fn spawn_program(program: &Path, config: &Path) -> Child {
+    spawn_controller(program, config, &[], "error", Stdio::inherit())
 }
 
-/// A process that watches its links, with delays that suit the tests' short leases.
-pub fn spawn_watching(config: &Path) -> Child {
+/// Starts a controller with `--half-cut-links`, and with delays that fit the short leases of the tests.
+pub fn spawn_with_link_monitoring(config: &Path) -> Child {
     let flags = [
         "--half-cut-links",
         "--link-down-after-ms",
@@ -63,18 +70,24 @@
         "--handover-pause-ms",
         "3000",
     ];
-    spawn_with(newest(), config, &flags, "error", Stdio::inherit())
+    spawn_controller(
+        program_under_test(),
+        config,
+        &flags,
+        "error",
+        Stdio::inherit(),
+    )
 }
 
-/// Three controllers that are up, and the stand-ins that they talk to.
-pub fn serving(tag: &str) -> (Arc<StoreServer>, Arc<CloudServer>, Nodes) {
-    let (state, state_addr) = StoreServer::start();
+/// Starts the key-value store, the cloud and three controllers, and waits until the controllers are up.
+pub fn start_cluster(tag: &str) -> (Arc<StoreServer>, Arc<CloudServer>, Nodes) {
+    let (store, store_addr) = StoreServer::start();
     let (cloud, cloud_addr) = CloudServer::start();
-    let nodes = start(state_addr, cloud_addr, tag);
-    let named = |i: usize| (format!("n-{i}"), nodes.public[i]);
+    let nodes = start(store_addr, cloud_addr, tag);
+    let named = |n: usize| (format!("n-{n}"), nodes.public[n]);
     *cloud.controllers.lock().unwrap() = (0..3).map(named).collect();
     for n in 0..3 {
-        nodes.until(n, "GET", "/up", &[], |s, _| s == 200);
+        nodes.poll_until(n, "GET", "/up", &[], |s, _| s == 200);
     }
-    (state, cloud, nodes)
+    (store, cloud, nodes)
 }
--- a/tests/service/delayed_commands.rs
+++ b/tests/service/delayed_commands.rs
@@ -16,15 +16,15 @@
     let delay = Duration::from_secs_f64(CANCEL_S) + EXTRA_DELAY;
     let cluster = LoopbackCluster::start("held", &Deployment::default(), spawn);
     let mut users = Users::new(&cluster, 3, 0);
-    users.cancels_one_in(2);
-    users.busy_for(Duration::from_millis(2500));
-    let leader = cluster.leader();
-    cluster.delay_commands(leader, Traffic::Late(delay));
-    users.busy_for(Duration::from_secs(8));
-    cluster.delay_commands(leader, Traffic::Passes);
-    users.busy_for(delay + EXTRA_DELAY);
-    users.until_all_ended();
-    cluster.check(|checker: &mut Checker, now| {
+    users.cancel_one_in(2);
+    users.run_for(Duration::from_millis(2500));
+    let leader = cluster.wait_for_leader();
+    cluster.set_command_traffic(leader, Traffic::Late(delay));
+    users.run_for(Duration::from_secs(8));
+    cluster.set_command_traffic(leader, Traffic::Passes);
+    users.run_for(delay + EXTRA_DELAY);
+    users.run_until_all_ended();
+    cluster.with_checker(|checker: &mut Checker, now| {
         checker.check_time_limits(now);
         assert_eq!(checker.violations, Vec::<String>::new());
         assert!(checker.answered_done > 5, "too few jobs were done");
--- a/tests/service/half_cut_links.rs
+++ b/tests/service/half_cut_links.rs
@@ -4,7 +4,7 @@
 //! checks the answers that users get and the tasks that run. Each test runs one round of each fault. For more rounds,
 //! with faults at other times: `LINKS_ROUNDS=20 cargo test --test service half_cut_links` (`docs/half-cut-links.md`).
 
-use crate::nodes::spawn_watching;
+use crate::nodes::spawn_with_link_monitoring;
 use aspenreel_simulation::directions::Direction;
 use aspenreel_simulation::stand_ins::deployment::Deployment;
 use aspenreel_simulation::stand_ins::loopback_cluster::{LoopbackCluster, NODES};
@@ -30,45 +30,45 @@
         Ok(rounds) => rounds.parse().unwrap(),
         Err(_) => 1,
     };
-    let cluster = LoopbackCluster::start(tag, &Deployment::default(), spawn_watching);
+    let cluster = LoopbackCluster::start(tag, &Deployment::default(), spawn_with_link_monitoring);
     let mut users = Users::new(&cluster, 1, 0);
-    users.busy_for(Duration::from_millis(2500));
+    users.run_for(Duration::from_millis(2500));
     for _ in 0..rounds {
         for choice in choices {
-            let all = Direction::all_of(cluster.leader(), NODES);
+            let all = Direction::all_of(cluster.wait_for_leader(), NODES);
             let directions: Vec<Direction> = choice.iter().map(|n| all[*n]).collect();
             let set = |traffic| {
                 directions
                     .iter()
-                    .for_each(|direction| cluster.set(*direction, traffic));
+                    .for_each(|direction| cluster.set_traffic(*direction, traffic));
             };
             match fault {
                 Fault::Steady(traffic) => {
                     set(*traffic);
-                    users.busy_for(FAULT_DURATION);
+                    users.run_for(FAULT_DURATION);
                     set(Traffic::Passes);
                 }
                 Fault::Flapping(period) => {
                     let end = Instant::now() + 2 * FAULT_DURATION;
                     while Instant::now() < end {
                         set(Traffic::Blocked);
-                        users.busy_for(*period / 2);
+                        users.run_for(*period / 2);
                         set(Traffic::Passes);
-                        users.busy_for(*period / 2);
+                        users.run_for(*period / 2);
                     }
                 }
             }
             let pause_ms = users.rng.u64(200..900);
-            users.busy_for(Duration::from_millis(pause_ms));
+            users.run_for(Duration::from_millis(pause_ms));
         }
     }
-    users.until_all_ended();
-    cluster.check(|checker, now| {
+    users.run_until_all_ended();
+    cluster.with_checker(|checker, now| {
         checker.check_time_limits(now);
         assert_eq!(checker.violations, Vec::<String>::new());
         assert!(checker.answered_done > 5, "too few jobs were done");
     });
-    let duplicate_runs = cluster.cloud.environment.broken.lock().unwrap();
+    let duplicate_runs = cluster.cloud.environment.duplicate_runs.lock().unwrap();
     assert_eq!(*duplicate_runs, Vec::<String>::new());
 }
 
--- a/tests/service/links_command.rs
+++ b/tests/service/links_command.rs
@@ -1,7 +1,9 @@
 //! Output and exit status of `aspenreel links`, with reachable and unreachable controllers and with other listeners
 //! at their addresses; and the handling of link views and flags by controllers.
 
-use crate::nodes::{Nodes, leader, newest, serving, spawn, spawn_watching};
+use crate::nodes::{
+    Nodes, leader, program_under_test, spawn, spawn_with_link_monitoring, start_cluster,
+};
 use aspenreel::peer::{PeerReply, PeerRequest, PeerTransport, TcpTransport};
 use aspenreel::settings::Settings;
 use aspenreel_link_health::monitor::LinkState;
@@ -16,7 +18,7 @@
 
 /// Runs `aspenreel links` with this settings file.
 fn run_links(config: &Path, more: &[&str]) -> Output {
-    Command::new(newest())
+    Command::new(program_under_test())
         .args(["links", "--timeout-ms", "1000", "--config"])
         .arg(config)
         .args(more)
@@ -42,12 +44,12 @@
     std::sync::Arc<aspenreel_simulation::stand_ins::store_server::StoreServer>,
     Nodes,
 ) {
-    let (state, _, mut nodes) = serving(tag);
+    let (state, _, mut nodes) = start_cluster(tag);
     for n in 0..3 {
         nodes.children[n].kill().unwrap();
         nodes.children[n].wait().unwrap();
-        nodes.children[n] = spawn_watching(&nodes.configs[n]);
-        nodes.until(n, "GET", "/up", &[], |s, _| s == 200);
+        nodes.children[n] = spawn_with_link_monitoring(&nodes.configs[n]);
+        nodes.poll_until(n, "GET", "/up", &[], |s, _| s == 200);
     }
     (state, nodes)
 }
@@ -111,7 +113,7 @@
     nodes.children[1].kill().unwrap();
     nodes.children[1].wait().unwrap();
     nodes.children[1] = spawn(&nodes.configs[1]);
-    nodes.until(1, "GET", "/up", &[], |s, _| s == 200);
+    nodes.poll_until(1, "GET", "/up", &[], |s, _| s == 200);
     let output = run_links(&nodes.configs[0], &[]);
     let table = stdout_text(&output);
     assert!(table.contains("without --half-cut-links"), "{table}");
@@ -231,9 +233,9 @@
 /// before it listens.
 #[test]
 fn conflicting_link_flags_are_rejected_at_startup() {
-    let (_, _, nodes) = serving("links-flags");
+    let (_, _, nodes) = start_cluster("links-flags");
     let refused = |flags: &[&str]| {
-        let output = Command::new(newest())
+        let output = Command::new(program_under_test())
             .arg("serve")
             .args(flags)
             .arg("--config")
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -22,7 +22,7 @@
             s.deadline_s = Some(decimal(20.0));
             s.accepted_us = (t * 1e6) as u64;
         }));
-        trace.serve(worker, t, &|_| 3.0, begun);
+        trace.run_worker(worker, t, &|_| 3.0, begun);
     }
 }
 
@@ -44,7 +44,7 @@
     let mut trace = LeaderTrace::new(2, teams);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
-    trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
+    trace.run_worker(&mut worker, 0.0, &|_| 3.0, &mut begun);
     submit_disadvantaged_jobs(&mut trace);
     run_under_urgent_load(&mut trace, &mut worker, &mut begun, 1..160);
     for id in ["run-1", "run-2", "run-3", "run-4", "run-5"] {
@@ -63,7 +63,7 @@
     trace.scheduler.wall_at_start = aspenreel::time::WallTime(85_000_000);
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
-    trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
+    trace.run_worker(&mut worker, 0.0, &|_| 3.0, &mut begun);
     // Accepted 85 s ago by wall-clock time.
     let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
