--- a/src/leadership/fencing_counter.rs
+++ b/src/leadership/fencing_counter.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// Makes one attempt to store a higher fencing token, and uses the token only once the store has confirmed it.
     ///
-    /// A transaction without an answer may still be executed, but its token is never used. The next attempt has the
+    /// A transaction of unknown outcome may still be executed, but its token is never used. The next attempt has the
     /// same counter revision as its precondition, so the store executes at most one of the two.
     pub(crate) fn raise_fencing_token(&self, leader_lease: &LeaderLease) {
         let term = leader_lease.term;
@@ -40,17 +40,17 @@
                 if failed.iter().any(|key| key == LEADER_KEY) {
                     self.lose_leadership(term);
                 }
-                self.fencing_token_not_raised(term);
+                self.fencing_token_raise_failed(term);
                 self.read_term_counter(term);
             }
             Err(error) => {
                 log::debug!(term, error:%; "failed to raise fencing token");
-                self.fencing_token_not_raised(term);
+                self.fencing_token_raise_failed(term);
             }
         }
     }
 
-    fn fencing_token_not_raised(&self, term: u64) {
+    fn fencing_token_raise_failed(&self, term: u64) {
         let now = self.now();
         self.with_scheduler(term, |scheduler| scheduler.fencing_token_raise_failed(now));
     }
--- a/src/link_health/view_exchange_loop.rs
+++ b/src/link_health/view_exchange_loop.rs
@@ -24,7 +24,7 @@
 const PROBE_AFTER: Micros = Micros::from_secs(4);
 /// The key of probes. It is never written: a transaction whose only part is a precondition on it changes nothing.
 const PROBE_KEY: &str = "links-probe";
-/// Prefix of the keys of views in the key-value store, whose senders don't reach the leader directly.
+/// Prefix of the keys of the views that controllers publish in the key-value store while they don't reach the leader.
 const VIEWS_PREFIX: &str = "views/";
 /// Minimum time between two writes of this controller's view to the key-value store.
 const PUBLISH_INTERVAL: Micros = Micros::from_secs(2);
@@ -115,7 +115,7 @@
                     link_health.log_rejected_view(&peer.0, error);
                 }
             }
-            ViewExchange::NotOffered => {
+            ViewExchange::Unsupported => {
                 state.unsupported.insert(peer.clone(), requested_at);
                 lock(&link_health.peer_views).mark_unsupported(peer);
             }
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Answers a peer's view with the view of this controller.
+    /// Answers a peer's view with the view of this controller, or with `Busy` if the peer's view is rejected or links
+    /// aren't monitored.
     pub fn answer_view(&self, bytes: &[u8]) -> PeerReply {
         let Some(link_health) = &self.link_health else {
             return PeerReply::Busy;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -20,7 +20,7 @@
     /// Encoded view that the peer has sent.
     View(Vec<u8>),
     /// The peer answers, but doesn't exchange views.
-    NotOffered,
+    Unsupported,
     /// The peer doesn't answer.
     Failed,
 }
@@ -104,13 +104,13 @@
             // A peer of an earlier version closes the connection when it receives an unknown request. The ping
             // records an observation of its own.
             Err(e) if !is_timeout(e) && self.is_reachable(timeout) => {
-                return ViewExchange::NotOffered;
+                return ViewExchange::Unsupported;
             }
             _ => self.record_observation(outcome(&result)),
         }
         match result {
             Ok(PeerReply::Links { view }) => ViewExchange::View(view),
-            Ok(_) => ViewExchange::NotOffered,
+            Ok(_) => ViewExchange::Unsupported,
             Err(_) => ViewExchange::Failed,
         }
     }
--- a/src/placement/machine_capacity.rs
+++ b/src/placement/machine_capacity.rs
@@ -9,7 +9,7 @@
 impl SchedulerState {
     /// True if new tasks may be placed on the machine: it is reconciled, registered, healthy and reachable, isn't
     /// about to be returned or taken back, and its heartbeats arrive.
-    pub(crate) fn usable(&self, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn is_usable(&self, machine: &Machine, now: Moment) -> bool {
         machine.reconciled
             && machine.registered
             && machine.quarantine.is_none()
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -71,7 +71,7 @@
 
     /// All usable machines, sorted by name.
     fn candidates(&self, now: Moment) -> Vec<CandidateMachine> {
-        let usable = self.machines.values().filter(|m| self.usable(m, now));
+        let usable = self.machines.values().filter(|m| self.is_usable(m, now));
         usable
             .map(|m| {
                 let FreeCapacity { free, stopping } = self.capacity_left(m);
--- a/src/placement/queue_order.rs
+++ b/src/placement/queue_order.rs
@@ -43,8 +43,8 @@
 /// the time for which it would use its team's whole CPU limit.
 const JOB_SIZE_WEIGHT: f64 = 10.0;
 
-/// Thousandths in a CPU, the unit of demands.
-const CPU_UNITS: f64 = 1000.0;
+/// Millicpus, the unit of demands, per CPU.
+const MILLICPUS_PER_CPU: f64 = 1000.0;
 
 impl SchedulerState {
     /// Jobs with waiting tasks, the first to be placed first.
@@ -102,7 +102,7 @@
             false => self.expected_run_time(job).as_secs_f64(),
         };
         let work = f64::from(job.remaining()) * run_time * job.spec.demand.cpu as f64;
-        let time_at_limit = work / (cpus_max * CPU_UNITS).max(1.0);
+        let time_at_limit = work / (cpus_max * MILLICPUS_PER_CPU).max(1.0);
         QueueOrder {
             overdue: Reverse(self.is_overdue(job, now)),
             priority: Reverse(job.spec.priority),
--- a/src/provisioning/scale_in.rs
+++ b/src/provisioning/scale_in.rs
@@ -25,8 +25,8 @@
 /// Fraction of a spot machine's maximum idle time after which an idle on-demand machine is returned.
 const ON_DEMAND_IDLE_FACTOR: f64 = 0.25;
 
-/// Number of heartbeat intervals without a heartbeat after which a machine is silent.
-const SILENT_AFTER_INTERVALS: f64 = 3.0;
+/// Number of heartbeat intervals without a heartbeat after which a silent machine with replicas is returned.
+const RETURN_AFTER_INTERVALS: f64 = 3.0;
 
 /// If more than one in this many known machines is silent, the fault is more likely on this controller's side.
 const MIN_KNOWN_PER_SILENT: usize = 3;
@@ -168,7 +168,7 @@
         let silent_after = self
             .config
             .heartbeat_interval
-            .scaled(SILENT_AFTER_INTERVALS);
+            .scaled(RETURN_AFTER_INTERVALS);
         let settling = silent_after.scaled(2.0);
         let is_overloaded = self.overload.was_overloaded_within(settling, now);
         if is_overloaded || now - self.started < settling {
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -71,7 +71,7 @@
         let mut held: BTreeMap<&str, i64> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| m.last_seen.is_some()) {
             total += machine.total.cpu;
-            if self.usable(machine, now) {
+            if self.is_usable(machine, now) {
                 free += self.free_capacity(machine).cpu;
             } else {
                 unusable += machine.total.cpu;
