--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -88,7 +88,7 @@
     pub answered_cancelled: u32,
     /// Number of jobs that users know to be done.
     pub answered_done: u32,
-    /// Number of requests that got no answer in time, or an answer that says nothing of the job, such as 503.
+    /// Number of requests that got no answer in time, or an answer that says nothing about the job, such as 503.
     pub unanswered_requests: u32,
     /// For each job that is done: time from its first answered request until a user knew that.
     turnaround: Vec<Time>,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Records that a request got no answer in time, or an answer that says nothing of the job, such as 503.
+    /// Records that a request got no answer in time, or an answer that says nothing about the job, such as 503.
     pub fn unanswered(&mut self, id: &str, kind: RequestKind, sent: Time, now: Time) {
         self.unanswered_requests += 1;
         let Some(job) = self.jobs.get_mut(id) else {
--- a/crates/simulation/src/worker_heartbeats.rs
+++ b/crates/simulation/src/worker_heartbeats.rs
@@ -188,7 +188,7 @@
         });
     }
 
-    /// Turns a worker to the next controller if the heartbeat with this number still awaits its answer.
+    /// Makes a worker use the next controller if the heartbeat with this number still awaits its answer.
     pub(crate) fn heartbeat_timed_out(self: &Arc<Self>, name: &str, request: u64) {
         let nodes = self.setup.nodes;
         {
@@ -373,7 +373,7 @@
     (wait, reply.commands.clone())
 }
 
-/// Turns to the leader that a refusal names, or else to the next controller. Returns the delay until the next
+/// Makes a worker use the leader that a refusal names, or else the next controller. Returns the delay until the next
 /// heartbeat.
 fn follow_refusal(machine: &mut Machine, body: &[u8], controllers: usize) -> Time {
     let named = leader_of(body).and_then(|name| name.strip_prefix("n-")?.parse().ok());
@@ -386,7 +386,7 @@
     }
 }
 
-/// Turns to the next controller. Returns the delay until the next heartbeat.
+/// Makes a worker use the next controller. Returns the delay until the next heartbeat.
 fn try_next_controller(machine: &mut Machine, controllers: usize) -> Time {
     machine.node = (machine.node + 1) % controllers;
     RETRY_DELAY
--- a/src/jobs/admission.rs
+++ b/src/jobs/admission.rs
@@ -37,7 +37,7 @@
     fn prior_term_start_watermark(&self, spec: &JobSpec, revision: u64) -> u32 {
         let dropped_by_older_version =
             spec.is_standing() && revision <= self.prior_term.older_version_led_at;
-        if self.prior_term.watermarks_unreadable || dropped_by_older_version {
+        if self.prior_term.pages_unreadable || dropped_by_older_version {
             // The stored watermark can't be relied on, so any of the job's tasks may have started.
             return spec.tasks;
         }
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -74,7 +74,7 @@
     bound_remaining: u32,
     /// The sum of the counts in `bound`.
     bound_attempts: u32,
-    /// True once one of its tasks has run long enough for the job to count as begun.
+    /// True once a task of the job has run long enough for the job to count as begun.
     pub ran_long_enough: bool,
     /// Tasks that lost their last attempt without being done. They are placed first. Some of them may have been bound
     /// or done since.
@@ -84,7 +84,7 @@
     cursor: u32,
     /// Machines on which a task failed since the last success.
     pub failed_on: BTreeSet<String>,
-    /// Number of failed attempts of its tasks.
+    /// Number of failed attempts of the job's tasks.
     pub failures: u32,
     /// End of the backoff after failures: the job isn't placed before this moment. 0 if it never had a backoff.
     pub retry_after: Moment,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// True if its cancellation was requested under this leader.
+    /// True if the cancellation of the job was requested under this leader.
     pub fn is_cancel_requested(&self) -> bool {
         self.cancel_requested_at.is_some()
     }
--- a/src/leadership/record_loader.rs
+++ b/src/leadership/record_loader.rs
@@ -48,7 +48,7 @@
             prior_term.note_machine(&stored.key, self.time.now);
         }
         if prefix == REGISTRY_PREFIX || prefix == WATERMARKS_PREFIX {
-            prior_term.watermarks_unreadable = true;
+            prior_term.pages_unreadable = true;
         }
     }
 
--- a/src/placement/team_quota.rs
+++ b/src/placement/team_quota.rs
@@ -37,7 +37,7 @@
     /// Total capacity of all unreconciled machines; `None` if it isn't known which machines these are, or while the
     /// catalog is empty. A machine of unknown size counts with the largest amount of each resource in the catalog.
     fn unreconciled_capacity(&self) -> Option<Resources> {
-        if self.prior_term.watermarks_unreadable {
+        if self.prior_term.pages_unreadable {
             return None;
         }
         let types = self.provisioning.catalog.iter().map(|t| t.capacity);
--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -65,7 +65,7 @@
     /// if no headroom is wanted.
     ///
     /// Jobs with an objective shorter than a boot can't wait for one: capacity in proportion to what is in use is
-    /// kept ready for them. Where only deadlines count, none is.
+    /// kept ready for them. Without such an objective, none is kept.
     pub(super) fn headroom_surplus(&self) -> Option<i64> {
         if !self.keeps_headroom() {
             return None;
@@ -118,9 +118,9 @@
             .filter(recent)
             .map(total)
             .sum();
-        let boots =
+        let windows_per_boot =
             self.provisioning.shortest_boot_time().as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64();
-        let expected_arrivals = (arrived as f64 * boots * ARRIVAL_MARGIN_FACTOR) as i64;
+        let expected_arrivals = (arrived as f64 * windows_per_boot * ARRIVAL_MARGIN_FACTOR) as i64;
         let catalog = self.provisioning.catalog.iter();
         let smallest = catalog.map(|t| t.capacity.cpu).min()?;
         let floor = MIN_HEADROOM_MACHINES * smallest;
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -133,8 +133,8 @@
             .collect()
     }
 
-    /// Drops machines that are unreachable or never sent a heartbeat, haven't been in a list for a long time, and whose
-    /// leases have expired: they are gone.
+    /// Drops machines that are unreachable, or from which this leader never received a message, if they haven't been in
+    /// a list for a long time and their leases have expired: they are gone.
     fn drop_long_unlisted(&mut self, now: Moment) {
         let max_unlisted = self.config.list_lag.scaled(3.0) + Micros::from_secs(10);
         let gone: Vec<String> = self
--- a/src/scheduler/prior_term.rs
+++ b/src/scheduler/prior_term.rs
@@ -13,9 +13,9 @@
     pub unreconciled: BTreeSet<String>,
     /// Machines that an earlier term registered, by name, each with a time at which it is known to have existed.
     pub machines: BTreeMap<String, Moment>,
-    /// True if stored start watermarks, or pages of the machine registry, can't be read: any task of a job from an
+    /// True if a stored page of start watermarks or of the machine registry can't be decoded: any task of a job from an
     /// earlier term may have started.
-    pub watermarks_unreadable: bool,
+    pub pages_unreadable: bool,
     /// Store revision at which a controller of an earlier version last became leader; 0 if none did. Such a
     /// controller drops the start watermarks of standing jobs, because it doesn't know this kind of job.
     pub older_version_led_at: u64,
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -81,8 +81,8 @@
 }
 
 /// A direct start is on its way when its job is cancelled, and the network delays it for minutes, while answered
-/// heartbeats renew the worker's lease, so that its agent epoch doesn't end. Before the time limit of the cancellation, the
-/// worker must refuse to execute the start.
+/// heartbeats renew the worker's lease, so that its agent epoch doesn't end. Before the time limit of the
+/// cancellation, the worker must refuse to execute the start.
 #[test]
 fn delayed_start_is_revoked_within_the_cancellation_bound() {
     let (mut trace, mut worker, delayed) = unconfirmed_start(TokenRaises::Succeed);
