--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -79,7 +79,7 @@
         cbor!({"hosts" => machines, "more" => more})
     }
 
-    /// True if the cloud accepts a request now, which is counted then: at most [`CLOUD_RPS`] a second, with bursts of
+    /// True if the cloud accepts a request now, which is counted then: at most [`CLOUD_RPS`] per second, with bursts of
     /// up to twice that number.
     pub(crate) fn admit_cloud_request(&self, now: Time) -> bool {
         let mut state = self.state();
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -111,7 +111,7 @@
         self.flap_until(directions, period, end);
     }
 
-    /// Cuts these directions for half a period, and schedules the next cut after a period unless `end` has come.
+    /// Cuts these directions for half a period, and schedules the next cut after a period unless `end` has been reached.
     pub(crate) fn flap_until(self: &Arc<Self>, directions: Vec<Direction>, period: f64, end: Time) {
         if self.now() >= end {
             return;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -39,13 +39,13 @@
     pub(crate) cpus: f64,
     /// Address of the worker for direct commands.
     pub(crate) addr: SocketAddr,
-    /// Time of its creation, by a provisioning request or at the start of the simulation.
+    /// Time of the machine's creation, by a provisioning request or at the start of the simulation.
     pub(crate) created: Time,
-    /// Time at which it has booted.
+    /// Time at which the machine has booted.
     pub(crate) up_at: Time,
-    /// Time at which it was returned or taken back by the cloud.
+    /// Time at which the machine was returned, or taken back by the cloud.
     pub(crate) gone_at: Option<Time>,
-    /// Time at which it failed for good.
+    /// Time at which the machine failed for good.
     pub(crate) died_at: Option<Time>,
     /// Current agent epoch of the worker.
     pub(crate) agent_epoch: AgentEpoch,
@@ -59,7 +59,7 @@
     pub(crate) tasks: BTreeMap<(String, u64), SimulatedTask>,
     /// Images that have been fetched.
     pub(crate) images: BTreeSet<String>,
-    /// Controller that it sends heartbeats to.
+    /// Number of the controller that the worker sends heartbeats to.
     pub(crate) node: usize,
     /// Number of the heartbeat that awaits an answer, if there is one.
     pub(crate) in_flight: Option<u64>,
@@ -75,13 +75,13 @@
     pub frozen_until: Time,
     /// Time at which the last freeze began.
     pub(crate) frozen_since: Time,
-    /// Time until which its network is cut in both directions.
+    /// Time until which the machine's network is cut in both directions.
     pub cut_until: Time,
     /// True if messages that a cut stops are delivered after it, false if they are lost.
     pub(crate) delivers_after_cut: bool,
-    /// Time until which all messages that it sends are lost.
+    /// Time until which all messages that the machine sends are lost.
     pub outbound_dropped_until: Time,
-    /// Time until which all messages to it are lost.
+    /// Time until which all messages to the machine are lost.
     pub inbound_dropped_until: Time,
     /// Time at which the cloud takes the machine back, once it has given notice.
     pub(crate) preempted_at: Option<Time>,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -6,15 +6,15 @@
 
 #![warn(missing_docs)]
 
+mod final_states;
 mod peer_requests;
 mod process;
 mod routes;
 mod term_access;
-mod terminal_states;
 mod timer_loop;
 
+pub use final_states::FinalStates;
 pub use process::{ControllerThread, StartError};
-pub use terminal_states::TerminalStates;
 
 use crate::cli::ServeOptions;
 use crate::leadership::feature_level::FeatureLevel;
@@ -58,8 +58,8 @@
     pub known_leader: Option<LeaderRecord>,
     /// Time at which the store last confirmed `known_leader`.
     pub leader_confirmed_at: Moment,
-    /// Cached terminal states of jobs.
-    pub terminal_states: TerminalStates,
+    /// Cached final states of jobs.
+    pub final_states: FinalStates,
     /// True once this leader has stopped acting and is about to end its lease.
     pub step_down_requested: bool,
     /// Time until which this controller lets other controllers campaign first.
@@ -175,9 +175,7 @@
             store: store.with_observations(observations),
             cloud: os.http_client(settings.endpoints.cloud),
             state: Mutex::new(ControllerState {
-                terminal_states: TerminalStates::new(
-                    settings.settings.quota.max_retained_entries(),
-                ),
+                final_states: FinalStates::new(settings.settings.quota.max_retained_entries()),
                 ..ControllerState::default()
             }),
             state_changed: os.event_count(),
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -22,7 +22,7 @@
     fn status_for_peer(&self, id: &str) -> PeerReply {
         let mut state = self.state();
         let now = self.now();
-        if let Some(view) = state.terminal_states.get(id) {
+        if let Some(view) = state.final_states.get(id) {
             return PeerReply::Job(view);
         }
         let Some((_, scheduler)) = state.acting_leader(now) else {
--- a/src/jobs/api/cancel.rs
+++ b/src/jobs/api/cancel.rs
@@ -28,7 +28,7 @@
         if let PeerReply::Job(view) = reply
             && view.is_final()
         {
-            self.state().terminal_states.insert(id, view);
+            self.state().final_states.insert(id, view);
             return known(id, view);
         }
         // Without a leader no job can be cancelled, but jobs that ended or were never accepted can still be reported.
@@ -51,7 +51,7 @@
     pub fn cancel_as_leader(&self, id: &str) -> PeerReply {
         let deadline = self.now() + CANCEL_TIMEOUT;
         let mut state = self.state();
-        if let Some(view) = state.terminal_states.get(id) {
+        if let Some(view) = state.final_states.get(id) {
             return PeerReply::Job(view);
         }
         let now = self.now();
@@ -63,7 +63,7 @@
         }
         self.state_changed.notify_all();
         loop {
-            if let Some(view) = state.terminal_states.get(id) {
+            if let Some(view) = state.final_states.get(id) {
                 return PeerReply::Job(view);
             }
             let now = self.now();
--- a/src/jobs/api/status.rs
+++ b/src/jobs/api/status.rs
@@ -63,7 +63,7 @@
 
     fn local_status_in(&self, state: &mut ControllerState, id: &str) -> LocalStatus {
         let now = self.now();
-        match (state.terminal_states.get(id), state.acting_leader(now)) {
+        match (state.final_states.get(id), state.acting_leader(now)) {
             (Some(view), _) => LocalStatus::View(view),
             (None, Some((_, scheduler))) => scheduler.job_status(id),
             (None, None) => LocalStatus::Unknown,
@@ -87,15 +87,15 @@
     }
 
     /// Looks up the status of a job. The lookup takes time, and this controller may learn a newer status meanwhile,
-    /// so the cache of terminal states is checked last.
+    /// so the cache of final states is checked last.
     pub(super) fn look_up(&self, id: &str) -> StatusLookup {
         let found = self.find_status(id);
         let mut state = self.state();
         if let StatusLookup::Job(view) = &found {
-            state.terminal_states.insert(id, *view);
+            state.final_states.insert(id, *view);
         }
-        let terminal = state.terminal_states.get(id);
-        terminal.map_or(found, StatusLookup::Job)
+        let final_view = state.final_states.get(id);
+        final_view.map_or(found, StatusLookup::Job)
     }
 
     /// Queries the sources of a job's status in this order: this controller, the leader, the store, and any other
--- a/src/jobs/api/submit.rs
+++ b/src/jobs/api/submit.rs
@@ -201,7 +201,7 @@
         // If the term has changed meanwhile, for example while this process was suspended, another leader may have
         // ended and retired the job. In that case the records that were read at the beginning of the new term
         // decide.
-        if state.terminal_states.get(&submission.id).is_none()
+        if state.final_states.get(&submission.id).is_none()
             && leading_term(&state) == term
             && let Some((_, scheduler)) = state.acting_leader(now)
         {
--- a/src/jobs/committed_writes.rs
+++ b/src/jobs/committed_writes.rs
@@ -23,7 +23,7 @@
                 && let Some(job) = scheduler.jobs.table.get(job)
             {
                 let view = JobView::of_final(*outcome, job.spec.tasks);
-                state.terminal_states.insert(&job.spec.id, view);
+                state.final_states.insert(&job.spec.id, view);
             }
             scheduler.apply_written(write, revision);
         }
--- a/src/jobs/read_back.rs
+++ b/src/jobs/read_back.rs
@@ -89,7 +89,7 @@
             return;
         };
         let view = JobView::of_final(record.state, record.tasks);
-        self.state().terminal_states.insert(id, view);
+        self.state().final_states.insert(id, view);
         self.with_scheduler(term, |scheduler| {
             if let Some(job) = scheduler.jobs.find(id) {
                 scheduler.apply_outcome(job, record.state);
--- a/src/leadership/job_watch_loop.rs
+++ b/src/leadership/job_watch_loop.rs
@@ -65,7 +65,7 @@
         let ControllerState {
             leader_lease: Some(leader_lease),
             scheduler: Some(scheduler),
-            terminal_states,
+            final_states,
             jobs_revision,
             ..
         } = &mut *state
@@ -85,7 +85,7 @@
                 continue;
             };
             // A delayed event must not add a finished job again.
-            if terminal_states.get(&submission.id).is_none() {
+            if final_states.get(&submission.id).is_none() {
                 scheduler.add_job(&submission, event.revision, now, wall);
             }
         }
@@ -117,7 +117,7 @@
             let ControllerState {
                 leader_lease: Some(leader_lease),
                 scheduler: Some(scheduler),
-                terminal_states,
+                final_states,
                 jobs_revision,
                 ..
             } = &mut *state
@@ -129,7 +129,7 @@
             }
             for stored in &page.rows {
                 if let Some(submission) = from_value::<Submission>(&stored.data)
-                    && terminal_states.get(&submission.id).is_none()
+                    && final_states.get(&submission.id).is_none()
                 {
                     scheduler.add_job(&submission, stored.revision, now, wall);
                 }
--- a/src/provisioning/catalog.rs
+++ b/src/provisioning/catalog.rs
@@ -12,7 +12,7 @@
     pub capacity: Resources,
     /// Size of a machine's image cache, in GB.
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images, in GB a second.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine, in the cloud's unit.
     pub price: f64,
--- a/src/provisioning/registry.rs
+++ b/src/provisioning/registry.rs
@@ -5,7 +5,7 @@
 use crate::time::Moment;
 
 /// Key prefix of the registry's pages. A page maps machines that may hold tasks to a moment until which each is known
-/// to have existed, by the writing controller's time of day.
+/// to have existed, by the wall clock of the controller that wrote the page.
 pub const REGISTRY_PREFIX: &str = "fleet/";
 
 impl SchedulerState {
--- a/src/provisioning/state.rs
+++ b/src/provisioning/state.rs
@@ -13,10 +13,10 @@
 /// Multiple of their boot time within which most machines are up.
 const LATE_BOOT_FACTOR: f64 = 1.5;
 
-/// Minimum rate assumed for fetching an image, in GB a second.
+/// Minimum rate assumed for fetching an image, in GB per second.
 const MIN_FETCH_RATE: f64 = 0.01;
 
-/// Rate assumed for fetching an image if the machine's type isn't in the catalog, in GB a second.
+/// Rate assumed for fetching an image if the machine's type isn't in the catalog, in GB per second.
 const UNKNOWN_FETCH_RATE: f64 = 1.0;
 
 /// The leader's knowledge of the cloud's machines, and its requests to the cloud.
@@ -40,8 +40,8 @@
     pub last_listed_at: Option<Moment>,
     /// When scale-out was last planned.
     pub(super) last_planned_at: Option<Moment>,
-    /// Machines that may hold tasks, each with a moment until which it is known to have existed, in microseconds of
-    /// the time of day.
+    /// Machines that may hold tasks, each with a moment until which it is known to have existed, in microseconds
+    /// since the Unix epoch.
     ///
     /// A machine is registered before its first task, as soon as its first heartbeat arrives. An earlier registration
     /// would save its first task a wait, but a failover would then wait for every machine that is still booting, and
@@ -84,7 +84,7 @@
         self.type_of(type_name).map_or(0.0, |t| t.cache_gb)
     }
 
-    /// Rate at which a machine of the type fetches images, in GB a second; always above 0.
+    /// Rate at which a machine of the type fetches images, in GB per second; always above 0.
     pub fn fetch_gb_per_s_of(&self, type_name: &str) -> f64 {
         self.type_of(type_name)
             .map_or(UNKNOWN_FETCH_RATE, |t| t.fetch_gb_per_s)
--- a/src/provisioning/wire.rs
+++ b/src/provisioning/wire.rs
@@ -31,7 +31,7 @@
     /// Size of the image cache, in GB.
     #[serde(rename = "cacheGb")]
     pub cache_gb: Number,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "fetchGbPerS")]
     pub fetch_gb_per_s: Number,
     /// Price of an on-demand machine.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -104,7 +104,7 @@
         max_with_drift(self.config.worker_lease) + LEASE_MARGIN
     }
 
-    /// Time of day at `now`, computed from the time of day at the start of the term.
+    /// Wall-clock time at `now`, computed from the wall-clock time at the start of the term.
     pub fn wall(&self, now: Moment) -> WallTime {
         WallTime(self.wall_at_start.0 + (now - self.started).0)
     }
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -10,7 +10,7 @@
 /// Maximum lease and cancellation time of workers, in seconds.
 const MAX_WORKER_TIME_S: f64 = 86_400.0;
 
-/// Maximum rate, in requests a second.
+/// Maximum rate, in requests per second.
 const MAX_RATE: f64 = 1e7;
 
 /// Maximum size of a stored value, in KiB.
--- a/src/settings/quota.rs
+++ b/src/settings/quota.rs
@@ -84,7 +84,7 @@
         (self.memory_kb() * 1024.0 / 8.0) as usize
     }
 
-    /// Maximum number of machines that are gone, and of jobs' terminal states, that are kept in memory, at some 100
+    /// Maximum number of machines that are gone, and of jobs' final states, that are kept in memory, at some 100
     /// bytes each.
     pub fn max_retained_entries(&self) -> usize {
         (self.memory_kb() / 8.0) as usize
--- a/src/settings/store_limits.rs
+++ b/src/settings/store_limits.rs
@@ -8,9 +8,9 @@
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Maximum number of requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Maximum number of changes a second.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
     /// Maximum size of a value, in KiB.
     pub value_kb: f64,
@@ -24,10 +24,10 @@
 /// Future limits of the key-value store; those that are absent don't change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct StoreLimits {
-    /// Maximum number of requests a second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Maximum number of changes a second.
+    /// Maximum number of changes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// Maximum size of a value, in KiB.
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -87,7 +87,7 @@
         Some(refusal)
     }
 
-    /// Records which worker's heartbeat was refused, if link health is monitored.
+    /// Records which worker's heartbeat was refused, if links are monitored.
     fn note_refused_worker(&self, body: &[u8], now: Moment) {
         if let Some(link_health) = &self.link_health
             && let Ok(sender) = decode::<HeartbeatSender>(body)
