--- a/crates/report/src/bin/half-cut-links.rs
+++ b/crates/report/src/bin/half-cut-links.rs
@@ -1,4 +1,4 @@
-//! Measures runs with half-cut links with and without `--half-cut-links`, and writes the report.
+//! Simulates half-cut links with and without `--half-cut-links`, prints the figures as a table, and writes a report.
 
 use aspenreel_report::half_cut_links::{compare, page, table};
 use clap::Parser;
--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -17,7 +17,7 @@
 const TERM: u64 = 3;
 const TASKS_PER_MACHINE: u32 = 4;
 const CPUS_PER_TASK: f64 = 2.0;
-/// Size of a memory page, in which `/proc/self/statm` counts.
+/// Size of a memory page in bytes. `/proc/self/statm` counts in pages.
 const PAGE_BYTES: usize = 4096;
 
 /// Cost of one fleet for its leader.
@@ -31,13 +31,13 @@
     pub placed: usize,
     /// Duration of the placement pass that filled all CPUs of the fleet.
     pub filling_pass: Duration,
-    /// Duration of a placement pass with one more job, when no machine has room.
+    /// Duration of a placement pass with one more job, when no machine has a free CPU.
     pub full_pass: Duration,
     /// Mean duration of a heartbeat of a machine that runs its tasks.
     pub heartbeat: Duration,
 }
 
-/// Creates a leader with this many empty machines and a job that fills them, and measures its cost.
+/// Creates a leader with this many empty machines and a job that uses all their CPUs, and measures the leader's cost.
 pub fn measure(machines: u32) -> FleetCost {
     let before = resident_bytes();
     let mut scheduler = SchedulerState::new(config(machines), TERM, at(0), 1);
--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -17,7 +17,7 @@
 const LASTS_S: f64 = 60.0;
 /// Number of jobs in a run.
 const JOBS: u32 = 90;
-/// A job that takes longer than this, in seconds, is late. Alone on its machine it takes a third of this.
+/// A job that takes longer than this, in seconds, is late. The run time of its tasks is at most a third of this.
 const LATE_S: f64 = 60.0;
 
 /// A fault of the leader's links.
@@ -57,15 +57,17 @@
     ("state 36 s", Fault::StoreFlaps(36.0)),
 ];
 
-const WITHOUT: fn(usize) -> &'static [&'static str] = |_| &[];
-const WITH: fn(usize) -> &'static [&'static str] = |_| &["--half-cut-links"];
+const WITHOUT_FLAG: fn(usize) -> &'static [&'static str] = |_| &[];
+const WITH_FLAG: fn(usize) -> &'static [&'static str] = |_| &["--half-cut-links"];
 
 /// Measurements of one fault, with or without the flag, over all seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements {
-    /// Time from the cut to the last task start that the first leader decided, in seconds.
+    /// Time from the cut to the last task start, during the fault, that the first leader decided, in seconds; 0 if
+    /// there is none.
     pub last_decision: Distribution,
-    /// Time from the cut to the first task start that the next leader decided, in seconds; only of runs with one.
+    /// Time from the cut to the first task start, during the fault, that a later leader decided, in seconds; only of
+    /// runs with such a start.
     pub next_decision: Distribution,
     /// Leaders per minute during the fault.
     pub leaders_per_minute: Distribution,
@@ -80,7 +82,7 @@
 }
 
 impl Fault {
-    /// Cuts the links of the current leader.
+    /// Starts this fault of the current leader's links.
     fn begin(self, sim: &Arc<Simulation>) {
         let leader = sim.leader_or_any();
         let own = Endpoint::Node(leader);
@@ -118,7 +120,7 @@
 /// Runs a fault with each seed, and with `--half-cut-links` if `with_flag` is set.
 pub fn measure(fault: Fault, seeds: &[u64], with_flag: bool) -> Measurements {
     let setup = Setup {
-        flags: if with_flag { WITH } else { WITHOUT },
+        flags: if with_flag { WITH_FLAG } else { WITHOUT_FLAG },
         ..Setup::default()
     };
     let summaries = run_seeds(seeds, &setup, |sim, rng| {
@@ -199,7 +201,7 @@
 /// Reads a figure from the measurements.
 type Select = fn(&Measurements) -> Option<f64>;
 
-/// Figures of the report: title, unit, and how the figure is read.
+/// Figures of the report: title, unit, and the function that reads the figure from the measurements.
 const FIGURES: [(&str, &str, Select); 6] = [
     (
         "From the cut to the old leader's last decision, median",
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -6,7 +6,7 @@
  table{border-collapse:collapse;margin:1rem 0}th,td{padding:.25rem .7rem;border-bottom:1px solid #ccc;\
  text-align:right}th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}";
 
-/// A table of texts.
+/// A table whose cells are texts.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// Titles of the columns.
--- a/crates/report/src/statistics.rs
+++ b/crates/report/src/statistics.rs
@@ -6,7 +6,7 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// Largest recorded value, in thousandths; larger values count as this one. In seconds this is more than a day.
 const MAX_VALUE: u64 = 100_000_000;
-/// Factor from a value to its recorded form: values are kept in thousandths.
+/// Factor from a value to the number that is recorded for it: values are kept in thousandths.
 const SCALE: f64 = 1000.0;
 
 /// Distribution of the values of one quantity.
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -17,7 +17,8 @@
         state.faults_until = state.faults_until.max(self.now() + secs(span));
     }
 
-    /// Makes the store refuse all requests for `span` seconds.
+    /// Makes the store refuse all requests for `span` seconds. At the end of the outage every lease gets its full
+    /// duration again.
     pub fn store_outage(self: &Arc<Self>, span: f64) {
         self.state().store_is_down = true;
         self.note_fault(span);
@@ -32,7 +33,7 @@
         });
     }
 
-    /// Makes the store refuse the requests of one node, and of no other, for `span` seconds.
+    /// Makes the store refuse all requests of this node, but not those of other nodes, for `span` seconds.
     pub fn refuse_node(self: &Arc<Self>, node: usize, span: f64) {
         let until = self.now() + secs(span);
         self.state().nodes[node].refused_until = until;
@@ -66,7 +67,7 @@
     }
 
     /// Leaves a random share of the store's transactions unanswered for `span` seconds. They are executed at once if
-    /// `at_once` is true, or else 2 to 12 seconds later.
+    /// `at_once` is true, or else 2 to 12 seconds later if the store is up then.
     pub fn leave_writes_unanswered(&self, share: f64, at_once: bool, span: f64) {
         let until = self.now() + secs(span);
         self.state().unanswered_writes = Some(UnansweredWrites {
@@ -111,7 +112,7 @@
         self.flap_until(directions, period, end);
     }
 
-    /// Cuts these directions for half a period, and schedules the next cut after a period unless `end` has come.
+    /// Cuts these directions for half a period, and again after each period until `end`.
     pub(crate) fn flap_until(self: &Arc<Self>, directions: Vec<Direction>, period: f64, end: Time) {
         if self.now() >= end {
             return;
--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -22,10 +22,10 @@
 
 /// Number of controllers in the cluster.
 pub const NODES: usize = 3;
-/// Time that a task runs, in milliseconds.
+/// Run time of a task, in milliseconds.
 pub const TASK_MS: u64 = 900;
 
-/// Relays from each controller to the workers, and the traffic of relays to workers that are yet to be created.
+/// Relays from each controller to the workers, and the traffic that is set on the relays of new workers.
 #[derive(Default)]
 struct WorkerRelays {
     relays: [Vec<Relay>; NODES],
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -35,7 +35,7 @@
     last_number: u32,
     /// Jobs that have not ended.
     open: Vec<JobPlan>,
-    /// One in this many jobs is cancelled.
+    /// A cancellation is requested for one in this many jobs, unless the job ends first.
     cancel_one_in: u32,
     demand: Demand,
 }
@@ -58,7 +58,7 @@
         self.demand = demand;
     }
 
-    /// Sets that one in this many jobs is cancelled at some time.
+    /// Sets that a cancellation is requested, at a random time, for one in this many jobs.
     pub fn cancel_one_in(&mut self, one_in: u32) {
         self.cancel_one_in = one_in;
     }
@@ -116,7 +116,7 @@
         });
     }
 
-    /// Submits jobs and sends requests about them for this long.
+    /// Submits jobs and sends requests about them until `span` has passed.
     pub fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
--- a/crates/simulation/src/stand_ins/relay.rs
+++ b/crates/simulation/src/stand_ins/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Interval at which a direction without traffic checks whether it has been opened, blocked or reset.
+/// Interval at which a direction without traffic checks whether its treatment has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Timeout of a connection to the target, and of a response to bytes that were delivered late.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -16,14 +16,15 @@
     /// Bytes are forwarded as they arrive.
     #[default]
     Passes,
-    /// Bytes are held back, and delivered when the direction is open again.
+    /// Bytes are held back, and forwarded once the direction is no longer blocked.
     Blocked,
     /// Bytes are forwarded after this delay.
     Delayed(Duration),
-    /// Bytes sent to the target are held back for this long, even if the sender has timed out and closed the
-    /// connection meanwhile, and then delivered once, on a separate connection. The response is discarded.
+    /// Bytes sent to the target are held back for at least this long, and until the sender has timed out and closed
+    /// the connection. They are then delivered once, on a separate connection, and the response is discarded. Bytes
+    /// from the target are forwarded as they arrive.
     Late(Duration),
-    /// Connections are reset: open ones are closed, and new ones are closed at once.
+    /// Open connections are closed, and new ones are closed at once.
     Reset,
 }
 
--- a/crates/simulation/src/stand_ins/store_server.rs
+++ b/crates/simulation/src/stand_ins/store_server.rs
@@ -60,7 +60,7 @@
         *self.down.lock().unwrap() = false;
     }
 
-    /// Answers a watch as soon as there are changes, or when its hold time is over.
+    /// Answers a watch as soon as there are changes, or after its `max_wait`.
     fn changes(&self, watch: &Watch) -> StoreResponse {
         let deadline = Instant::now() + watch.max_wait;
         let mut store = self.store.lock().unwrap();
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -41,20 +41,20 @@
 /// Maps a worker's own address to the addresses by which controllers reach it, one for each controller.
 pub type WorkerRoutes = Box<dyn Fn(SocketAddr) -> Vec<SocketAddr> + Send + Sync>;
 
-/// State and options that all workers share: the running tasks, and tasks that ran more than once at a time.
+/// State and options that all workers share.
 #[derive(Default)]
 pub struct WorkerEnvironment {
     /// Checker that is informed of starts and ends of tasks; `None`: the rules are not checked.
     pub timed_checker: Mutex<Option<TimedChecker>>,
     /// Time between two heartbeats of a worker, in milliseconds; 0 stands for 100.
     pub heartbeat_interval_ms: AtomicU64,
-    /// Time that a task runs, in milliseconds; 0 stands for 150.
+    /// Run time of a task, in milliseconds; 0 stands for 150.
     pub task_duration_ms: AtomicU64,
     /// Machine of each running task, by task id.
     pub running: Mutex<HashMap<String, String>>,
     /// Ids of all tasks that were ever started.
     pub started: Mutex<HashSet<String>>,
-    /// Tasks that were started while they already ran, with both machines.
+    /// Descriptions of the tasks that were started while they already ran, each with both machines.
     pub duplicate_runs: Mutex<Vec<String>>,
     /// Ids of jobs whose tasks run until they are stopped.
     pub endless: Mutex<HashSet<String>>,
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Ends the tasks whose time is over, and returns the next report for the controller with this number.
-    fn report(&self, controller: usize) -> Heartbeat {
+    /// Ends the tasks whose run time is over, and returns the next heartbeat for the controller with this number.
+    fn next_heartbeat(&self, controller: usize) -> Heartbeat {
         let mut state = self.state.lock().unwrap();
         for task in &mut state.tasks {
             if task.ends_at.is_some_and(|end| end <= Instant::now()) {
@@ -295,7 +295,7 @@
         self.execute(&reply.commands);
     }
 
-    /// Sends heartbeats until the machine is removed. After a refusal the worker goes to the controller that the
+    /// Sends heartbeats until the machine is removed. After a refusal the worker sends them to the controller that the
     /// refusal names as leader; after a refusal without a known name, or a failure, to the next controller.
     pub fn run(self: Arc<Self>, controllers: Vec<(String, SocketAddr)>) {
         let mut controller = 0;
@@ -304,13 +304,13 @@
             self.expire_lease();
             let sent = Instant::now();
             let client = Client::new(controllers[controller].1);
-            let report = self.report(controller);
+            let heartbeat = self.next_heartbeat(controller);
             self.controller.store(controller, Ordering::Relaxed);
-            let body = encode(&report);
+            let body = encode(&heartbeat);
             let result = client.call("POST", "/checkin", &body, HEARTBEAT_TIMEOUT);
             match result {
                 Ok(ClientResponse { status: 200, body }) => {
-                    self.apply_reply(&decode(&body).unwrap(), report.agent_epoch, sent)
+                    self.apply_reply(&decode(&body).unwrap(), heartbeat.agent_epoch, sent)
                 }
                 Ok(ClientResponse { status: 421, body }) => {
                     let named = leader_of(&body).and_then(|leader| {
@@ -328,8 +328,7 @@
     fn handle(&self, request: Request) -> Response {
         let commands: DirectCommands = decode(&request.body).unwrap();
         let controller = self.controller.load(Ordering::Relaxed);
-        // A lease that has expired ends before anything else happens, also if the commands were held back on their
-        // way.
+        // An expired lease is handled before the commands are checked, even if the commands were delayed on their way.
         self.expire_lease();
         let _guard = self.command_lock.lock().unwrap();
         let is_refused = {
@@ -342,9 +341,9 @@
             refused
         };
         if is_refused {
-            return Response::new(409, encode(&self.report(controller)));
+            return Response::new(409, encode(&self.next_heartbeat(controller)));
         }
         self.execute(&commands.commands);
-        Response::new(200, encode(&self.report(controller)))
+        Response::new(200, encode(&self.next_heartbeat(controller)))
     }
 }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -23,13 +23,13 @@
     pub process: Option<u64>,
     /// Controller object of the running process.
     pub controller: Option<Arc<Controller>>,
-    /// End of a fault in which the store refuses its requests.
+    /// End of a fault in which the store refuses the controller's requests.
     pub refused_until: Time,
-    /// End of a cut between it and the store.
+    /// End of a cut between the controller and the store.
     pub store_cut_until: Time,
-    /// End of a cut between it and the other controllers.
+    /// End of a cut between the controller and the other controllers.
     pub peers_cut_until: Time,
-    /// End of a cut between it and all workers.
+    /// End of a cut between the controller and all workers.
     pub workers_cut_until: Time,
 }
 
@@ -38,7 +38,7 @@
 pub struct UnansweredWrites {
     /// Share of the transactions that are affected.
     pub share: f64,
-    /// True if they are executed at once, false if later.
+    /// True if these transactions are executed at once, false if after a random delay.
     pub at_once: bool,
     /// Time at which the fault ends.
     pub until: Time,
@@ -61,9 +61,9 @@
     pub store: FakeStore,
     /// True while the store refuses all requests.
     pub store_is_down: bool,
-    /// Key that is deleted from the store before each request, so that nobody can read it; none if empty.
+    /// Key that is deleted from the store before each request, so that no request finds it; no key if empty.
     pub hidden_key: String,
-    /// Sleeping tasks (task and sleep numbers) that wait for changes in the key-value store.
+    /// Simulated threads that wait for changes in the key-value store, each with the number of its sleep.
     pub watchers: Vec<(u64, u64)>,
     /// Additional delay of the key-value store's answers.
     pub store_delay: Time,
--- a/crates/simulation/src/worker_commands.rs
+++ b/crates/simulation/src/worker_commands.rs
@@ -10,11 +10,11 @@
 
 /// Arrival of a message at a worker.
 enum Arrival {
-    /// It arrives now.
+    /// The message arrives now.
     Now,
-    /// It is held back until this time, and arrives after it.
+    /// The message is held back until this time, and arrives after it.
     After(Time),
-    /// It is lost.
+    /// The message is lost.
     Never,
 }
 
@@ -80,8 +80,8 @@
         Some(*last)
     }
 
-    /// Delivers direct commands now, or after a delay if the fault of delayed commands affects them; their answer is
-    /// lost then.
+    /// Delivers direct commands now, or after a delay if the fault of delayed commands affects them. The answer to
+    /// delayed commands is lost.
     pub fn commands_sent(
         self: &Arc<Self>,
         node: usize,
@@ -90,7 +90,7 @@
         then: impl FnOnce(&Arc<Simulation>, (u16, Vec<u8>)) + Send + 'static,
     ) {
         match self.command_delayed_until(node, worker) {
-            Some(later) => self.at_time(later, move |sim| {
+            Some(delivered_at) => self.at_time(delivered_at, move |sim| {
                 sim.commands_arrive(node, worker, body, |_, _| {});
             }),
             None => self.commands_arrive(node, worker, body, then),
@@ -141,8 +141,8 @@
             Arrival::Now => {}
             Arrival::Never => return,
             Arrival::After(until) => {
-                let later = until + self.latency();
-                return self.at_time(later, move |sim| {
+                let delivered_at = until + self.latency();
+                return self.at_time(delivered_at, move |sim| {
                     sim.commands_arrive(node, addr, body, then)
                 });
             }
--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -38,7 +38,7 @@
     launch: Launch,
     configs: Vec<PathBuf>,
     children: Mutex<Vec<Child>>,
-    /// By controller: false after `kill` until `start`.
+    /// Whether each controller is running: false from `kill` until `start`.
     running: Mutex<Vec<bool>>,
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,10 +16,11 @@
 /// Number of jobs that one user thread has open at the same time.
 const OPEN_JOBS: usize = 8;
 /// Size of the range of job numbers of one user thread.
-const JOBS_EACH: u32 = 100_000;
+const JOB_NUMBERS_PER_USER: u32 = 100_000;
 /// CPUs of a machine of the stand-in cloud.
 const MACHINE_CPUS: f64 = 8.0;
-/// Above this number of workers heartbeats are less frequent, as in production.
+/// Number of workers above which heartbeats are less frequent, as in production, and all machines are created at the
+/// start of the run.
 const MANY_WORKERS: u32 = 50;
 /// Flags of a run with more than `MANY_WORKERS` workers: idle machines are kept, so that the run has all its machines
 /// from start to end.
@@ -36,7 +37,7 @@
     pub seed: u64,
     /// Approximate maximum number of workers that the jobs need.
     pub workers: u32,
-    /// Time from the start of the run in which faults begin.
+    /// Length of the period, from the start of the run, in which faults begin.
     pub fault_period: Duration,
 }
 
@@ -80,7 +81,7 @@
         began: Instant::now(),
         stop,
     };
-    let users_until = plan.fault_period + longest_after_effect();
+    let users_until = plan.fault_period + submission_time_after_faults();
     std::thread::scope(|scope| {
         for number in 0..USERS {
             let run = &run;
@@ -128,9 +129,9 @@
     });
 }
 
-/// Time after the last fault in which messages that it held back can still arrive and a cancellation can still take
-/// effect.
-fn longest_after_effect() -> Duration {
+/// Time after the fault period during which users still submit jobs, so that cancellations take effect and most of the
+/// messages that faults held back arrive in it. Commands with the longest delays, up to 24 s, can arrive later.
+fn submission_time_after_faults() -> Duration {
     Duration::from_secs_f64(CANCEL_S) + Duration::from_secs(14)
 }
 
@@ -149,6 +150,7 @@
     }
 }
 
+/// Parts of a run that all its threads use.
 struct Run<'a> {
     cluster: &'a LoopbackCluster,
     controllers: &'a Controllers,
@@ -161,7 +163,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Waits until this time of the run; returns false if the run has been stopped.
+    /// Waits until this time after the start of the run. Returns early, with false, if the run is stopped.
     fn wait_until(&self, at: Duration) -> bool {
         while self.began.elapsed() < at && !self.is_stopped() {
             std::thread::sleep(STOP_CHECK_INTERVAL);
@@ -169,12 +171,13 @@
         !self.is_stopped()
     }
 
-    /// Runs one user thread, which cancels half of its jobs, until `users_until`, and then until its jobs have ended.
+    /// Runs one user thread, which requests the cancellation of half of its jobs. It submits jobs until `users_until`,
+    /// and then waits until its jobs have ended.
     fn run_users(&self, plan: &RunPlan, number: u32, users_until: Duration) {
         let mut users = Users::new(
             self.cluster,
             plan.seed ^ u64::from(number),
-            number * JOBS_EACH,
+            number * JOB_NUMBERS_PER_USER,
         );
         users.cancel_one_in(2);
         let tasks = plan.workers / (USERS * OPEN_JOBS as u32 / 2);
@@ -280,7 +283,8 @@
     }
 }
 
-/// True if nothing failed, the run was not stopped, and at least one job was done: a run without any proves nothing.
+/// True if nothing failed, the run was not stopped, and at least one job was done: a run in which no job was done
+/// proves nothing.
 pub fn has_passed(report: &RunReport) -> bool {
     report.failures.is_empty() && report.done > 0 && !report.is_partial
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -48,7 +48,7 @@
         target: Target,
         /// Time from the sending of a command to its arrival.
         late_by: Duration,
-        /// Period in which commands that are sent are delayed.
+        /// Duration of the fault: commands that are sent in this time are delayed.
         lasts: Duration,
     },
     /// The key-value store refuses all requests.
@@ -108,8 +108,8 @@
 const FIRST_FAULT_AT: Duration = Duration::from_millis(2500);
 
 impl Schedule {
-    /// Draws faults over this time. Groups of one to three faults begin every 2 s to 6 s, each fault up to 1.5 s
-    /// after the start of its group.
+    /// Draws the faults of a run. Until `length`, groups of one to three faults begin every 2 s to 6 s, each fault up
+    /// to 1.5 s after the start of its group.
     pub fn draw(seed: u64, length: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let kinds = draw_kinds(&mut rng);
@@ -143,8 +143,8 @@
     }
 }
 
-/// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: where leaders are killed all the time,
-/// nothing lasts long enough to be late.
+/// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: if leaders are killed all the time, no
+/// leader lasts long enough for its commands to arrive late.
 fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<Kind> {
     let mut kinds = ALL_KINDS.to_vec();
     rng.shuffle(&mut kinds);
--- a/src/link_health/command.rs
+++ b/src/link_health/command.rs
@@ -57,8 +57,9 @@
     pub report: Result<LinkReport, ReportRequestError>,
 }
 
-/// Requests the link reports of all configured controllers in parallel. Returns the results ordered by name, after
-/// little more than twice `timeout` at the latest, whatever the other ends do.
+/// Requests the link reports of all configured controllers in parallel, and returns the results ordered by name. The
+/// results are collected one after the other, and each is waited for no longer than twice `timeout`, even if the
+/// other end sends its reply slowly.
 pub fn request_link_reports(settings: &Settings, timeout: Duration) -> Vec<ControllerAnswer> {
     let own_node = (settings.node.clone(), settings.peer_listen);
     let members = settings.members.iter();
@@ -69,7 +70,8 @@
         .into_iter()
         .map(|(node, addr)| {
             let (sender, receiver) = mpsc::channel();
-            // A reply that arrives byte by byte delays this thread, but not the command.
+            // A reply that arrives byte by byte can keep this thread busy beyond the timeout. The command doesn't
+            // wait for the thread to end.
             std::thread::spawn(move || {
                 let _ = sender.send(request_link_report(addr, timeout));
             });
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Waits until all direct calls in flight have ended, so that none of their commands arrives at a worker after
-    /// the next leader has been elected.
+    /// Waits until all direct calls in flight have ended, but no longer than `MAX_CALL_WAIT`. A command of such a call
+    /// could otherwise arrive at a worker after the next leader has been elected.
     fn await_direct_calls(&self) {
         let started_at = self.now();
         let calls_in_flight = || {
--- a/src/placement/bin_packing.rs
+++ b/src/placement/bin_packing.rs
@@ -6,10 +6,11 @@
 use crate::scheduler::SchedulerState;
 use crate::workers::Machine;
 
-/// Cost, in seconds, of a CPU at twice the cheapest price; other prices cost in proportion to their premium.
+/// Cost, in seconds, of a machine whose CPUs cost twice the cheapest price. Other prices count in proportion to their
+/// premium over the cheapest.
 const PRICE_WEIGHT: f64 = 6.0;
 
-/// Upper limit of the cost of a price, in seconds.
+/// Upper limit of the part of the cost that is due to the price, in seconds.
 const MAX_PRICE_COST: f64 = 10.0;
 
 /// Cost, in seconds, of a machine whose CPUs would all stay free, and in proportion for a part of them: fuller
@@ -22,8 +23,9 @@
 /// Fraction of an image that remains to be fetched, on average, while a fetch is under way.
 const REMAINING_FETCH_FRACTION: f64 = 0.5;
 
-/// One in this many of the machines with free capacity is drawn where that is more than the configured sample: a
-/// sample of three out of hundreds seldom includes a machine that has the image or is nearly full.
+/// Divisor of the number of machines with free capacity, which gives the number of candidates drawn at random if that
+/// is more than the configured sample: a sample of three out of hundreds seldom includes a machine that has the image
+/// or is nearly full.
 const SAMPLE_DIVISOR: usize = 16;
 
 /// Index of a candidate in the pass, and its cost in seconds.
--- a/src/scheduler/run_times.rs
+++ b/src/scheduler/run_times.rs
@@ -8,7 +8,8 @@
 /// Expected run time of a standing job's replica. It is only nominal, since a replica isn't expected to end.
 const STANDING_JOB_RUN_TIME: Micros = Micros::from_secs(24 * 3600);
 
-/// Safety factor on the expected run time when a start time is derived from the time by which a job should end.
+/// Factor on the expected run time, as a safety margin, in the latest start time that is derived from the time by
+/// which a job should end.
 const RUN_TIME_MARGIN: f64 = 1.2;
 
 impl SchedulerState {
@@ -39,7 +40,7 @@
     }
 
     /// Latest time at which the job's tasks should start to meet its own deadline and the objectives for its class.
-    /// Without a deadline or an objective this is the time at which the job was accepted.
+    /// For a standing job, and without a deadline or an objective, this is the time at which the job was accepted.
     pub fn latest_start(&self, job: &Job) -> Moment {
         if job.spec.is_standing() {
             return job.accepted_at;
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -51,8 +51,8 @@
     effect
 }
 
-/// Applies the exit of a standing job's replica. It isn't an outcome: the replica is started again. If replicas exit
-/// soon after their start on several machines in a row, the job's next start is delayed by an increasing backoff.
+/// Applies the exit of a standing job's replica, which is always started again. If replicas exit soon after their
+/// start on several machines in a row, the job's next start is delayed by an increasing backoff.
 fn apply_replica_exit(exit: &Exit, lasted: bool, job: &mut Job, machine: &mut Machine) {
     match exit.exit_reason {
         ExitReason::Done | ExitReason::Error if lasted => job.failed_on.clear(),
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -156,7 +156,7 @@
         self
     }
 
-    /// Accepts a job of which no task is claimed.
+    /// Accepts a job none of whose tasks is claimed by an earlier term.
     pub fn job(&mut self, submission: Submission) -> &mut Self {
         self.job_with_watermark(submission, 0)
     }
@@ -197,7 +197,7 @@
         self
     }
 
-    /// Creates the next report of a machine, without sending it.
+    /// Creates the next heartbeat of a machine, without sending it.
     pub fn report(
         &mut self,
         machine: &str,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Sends a report with the latest fencing token that the machine has received, in agent epoch 1.
+    /// Sends a heartbeat with the latest fencing token that the machine has received, in agent epoch 1.
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
         let fencing_token = self.known_token(machine);
         let report = self.report(machine, fencing_token, 1, tasks);
@@ -236,13 +236,13 @@
         sent.unwrap_or(self.scheduler.term)
     }
 
-    /// Sends a report and logs the reply.
+    /// Sends a heartbeat and logs the reply.
     pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
         self.send_for_token(report);
         self
     }
 
-    /// Sends a report and logs the reply. Returns the fencing token of the reply, if it carries one.
+    /// Sends a heartbeat and logs the reply. Returns the fencing token of the reply, if it carries one.
     pub fn send_for_token(&mut self, report: &Heartbeat) -> Option<u64> {
         // In a trace start watermarks and the machine registry are written as soon as they are due.
         self.scheduler.run_placement_pass(self.now);
@@ -293,8 +293,7 @@
             report.fencing_token,
             tasks.join(", ")
         ));
-        // A placement pass that came too soon after the previous one left its work undone; the next timer event
-        // would do it.
+        // A placement pass too soon after the previous one is deferred to the next timer event. A trace runs it now.
         if self.scheduler.placement.due {
             self.scheduler.run_placement_pass(self.now);
         }
@@ -372,7 +371,7 @@
         self
     }
 
-    /// Runs one round of writes. With `commit` the store has applied them, else it gave no answer.
+    /// Runs one round of writes. If `commit` is true, the store applies them, otherwise it doesn't answer.
     pub fn write_round(&mut self, commit: bool) -> &mut Self {
         let mut writes: Vec<PendingWrite> = self.scheduler.pending_final_writes(12);
         writes.extend(self.scheduler.pending_done_sets(100));
@@ -406,7 +405,7 @@
         self
     }
 
-    /// Logs the status of a job that users get.
+    /// Logs the status of a job as users see it.
     pub fn view(&mut self, id: &str) -> &mut Self {
         let text = match self.scheduler.job_status(id) {
             LocalStatus::View(v) => format!(
