--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -43,7 +43,7 @@
     let mut scheduler = SchedulerState::new(config(machines), TERM, at(0), 1);
     scheduler.provisioning.catalog = catalog().types();
     for number in 0..machines {
-        scheduler.heartbeat(&report(number, 1, Vec::new()), at(1));
+        scheduler.heartbeat(&heartbeat_of(number, 1, Vec::new()), at(1));
     }
     for (revision, write) in scheduler
         .pending_registry_writes(false)
@@ -54,7 +54,7 @@
     }
     scheduler.release_prior_term(at(60));
     for number in 0..machines {
-        scheduler.heartbeat(&report(number, 2, Vec::new()), at(60));
+        scheduler.heartbeat(&heartbeat_of(number, 2, Vec::new()), at(60));
     }
     add_job(&mut scheduler, 1, machines * TASKS_PER_MACHINE, 61);
     let filling_start = Instant::now();
@@ -65,15 +65,15 @@
     let full_start = Instant::now();
     scheduler.run_placement_pass(at(62));
     let full_pass = full_start.elapsed();
-    let reports: Vec<Heartbeat> = (0..machines)
-        .map(|number| report(number, 3, running_tasks(&scheduler, number)))
+    let heartbeats: Vec<Heartbeat> = (0..machines)
+        .map(|number| heartbeat_of(number, 3, running_tasks(&scheduler, number)))
         .collect();
     let heartbeats_start = Instant::now();
-    for report in &reports {
-        scheduler.heartbeat(report, at(63));
+    for heartbeat in &heartbeats {
+        scheduler.heartbeat(heartbeat, at(63));
     }
     let heartbeat = heartbeats_start.elapsed() / machines;
-    drop(reports);
+    drop(heartbeats);
     FleetCost {
         machines,
         bytes: resident_bytes().saturating_sub(before),
@@ -125,7 +125,7 @@
     decode(&encode(&wire.expect("valid CBOR"))).expect("valid catalog")
 }
 
-fn report(number: u32, sequence: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
+fn heartbeat_of(number: u32, sequence: u64, tasks: Vec<ReportedTask>) -> Heartbeat {
     Heartbeat {
         machine: machine_name(number),
         addr: "10.1.0.1:9000".into(),
--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 
 /// Time of a run at which the fault begins, in seconds.
-const BEGINS_S: f64 = 30.0;
+const FAULT_START_S: f64 = 30.0;
 /// Duration of the fault, in seconds.
-const LASTS_S: f64 = 60.0;
+const FAULT_DURATION_S: f64 = 60.0;
 /// Number of jobs in a run.
 const JOBS: u32 = 90;
 /// A job that takes longer than this, in seconds, is late. The run time of its tasks is at most a third of this.
@@ -90,19 +90,19 @@
         let cut = |directions: Vec<Direction>| {
             directions
                 .into_iter()
-                .for_each(|direction| sim.cut_direction(direction, LASTS_S))
+                .for_each(|direction| sim.cut_direction(direction, FAULT_DURATION_S))
         };
         match self {
             Fault::NoReports => cut(vec![Direction::new(Endpoint::Workers, own)]),
             Fault::NoAnswers => cut(vec![Direction::new(own, Endpoint::Workers)]),
             Fault::NoWorkers => cut(both(Endpoint::Workers)),
             Fault::NoStore => cut(both(Endpoint::Store)),
-            Fault::WritesRefused => sim.refuse_writes(leader, LASTS_S),
+            Fault::WritesRefused => sim.refuse_writes(leader, FAULT_DURATION_S),
             Fault::WorkersFlap(period) => {
-                sim.flap_directions(both(Endpoint::Workers), period, LASTS_S)
+                sim.flap_directions(both(Endpoint::Workers), period, FAULT_DURATION_S)
             }
             Fault::StoreFlaps(period) => {
-                sim.flap_directions(both(Endpoint::Store), period, LASTS_S)
+                sim.flap_directions(both(Endpoint::Store), period, FAULT_DURATION_S)
             }
             Fault::OnlyStore => {
                 let is_store_link = |direction: &Direction| {
@@ -128,7 +128,7 @@
             plan.run_s = 4.0 + f64::from(number % 5) * 4.0
         });
         cancel_after_acceptance(sim, &every_nth(&ids, 6), 15.0, rng);
-        sim.at(BEGINS_S, move |sim| fault.begin(sim));
+        sim.at(FAULT_START_S, move |sim| fault.begin(sim));
     });
     let mut measurements = Measurements::default();
     for summary in &summaries {
@@ -141,11 +141,11 @@
     /// Adds the results of one run.
     fn add(&mut self, summary: &Summary) {
         let seconds = |time: u64| time as f64 / 1e6;
-        let during = |time: f64| (BEGINS_S..BEGINS_S + LASTS_S).contains(&time);
+        let during = |time: f64| (FAULT_START_S..FAULT_START_S + FAULT_DURATION_S).contains(&time);
         let first_term = summary
             .terms
             .iter()
-            .rfind(|(at, _, _)| seconds(*at) < BEGINS_S);
+            .rfind(|(at, _, _)| seconds(*at) < FAULT_START_S);
         let first_term = first_term.map_or(0, |(_, term, _)| *term);
         let starts = || {
             summary
@@ -155,17 +155,18 @@
                 .map(|(at, term)| (seconds(*at), *term))
         };
         let old = starts().filter(|(at, term)| *term == first_term && during(*at));
-        let last_old = old.map(|(at, _)| at).fold(BEGINS_S, f64::max);
-        self.last_decision.add(last_old - BEGINS_S);
+        let last_old = old.map(|(at, _)| at).fold(FAULT_START_S, f64::max);
+        self.last_decision.add(last_old - FAULT_START_S);
         let mut new = starts().filter(|(at, term)| *term > first_term && during(*at));
         self.next_decision
-            .extend(new.next().map(|(at, _)| at - BEGINS_S));
+            .extend(new.next().map(|(at, _)| at - FAULT_START_S));
         let leaders = summary
             .terms
             .iter()
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
-        self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
+        self.leaders_per_minute
+            .add(leaders as f64 * 60.0 / FAULT_DURATION_S);
         self.unanswered.add(f64::from(summary.unanswered_requests));
         self.turnaround.extend(summary.turnaround_s.iter().copied());
         let late = summary.turnaround_s.iter().filter(|t| **t > LATE_S).count();
@@ -252,7 +253,8 @@
     let about = format!(
         "Simulated machines and time, production code of the controllers; three controllers, eight machines, \
          {JOBS} jobs; {seeds} seeds for each fault, the same with and without --half-cut-links. The fault begins \
-         after {BEGINS_S} s and lasts {LASTS_S} s. A job is late after {LATE_S} s. Figures: without → with the flag."
+         after {FAULT_START_S} s and lasts {FAULT_DURATION_S} s. A job is late after {LATE_S} s. Figures: without → \
+         with the flag."
     );
     let mut blocks = vec![Block::Paragraph(about), Block::Table(table(comparisons))];
     for (title, unit, select) in FIGURES {
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -5,7 +5,7 @@
 /// Width and height in pixels.
 const SIZE: (u32, u32) = (1150, 420);
 const FONT: (&str, i32) = ("sans-serif", 15);
-const COLOURS: [RGBColor; 3] = [
+const COLORS: [RGBColor; 3] = [
     RGBColor(136, 136, 136),
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -76,12 +76,12 @@
             .label_style(FONT)
             .draw()?;
         for (number, name) in self.series.iter().enumerate() {
-            let colour = COLOURS[number % COLOURS.len()];
+            let color = COLORS[number % COLORS.len()];
             chart
-                .draw_series(self.bars(number, colour))?
+                .draw_series(self.bars(number, color))?
                 .label(name)
                 .legend(move |(x, y)| {
-                    Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled())
+                    Rectangle::new([(x, y - 5), (x + 12, y + 5)], color.filled())
                 });
         }
         chart
@@ -96,14 +96,14 @@
     }
 
     /// Returns the bars of one series.
-    fn bars(&self, number: usize, colour: RGBColor) -> Vec<Rectangle<(f64, f64)>> {
+    fn bars(&self, number: usize, color: RGBColor) -> Vec<Rectangle<(f64, f64)>> {
         let width = BARS_WIDTH / self.series.len() as f64;
         let mut bars = Vec::new();
         for (group, (_, values)) in self.groups.iter().enumerate() {
             if let Some(Some(value)) = values.get(number) {
                 let left = group as f64 + (1.0 - BARS_WIDTH) / 2.0 + width * number as f64;
                 let corners = [(left, 0.0), (left + width, *value)];
-                bars.push(Rectangle::new(corners, colour.filled()));
+                bars.push(Rectangle::new(corners, color.filled()));
             }
         }
         bars
--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -68,7 +68,7 @@
     }
 
     /// Adds a new job to the open ones; `send_one_request` submits it.
-    fn submit(&mut self) {
+    fn add_job(&mut self) {
         self.last_number += 1;
         let tasks = self.rng.u32(1..=self.demand.max_tasks);
         let plan = JobPlan::new(
@@ -121,7 +121,7 @@
         let until = Instant::now() + span;
         while Instant::now() < until {
             if self.open.len() < self.demand.open_jobs {
-                self.submit();
+                self.add_job();
             }
             self.send_one_request();
             self.cluster.with_checker(Checker::check_time_limits);
--- a/crates/simulation/src/stand_ins/worker.rs
+++ b/crates/simulation/src/stand_ins/worker.rs
@@ -163,7 +163,7 @@
         let mut state = self.state.lock().unwrap();
         state.gone = true;
         for task in &mut state.tasks {
-            self.exit(task, ExitReason::Stopped);
+            self.exit_task(task, ExitReason::Stopped);
         }
         state.tasks.clear();
     }
@@ -210,7 +210,9 @@
                             .then(|| Instant::now() + self.environment.task_duration()),
                     });
                 }
-                (CommandKind::Stop, Some(i)) => self.exit(&mut state.tasks[i], ExitReason::Stopped),
+                (CommandKind::Stop, Some(i)) => {
+                    self.exit_task(&mut state.tasks[i], ExitReason::Stopped)
+                }
                 (CommandKind::Clear, Some(i)) => {
                     state.tasks.remove(i);
                 }
@@ -219,7 +221,7 @@
         }
     }
 
-    fn exit(&self, task: &mut Task, exit_reason: ExitReason) {
+    fn exit_task(&self, task: &mut Task, exit_reason: ExitReason) {
         if task.report.status != TaskStatus::Exited {
             task.report.status = TaskStatus::Exited;
             task.report.exit_reason = Some(exit_reason);
@@ -239,7 +241,7 @@
         let mut state = self.state.lock().unwrap();
         for task in &mut state.tasks {
             if task.ends_at.is_some_and(|end| end <= Instant::now()) {
-                self.exit(task, ExitReason::Done);
+                self.exit_task(task, ExitReason::Done);
             }
         }
         state.sequence += 1;
@@ -269,7 +271,7 @@
         let mut state = self.state.lock().unwrap();
         if state.lease_start.elapsed() > Duration::from_secs_f64(LEASE_S) {
             for task in &mut state.tasks {
-                self.exit(task, ExitReason::Stopped);
+                self.exit_task(task, ExitReason::Stopped);
             }
             state.tasks.clear();
             state.agent_epoch = state.agent_epoch.next();
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -80,7 +80,7 @@
 
 /// Kind of a fault, without its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum FaultKind {
     Kill,
     Pause,
     Cut,
@@ -91,15 +91,15 @@
 
 /// Kinds from which a schedule draws. `DelayCommands` is listed three times, so that delayed commands are combined
 /// with each of the other kinds.
-const ALL_KINDS: [Kind; 8] = [
-    Kind::Kill,
-    Kind::Pause,
-    Kind::Cut,
-    Kind::Outage,
-    Kind::LeadersInSeries,
-    Kind::DelayCommands,
-    Kind::DelayCommands,
-    Kind::DelayCommands,
+const ALL_KINDS: [FaultKind; 8] = [
+    FaultKind::Kill,
+    FaultKind::Pause,
+    FaultKind::Cut,
+    FaultKind::Outage,
+    FaultKind::LeadersInSeries,
+    FaultKind::DelayCommands,
+    FaultKind::DelayCommands,
+    FaultKind::DelayCommands,
 ];
 
 /// Number of directions of one controller's links in a cluster of three.
@@ -145,23 +145,23 @@
 
 /// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: if leaders are killed all the time, no
 /// leader lasts long enough for its commands to arrive late.
-fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<Kind> {
+fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<FaultKind> {
     let mut kinds = ALL_KINDS.to_vec();
     rng.shuffle(&mut kinds);
     kinds.truncate(rng.usize(2..=4));
     kinds
 }
 
-fn draw_fault(kind: Kind, rng: &mut fastrand::Rng) -> Fault {
+fn draw_fault(kind: FaultKind, rng: &mut fastrand::Rng) -> Fault {
     let target = draw_target(rng);
     let lasts = millis(rng, 400, 6000);
     match kind {
-        Kind::Kill => Fault::Kill {
+        FaultKind::Kill => Fault::Kill {
             target,
             back_after: millis(rng, 100, 3000),
         },
-        Kind::Pause => Fault::Pause { target, lasts },
-        Kind::Cut => Fault::Cut {
+        FaultKind::Pause => Fault::Pause { target, lasts },
+        FaultKind::Cut => Fault::Cut {
             target,
             direction: rng.usize(0..DIRECTIONS),
             traffic: match rng.u32(0..4) {
@@ -171,13 +171,13 @@
             },
             lasts,
         },
-        Kind::DelayCommands => Fault::DelayCommands {
+        FaultKind::DelayCommands => Fault::DelayCommands {
             target: Target::Leader,
             late_by: millis(rng, 2000, 24_000),
             lasts,
         },
-        Kind::Outage => Fault::Outage { lasts },
-        Kind::LeadersInSeries => Fault::LeadersInSeries {
+        FaultKind::Outage => Fault::Outage { lasts },
+        FaultKind::LeadersInSeries => Fault::LeadersInSeries {
             count: rng.u32(2..5),
             every: millis(rng, 1500, 4000),
         },
