--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -198,7 +198,7 @@
     }
 
     /// Creates the next heartbeat of a machine, without sending it.
-    pub fn report(
+    pub fn next_heartbeat(
         &mut self,
         machine: &str,
         fencing_token: u64,
@@ -226,7 +226,7 @@
     /// Sends a heartbeat with the latest fencing token that the machine has received, in agent epoch 1.
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
         let fencing_token = self.known_token(machine);
-        let report = self.report(machine, fencing_token, 1, tasks);
+        let report = self.next_heartbeat(machine, fencing_token, 1, tasks);
         self.send(&report)
     }
 
@@ -522,7 +522,7 @@
                 attempt & 0xffff_ffff
             ))
         };
-        let mut report = self.report(&worker.name, self.scheduler.term, 1, &[]);
+        let mut report = self.next_heartbeat(&worker.name, self.scheduler.term, 1, &[]);
         let running = worker.tasks.iter().map(|t| task(&t.0, t.1, "running"));
         let done = worker.ended.iter().map(|t| task(&t.0, t.1, "done"));
         report.tasks = running.chain(done).collect();
--- a/tests/traces/direct_calls.rs
+++ b/tests/traces/direct_calls.rs
@@ -37,7 +37,7 @@
         .at(9.0)
         .heartbeat(&name, &["run-1/0#2.1 stopped"])
         .bound();
-    let next_epoch = trace.report(&name, 2, 2, &[]);
+    let next_epoch = trace.next_heartbeat(&name, 2, 2, &[]);
     trace.at(40.0).send(&next_epoch).write_round(true);
     assert_snapshot!(trace.log);
 }
@@ -71,7 +71,7 @@
 #[test]
 fn tasks_start_after_machine_and_start_watermark_are_stored() {
     let mut trace = LeaderTrace::new(2, one_team());
-    let first = trace.report("big-east-1", 2, 1, &[]);
+    let first = trace.next_heartbeat("big-east-1", 2, 1, &[]);
     trace.scheduler.heartbeat(&first, at(0.0));
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 9));
     trace.scheduler.on_timer(at(1.0));
@@ -94,7 +94,7 @@
         trace.note(&format!("to be written: {:?}", write.kind));
     }
     trace.at(1.1).direct_call(|trace| {
-        DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
+        DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
     });
     assert_snapshot!(trace.log);
 }
@@ -113,7 +113,8 @@
     // The tasks are placed on another machine. The first one is called again once it sends a heartbeat.
     trace.at(2.0).heartbeat("big-east-2", &[]).bound();
     trace.at(3.0).heartbeat("big-east-1", &[]);
-    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace
+        .direct_call(|trace| DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &[])));
     trace
         .at(3.1)
         .direct_call(|_| DirectResult::NotSent)
@@ -172,7 +173,7 @@
     trace.job(submission("run-1", |s| s.tasks = 1));
     let due = |trace: &LeaderTrace| trace.scheduler.pending_registry_writes(false).len();
     for t in [22.0, 23.0, 24.0] {
-        let report = trace.report("big-east-1", 5, 2, &[]);
+        let report = trace.next_heartbeat("big-east-1", 5, 2, &[]);
         trace.scheduler.heartbeat(&report, at(t));
         let recorded = trace.scheduler.machines["big-east-1"].registered;
         let pages = due(&trace);
@@ -181,7 +182,7 @@
         ));
     }
     trace.apply_start_writes();
-    let report = trace.report("big-east-1", 5, 2, &[]);
+    let report = trace.next_heartbeat("big-east-1", 5, 2, &[]);
     trace.at(25.0).send(&report).bound();
     assert_snapshot!(trace.log);
 }
@@ -200,7 +201,8 @@
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).write_round(true);
     trace.at(4.0).heartbeat("big-east-1", &[]);
-    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace
+        .direct_call(|trace| DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &[])));
     for t in [7.0, 15.0, 23.0] {
         trace.at(t).heartbeat("big-east-1", &[]).bound();
     }
--- a/tests/traces/failover.rs
+++ b/tests/traces/failover.rs
@@ -13,7 +13,7 @@
     trace.prior_term_machine("big-east-2", -100.0);
     trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     trace.at(0.2).job(submission("run-2", |s| s.tasks = 1));
-    let old_token = trace.report("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
+    let old_token = trace.next_heartbeat("big-east-1", 4, 1, &["run-1/0#4.1 running"]);
     trace.at(0.5).send(&old_token);
     trace
         .at(1.0)
@@ -68,7 +68,7 @@
     trace.prior_term_machine("big-east-2", -60.0);
     trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let late_start = trace.report("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
+    let late_start = trace.next_heartbeat("big-east-2", 4, 1, &["run-1/0#4.9 running"]);
     trace.at(3.0).send(&late_start).bound();
     trace
         .at(4.0)
@@ -128,7 +128,7 @@
     };
     let before = due(&trace);
     trace.note(&before);
-    let first = trace.report("small-east-7", 2, 1, &[]);
+    let first = trace.next_heartbeat("small-east-7", 2, 1, &[]);
     trace.scheduler.heartbeat(&first, at(9.0));
     let after = due(&trace);
     trace.at(9.0).note(&after);
@@ -177,7 +177,7 @@
     let mut trace = LeaderTrace::new(5, one_team());
     trace.prior_term_machine("big-east-1", -100.0);
     trace.prior_term_job(submission("run-1", |s| s.tasks = 2));
-    let duplicate = trace.report(
+    let duplicate = trace.next_heartbeat(
         "big-east-1",
         4,
         1,
@@ -190,7 +190,7 @@
     );
     trace.note(&unreconciled);
     trace.write_round(true).view("run-1");
-    let reconciled = trace.report("big-east-1", 5, 2, &[]);
+    let reconciled = trace.next_heartbeat("big-east-1", 5, 2, &[]);
     trace.at(2.0).send(&reconciled).bound();
     trace.at(2.5).send(&duplicate).bound();
     assert_snapshot!(trace.log);
@@ -205,12 +205,12 @@
     trace.prior_term_machine("big-east-1", -60.0);
     trace.prior_term_job(submission("run-1", |s| s.tasks = 1));
     trace.at(0.5).heartbeat("big-east-2", &[]);
-    let duplicate = trace.report("big-east-1", 4, 1, &[]);
-    let next_epoch = trace.report("big-east-1", 4, 2, &[]);
+    let duplicate = trace.next_heartbeat("big-east-1", 4, 1, &[]);
+    let next_epoch = trace.next_heartbeat("big-east-1", 4, 2, &[]);
     trace.at(1.0).send(&duplicate).bound();
     trace.at(2.0).send(&next_epoch).bound();
     trace.at(3.0).heartbeat("big-east-2", &[]).bound();
-    let reconciled = trace.report("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
+    let reconciled = trace.next_heartbeat("big-east-1", 5, 2, &["run-1/0#4.7 running"]);
     trace.at(4.0).send(&reconciled).bound();
     assert_snapshot!(trace.log);
 }
--- a/tests/traces/fencing.rs
+++ b/tests/traces/fencing.rs
@@ -42,7 +42,7 @@
             self.renewed_s = seconds;
         }
         trace.at(seconds);
-        let report = trace.report(self.name, self.fencing_token, self.agent_epoch, tasks);
+        let report = trace.next_heartbeat(self.name, self.fencing_token, self.agent_epoch, tasks);
         let answer = trace.send_for_token(&report);
         if let Some(fencing_token) = answer
             && fencing_token >= self.fencing_token
@@ -113,7 +113,7 @@
     trace.scheduler.preempt_attempt("big-east-1", key);
     trace
         .at(2.0)
-        .direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+        .direct_call(|trace| DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &[])));
     for second in (3..=60).step_by(3) {
         worker.heartbeat(&mut trace, f64::from(second), &[]);
         let is_bound = trace.scheduler.machines["big-east-1"]
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -11,21 +11,21 @@
     let mut trace = LeaderTrace::new(2, one_team());
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
-    let overtaken = trace.report("big-east-1", 2, 1, &[]);
+    let overtaken = trace.next_heartbeat("big-east-1", 2, 1, &[]);
     trace.at(1.0).on_timer(1.0);
     trace.direct_call(|trace| {
-        DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
+        DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &["run-1/0#2.1 running"]))
     });
     trace.at(1.1).send(&overtaken).bound();
     trace
         .at(2.0)
         .heartbeat("big-east-1", &["run-1/0#2.1 running"]);
     trace.on_timer(30.0).bound();
-    let after_lease = trace.report("big-east-1", 2, 1, &["run-1/0#2.1 done"]);
+    let after_lease = trace.next_heartbeat("big-east-1", 2, 1, &["run-1/0#2.1 done"]);
     trace.send(&after_lease).view("run-1");
-    let next_epoch = trace.report("big-east-1", 2, 2, &[]);
+    let next_epoch = trace.next_heartbeat("big-east-1", 2, 2, &[]);
     trace.at(31.0).send(&next_epoch).bound();
-    let higher = trace.report("big-east-1", 3, 2, &[]);
+    let higher = trace.next_heartbeat("big-east-1", 3, 2, &[]);
     trace.at(32.0).send(&higher);
     assert_snapshot!(trace.log);
 }
@@ -65,20 +65,20 @@
     trace.direct_call(|_| DirectResult::OutcomeUnknown).bound();
     // Its leases expire without a renewal, so its agent epochs end, but each one looks healthy in its reports.
     trace.at(3.0).heartbeat("big-east-1", &[]);
-    let next = trace.report("big-east-1", 2, 2, &[]);
+    let next = trace.next_heartbeat("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
     trace.direct_call(|_| DirectResult::OutcomeUnknown);
-    let next = trace.report("big-east-1", 2, 2, &[]);
+    let next = trace.next_heartbeat("big-east-1", 2, 2, &[]);
     trace.at(33.0).list(&[("big-east-1", "running")]);
     trace.send(&next).bound().plan_scale_out();
     trace
         .at(36.0)
-        .direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 2, &[])));
+        .direct_call(|trace| DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 2, &[])));
     trace.on_timer(36.5).bound();
     // Another machine stays in this state.
     trace.at(50.0).heartbeat("small-west-1", &[]);
     for (t, agent_epoch) in [(75.0, 2), (100.0, 3), (125.0, 4)] {
-        let next = trace.report("small-west-1", 2, agent_epoch, &[]);
+        let next = trace.next_heartbeat("small-west-1", 2, agent_epoch, &[]);
         trace.at(t).send(&next);
         trace.direct_call(|_| DirectResult::OutcomeUnknown);
     }
@@ -97,7 +97,8 @@
     trace.at(3.0).heartbeat("big-east-1", &[]).bound();
     trace.at(6.0).heartbeat("big-east-1", &[]).bound();
     trace.heartbeat("big-east-2", &[]).bound();
-    trace.direct_call(|trace| DirectResult::Answered(trace.report("big-east-1", 2, 1, &[])));
+    trace
+        .direct_call(|trace| DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &[])));
     trace
         .at(9.0)
         .heartbeat("big-east-2", &["run-1/0#2.2 running"]);
@@ -112,9 +113,9 @@
     trace.heartbeat("big-east-1", &[]);
     trace.job(submission("run-1", |s| s.tasks = 1));
     trace.at(1.0).on_timer(1.0);
-    let idle = trace.report("big-east-1", 2, 1, &[]);
+    let idle = trace.next_heartbeat("big-east-1", 2, 1, &[]);
     trace.at(3.0).send(&idle);
-    let running = trace.report("big-east-1", 2, 1, &["run-1/0#2.1 running"]);
+    let running = trace.next_heartbeat("big-east-1", 2, 1, &["run-1/0#2.1 running"]);
     trace.at(4.0).send(&running);
     trace.at(9.0).send(&idle).bound();
     // Duplicates don't keep a silent machine's agent epoch alive.
@@ -123,7 +124,7 @@
     trace.on_timer(24.6).bound();
     trace.at(40.0).send(&running).bound();
     // The machine's next agent epoch runs the task again: a duplicate from the old one doesn't release it.
-    let next = trace.report("big-east-1", 2, 2, &["run-1/0#2.2 running"]);
+    let next = trace.next_heartbeat("big-east-1", 2, 2, &["run-1/0#2.2 running"]);
     trace.at(41.0).send(&next).bound();
     trace.at(42.0).send(&idle).send(&running).bound();
     // The machine is gone.
@@ -146,7 +147,7 @@
     trace.at(9.9);
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.direct_call(|trace| {
-        DirectResult::Answered(trace.report("big-east-1", 2, 1, &["run-1/0#2.1 stopped"]))
+        DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &["run-1/0#2.1 stopped"]))
     });
     trace.at(10.2).job(submission("run-2", |s| s.tasks = 1));
     trace
--- a/tests/traces/outcomes.rs
+++ b/tests/traces/outcomes.rs
@@ -271,7 +271,7 @@
     trace.note("a direct call with its starts is under way");
     trace.scheduler.request_cancellation("run-1", trace.now);
     trace.at(1.1).write_round(true);
-    let report = trace.report(
+    let report = trace.next_heartbeat(
         "big-east-1",
         2,
         1,
@@ -287,7 +287,7 @@
         .view("run-1");
     trace.direct_call(|trace| {
         let stopped = ["run-1/0#2.1 stopped", "run-1/1#2.2 stopped"];
-        DirectResult::Answered(trace.report("big-east-1", 2, 1, &stopped))
+        DirectResult::Answered(trace.next_heartbeat("big-east-1", 2, 1, &stopped))
     });
     trace.at(2.0).write_round(true);
     trace.job(submission("run-2", |s| s.tasks = 1));
--- a/tests/traces/prior_term_limits.rs
+++ b/tests/traces/prior_term_limits.rs
@@ -15,7 +15,7 @@
         .heartbeat("big-east-1", &[])
         .on_timer(1.1)
         .bound();
-    let report = trace.report("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
+    let report = trace.next_heartbeat("big-east-9", 2, 1, &["run-1/0#1.1 running"]);
     trace.at(2.0).send(&report).bound();
     assert_snapshot!(trace.log);
 }
@@ -33,7 +33,7 @@
     trace.job(submission("run-2", |s| s.tasks = 10));
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let report = trace.report("small-east-9", 4, 1, &[]);
+    let report = trace.next_heartbeat("small-east-9", 4, 1, &[]);
     trace.note("the unseen machine turns out to be a small one: 8 CPUs");
     trace.at(2.0).send(&report);
     trace.at(3.0).heartbeat("big-east-2", &[]);
@@ -66,7 +66,7 @@
     }
     trace.heartbeat("big-east-1", &[]);
     trace.at(1.0).heartbeat("big-east-1", &[]).bound();
-    let report = trace.report("small-west-9", 5, 1, &["run-1/0#4.1 running"]);
+    let report = trace.next_heartbeat("small-west-9", 5, 1, &["run-1/0#4.1 running"]);
     trace.at(2.0).send(&report);
     trace.at(3.0).heartbeat("big-east-1", &[]).bound();
     assert_snapshot!(trace.log);
--- a/tests/traces/provisioning.rs
+++ b/tests/traces/provisioning.rs
@@ -129,7 +129,7 @@
     trace.note("two other machines are up");
     let reports = |trace: &mut LeaderTrace| {
         for name in ["small-east-8", "small-east-9"] {
-            let mut report = trace.report(name, 2, 1, &[]);
+            let mut report = trace.next_heartbeat(name, 2, 1, &[]);
             report.spot = false;
             trace.send(&report);
         }
