--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -226,8 +226,8 @@
     /// Sends a heartbeat with the latest fencing token that the machine has received, in agent epoch 1.
     pub fn heartbeat(&mut self, machine: &str, tasks: &[&str]) -> &mut Self {
         let fencing_token = self.known_token(machine);
-        let report = self.next_heartbeat(machine, fencing_token, 1, tasks);
-        self.send(&report)
+        let heartbeat = self.next_heartbeat(machine, fencing_token, 1, tasks);
+        self.send(&heartbeat)
     }
 
     /// Returns the fencing token of a worker that has received every reply.
@@ -237,24 +237,24 @@
     }
 
     /// Sends a heartbeat and logs the reply.
-    pub fn send(&mut self, report: &Heartbeat) -> &mut Self {
-        self.send_for_token(report);
+    pub fn send(&mut self, heartbeat: &Heartbeat) -> &mut Self {
+        self.send_for_token(heartbeat);
         self
     }
 
     /// Sends a heartbeat and logs the reply. Returns the fencing token of the reply, if it carries one.
-    pub fn send_for_token(&mut self, report: &Heartbeat) -> Option<u64> {
+    pub fn send_for_token(&mut self, heartbeat: &Heartbeat) -> Option<u64> {
         // In a trace start watermarks and the machine registry are written as soon as they are due.
         self.scheduler.run_placement_pass(self.now);
         self.apply_start_writes();
-        let reply = self.scheduler.heartbeat(report, self.now);
+        let reply = self.scheduler.heartbeat(heartbeat, self.now);
         let fencing_token = match reply {
             HeartbeatReply::Commands { fencing_token, .. } => Some(fencing_token.0),
             _ => None,
         };
         if let Some(fencing_token) = fencing_token {
             self.sent_tokens
-                .insert(report.machine.clone(), fencing_token);
+                .insert(heartbeat.machine.clone(), fencing_token);
         }
         let text = match reply {
             HeartbeatReply::Commands {
@@ -273,7 +273,7 @@
             }
             other => format!("{other:?}"),
         };
-        let tasks: Vec<String> = report
+        let tasks: Vec<String> = heartbeat
             .tasks
             .iter()
             .map(|t| {
@@ -287,10 +287,10 @@
             .collect();
         self.note(&format!(
             "{} (agent epoch {}, sequence {}, fencing token {}) reports [{}] -> {text}",
-            report.machine,
-            report.agent_epoch,
-            report.sequence,
-            report.fencing_token,
+            heartbeat.machine,
+            heartbeat.agent_epoch,
+            heartbeat.sequence,
+            heartbeat.fencing_token,
             tasks.join(", ")
         ));
         // A placement pass too soon after the previous one is deferred to the next timer event. A trace runs it now.
@@ -522,11 +522,11 @@
                 attempt & 0xffff_ffff
             ))
         };
-        let mut report = self.next_heartbeat(&worker.name, self.scheduler.term, 1, &[]);
+        let mut heartbeat = self.next_heartbeat(&worker.name, self.scheduler.term, 1, &[]);
         let running = worker.tasks.iter().map(|t| task(&t.0, t.1, "running"));
         let done = worker.ended.iter().map(|t| task(&t.0, t.1, "done"));
-        report.tasks = running.chain(done).collect();
-        let reply = self.scheduler.heartbeat(&report, self.now);
+        heartbeat.tasks = running.chain(done).collect();
+        let reply = self.scheduler.heartbeat(&heartbeat, self.now);
         self.apply_start_writes();
         let HeartbeatReply::Commands { commands, .. } = reply else {
             panic!("heartbeat of {} got no commands: {reply:?}", worker.name);
