--- a/crates/link-health/src/election.rs
+++ b/crates/link-health/src/election.rs
@@ -8,11 +8,11 @@
 use crate::monitor::LinkState;
 use aspenreel_time::Micros;
 
-/// The delay of a candidate if nothing is known about its links or a preference.
+/// The delay of a candidate that has refused no workers recently and that nothing prefers or disadvantages.
 const DEFAULT_DELAY: Micros = Micros::from_millis(500);
 /// The delay of a candidate that the last leader preferred, or that is in the zone of that leader's silent workers.
 const PREFERRED_DELAY: Micros = Micros::from_millis(30);
-/// Extra delay of the other candidates if one is preferred. Longer than the election of the preferred one takes.
+/// Extra delay of the other candidates if a handover preferred one. Longer than the election of that candidate takes.
 const NOT_PREFERRED_EXTRA_DELAY: Micros = Micros::from_millis(1200);
 /// Extra delay of a candidate whose writes to the key-value store failed recently.
 const FAILING_WRITES_EXTRA_DELAY: Micros = Micros::from_millis(800);
--- a/src/store/connection.rs
+++ b/src/store/connection.rs
@@ -85,7 +85,8 @@
     request_bucket: Mutex<TokenBucket>,
     /// Time of the last response other than 503, in microseconds of the monotonic clock.
     last_answered_at: AtomicU64,
-    /// Time of the last failure or 503 response, in microseconds of the monotonic clock.
+    /// Time of the last 503 response or failed call, including calls that could not be sent, in microseconds of the
+    /// monotonic clock.
     last_failed_at: AtomicU64,
     /// Receives the outcome of each call as an observation of the link to the store; `None` if links are not
     /// monitored.
