--- a/crates/simulation/src/stand_ins/loopback_users.rs
+++ b/crates/simulation/src/stand_ins/loopback_users.rs
@@ -35,7 +35,7 @@
     last_number: u32,
     /// Jobs that have not ended.
     open: Vec<JobPlan>,
-    /// One in this many jobs is cancelled.
+    /// A cancellation is requested for one in this many jobs, unless the job ends first.
     cancel_one_in: u32,
     demand: Demand,
 }
@@ -58,7 +58,7 @@
         self.demand = demand;
     }
 
-    /// Sets that one in this many jobs is cancelled at some time.
+    /// Sets that a cancellation is requested, at a random time, for one in this many jobs.
     pub fn cancel_one_in(&mut self, one_in: u32) {
         self.cancel_one_in = one_in;
     }
@@ -68,7 +68,7 @@
     }
 
     /// Adds a new job to the open ones; `send_one_request` submits it.
-    fn submit(&mut self) {
+    fn add_job(&mut self) {
         self.last_number += 1;
         let tasks = self.rng.u32(1..=self.demand.max_tasks);
         let plan = JobPlan::new(
@@ -116,12 +116,12 @@
         });
     }
 
-    /// Submits jobs and sends requests about them for this long.
+    /// Submits jobs and sends requests about them until `span` has passed.
     pub fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             if self.open.len() < self.demand.open_jobs {
-                self.submit();
+                self.add_job();
             }
             self.send_one_request();
             self.cluster.with_checker(Checker::check_time_limits);
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -48,7 +48,7 @@
         target: Target,
         /// Time from the sending of a command to its arrival.
         late_by: Duration,
-        /// Period in which commands that are sent are delayed.
+        /// Duration of the fault: commands that are sent in this time are delayed.
         lasts: Duration,
     },
     /// The key-value store refuses all requests.
@@ -80,7 +80,7 @@
 
 /// Kind of a fault, without its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum FaultKind {
     Kill,
     Pause,
     Cut,
@@ -91,15 +91,15 @@
 
 /// Kinds from which a schedule draws. `DelayCommands` is listed three times, so that delayed commands are combined
 /// with each of the other kinds.
-const ALL_KINDS: [Kind; 8] = [
-    Kind::Kill,
-    Kind::Pause,
-    Kind::Cut,
-    Kind::Outage,
-    Kind::LeadersInSeries,
-    Kind::DelayCommands,
-    Kind::DelayCommands,
-    Kind::DelayCommands,
+const ALL_KINDS: [FaultKind; 8] = [
+    FaultKind::Kill,
+    FaultKind::Pause,
+    FaultKind::Cut,
+    FaultKind::Outage,
+    FaultKind::LeadersInSeries,
+    FaultKind::DelayCommands,
+    FaultKind::DelayCommands,
+    FaultKind::DelayCommands,
 ];
 
 /// Number of directions of one controller's links in a cluster of three.
@@ -108,8 +108,8 @@
 const FIRST_FAULT_AT: Duration = Duration::from_millis(2500);
 
 impl Schedule {
-    /// Draws faults over this time. Groups of one to three faults begin every 2 s to 6 s, each fault up to 1.5 s
-    /// after the start of its group.
+    /// Draws the faults of a run. Until `length`, groups of one to three faults begin every 2 s to 6 s, each fault up
+    /// to 1.5 s after the start of its group.
     pub fn draw(seed: u64, length: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let kinds = draw_kinds(&mut rng);
@@ -143,25 +143,25 @@
     }
 }
 
-/// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: where leaders are killed all the time,
-/// nothing lasts long enough to be late.
-fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<Kind> {
+/// Draws two to four entries of `ALL_KINDS`. A run doesn't have all kinds: if leaders are killed all the time, no
+/// leader lasts long enough for its commands to arrive late.
+fn draw_kinds(rng: &mut fastrand::Rng) -> Vec<FaultKind> {
     let mut kinds = ALL_KINDS.to_vec();
     rng.shuffle(&mut kinds);
     kinds.truncate(rng.usize(2..=4));
     kinds
 }
 
-fn draw_fault(kind: Kind, rng: &mut fastrand::Rng) -> Fault {
+fn draw_fault(kind: FaultKind, rng: &mut fastrand::Rng) -> Fault {
     let target = draw_target(rng);
     let lasts = millis(rng, 400, 6000);
     match kind {
-        Kind::Kill => Fault::Kill {
+        FaultKind::Kill => Fault::Kill {
             target,
             back_after: millis(rng, 100, 3000),
         },
-        Kind::Pause => Fault::Pause { target, lasts },
-        Kind::Cut => Fault::Cut {
+        FaultKind::Pause => Fault::Pause { target, lasts },
+        FaultKind::Cut => Fault::Cut {
             target,
             direction: rng.usize(0..DIRECTIONS),
             traffic: match rng.u32(0..4) {
@@ -171,13 +171,13 @@
             },
             lasts,
         },
-        Kind::DelayCommands => Fault::DelayCommands {
+        FaultKind::DelayCommands => Fault::DelayCommands {
             target: Target::Leader,
             late_by: millis(rng, 2000, 24_000),
             lasts,
         },
-        Kind::Outage => Fault::Outage { lasts },
-        Kind::LeadersInSeries => Fault::LeadersInSeries {
+        FaultKind::Outage => Fault::Outage { lasts },
+        FaultKind::LeadersInSeries => Fault::LeadersInSeries {
             count: rng.u32(2..5),
             every: millis(rng, 1500, 4000),
         },
