--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -3,8 +3,8 @@
 //! sockets.
 //!
 //! The test checks the results. It also serves to measure the processor time of the leader, under a profiler that
-//! counts instructions (`docs/operations.md`, *Measuring*). `REPLAY_SCALE` multiplies the load and the number of
-//! machines.
+//! counts instructions (`docs/operations.md`, *Profiling the leader*). `REPLAY_SCALE` multiplies the load and the
+//! number of machines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
