--- a/crates/link-health/src/permissions.rs
+++ b/crates/link-health/src/permissions.rs
@@ -11,7 +11,7 @@
 pub struct Permissions {
     /// Placing waiting tasks on machines.
     pub assign: bool,
-    /// Writing start watermarks, done sets and terminal states.
+    /// Writing start watermarks, done sets and final states.
     pub record: bool,
     /// Commanding workers to discard outcomes that are recorded.
     pub release: bool,
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -63,7 +63,7 @@
     /// Gives up leadership in favor of the preferred peer. This controller must have stopped acting as the leader.
     ///
     /// One transaction records the handover and deletes the leader's record, with the precondition that this
-    /// controller still leads. A transaction without an answer does no harm: the caller ends the lease next, and if
+    /// controller still leads. A transaction of unknown outcome does no harm: the caller ends the lease next, and if
     /// the transaction is applied after another controller has become the leader, its precondition fails.
     pub fn hand_over(
         &self,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Waits until all direct calls in flight have ended, so that none of their commands arrives at a worker after
-    /// the next leader has been elected.
+    /// Waits until all direct calls in flight have ended, but no longer than `MAX_CALL_WAIT`. A command of such a call
+    /// could otherwise arrive at a worker after the next leader has been elected.
     fn await_direct_calls(&self) {
         let started_at = self.now();
         let calls_in_flight = || {
