--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,9 +1,8 @@
-//! One controller process: what its threads share ([`Controller`]) and what its lock guards
+//! One controller process: the data that its threads share ([`Controller`]) and the state protected by its lock
 //! ([`ControllerState`]).
 //!
-//! What the threads do stands in the slices, each loop and each handler in a file of its own, as methods of
-//! [`Controller`]. `process` starts the threads; `routes` and `peer_requests` tell which handler a request belongs
-//! to.
+//! The loops of the threads and the request handlers are methods of [`Controller`], each in a file of its own in the
+//! module of its feature. `process` starts the threads; `routes` and `peer_requests` map requests to handlers.
 
 #![warn(missing_docs)]
 
@@ -37,48 +36,48 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// For this long after a leader has stepped down since it heard too few workers, or for a better-placed peer, it
-/// lets other controllers be elected. If none is, it leads again, and doesn't step down for the same reason until
-/// the pause is over.
+/// Time for which a leader that has stepped down, because it received heartbeats from too few workers or in favor of
+/// a better-placed peer, lets other controllers be elected first. If none is elected, it becomes leader again, and
+/// doesn't step down for the same reason until the pause is over.
 const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
-/// The share of the cloud's request rate that controllers use.
+/// Fraction of the cloud's request rate that the controllers use.
 const CLOUD_RATE_SHARE: f64 = 0.9;
 
-/// The least burst of submissions, in writes.
+/// Lower bound of the burst allowed for submissions, in writes.
 const MIN_SUBMISSION_BURST: f64 = 4.0;
 
-/// What the lock of a controller guards. No thread waits for the network while it holds the lock.
+/// State protected by the lock of a controller. No thread waits for the network while it holds the lock.
 #[derive(Debug, Default)]
 pub struct ControllerState {
-    /// The leadership, while this controller has it.
+    /// Leader lease, while this controller is the leader.
     pub leader_lease: Option<LeaderLease>,
-    /// The leader's state: there only while this controller leads and has read the stored state.
+    /// Scheduler state, present only while this controller is the leader and has read the stored state.
     pub scheduler: Option<SchedulerState>,
-    /// The leader as the store last told it.
+    /// Leader according to the last read of the store.
     pub known_leader: Option<LeaderRecord>,
-    /// When the store last confirmed `known_leader`.
+    /// Time at which the store last confirmed `known_leader`.
     pub leader_confirmed_at: Moment,
-    /// Terminal states that this controller remembers.
+    /// Cached terminal states of jobs.
     pub terminal_states: TerminalStates,
-    /// This leader no longer acts and gives up its lease soon.
+    /// True once this leader has stopped acting and is about to end its lease.
     pub step_down_requested: bool,
-    /// Other controllers campaign first until then.
+    /// Time until which this controller lets other controllers campaign first.
     pub candidacy_paused_until: Moment,
-    /// When heartbeats were refused lately: a sign that workers reach this controller.
+    /// Times of recently refused heartbeats, which are evidence that workers reach this controller.
     pub refused_heartbeats: VecDeque<Moment>,
-    /// The store revision up to which the leader knows all jobs: where their watch goes on.
+    /// Store revision up to which the leader knows all accepted jobs, and from which the job watch continues.
     pub jobs_revision: u64,
-    /// The newest term that this controller knows of.
+    /// Highest term that this controller knows of.
     pub newest_term: u64,
-    /// Decides on handovers while this controller leads and watches its links.
+    /// Decides on handovers, while this controller is the leader and monitors its links.
     pub handover_planner: Option<HandoverPlanner>,
-    /// The handover for which this leader steps down.
+    /// Handover because of which this leader is stepping down.
     pub handover: Option<HandoverRecord>,
 }
 
 impl ControllerState {
-    /// The leadership and the scheduler state, if this controller may act as the leader at `now`.
+    /// Leader lease and scheduler state, if this controller may act as the leader at `now`.
     pub fn acting_leader(&mut self, now: Moment) -> Option<(&LeaderLease, &mut SchedulerState)> {
         match (&self.leader_lease, &mut self.scheduler) {
             (Some(leader_lease), Some(scheduler))
@@ -90,59 +89,59 @@
         }
     }
 
-    /// Requests that this leader steps down and lets other controllers campaign first.
+    /// Requests that this leader steps down, and lets other controllers campaign first for `CANDIDACY_PAUSE`.
     pub fn step_down_and_pause_candidacy(&mut self, now: Moment) {
         self.step_down_requested = true;
         self.candidacy_paused_until = now + CANDIDACY_PAUSE;
     }
 }
 
-/// One controller: its clients, what its threads share, and how they wake each other.
+/// One controller: its clients, the data that its threads share, and the events by which they wake each other.
 pub struct Controller {
-    /// The settings file.
+    /// Contents of the settings file.
     pub settings: Settings,
-    /// Flags of the command line.
+    /// Command-line flags.
     pub options: ServeOptions,
-    /// The duration of the leader lease.
+    /// Duration of the leader lease.
     pub leader_lease_duration: Micros,
-    /// The operating system: clocks, sleeping and calls.
+    /// Operating-system interface: clocks, sleeping and network calls.
     pub os: Arc<dyn Os>,
-    /// The key-value store.
+    /// Client of the key-value store.
     pub store: Store,
-    /// The cloud's API.
+    /// HTTP client of the cloud API.
     pub cloud: Arc<dyn HttpClient>,
-    /// The lock; use [`Controller::state`].
+    /// State behind the lock; use [`Controller::state`] to lock it.
     pub state: Mutex<ControllerState>,
-    /// Notified when records have to be written, and when they were.
+    /// Notified when records are due to be written, and when they have been written.
     pub state_changed: Arc<dyn EventCount>,
-    /// Notified when commands have to be sent to workers.
+    /// Notified when commands are due to be sent to workers.
     pub commands_due: Arc<dyn EventCount>,
-    /// Clients of workers.
+    /// Clients for calls to workers.
     pub workers: WorkerClientPool,
-    /// Clients of the other controllers by name.
+    /// Clients for requests to the other controllers, by controller name.
     pub peers: BTreeMap<String, PeerClient>,
-    /// Limits the writes for submissions.
+    /// Rate limit of writes for submissions.
     pub submission_bucket: Mutex<TokenBucket>,
-    /// Limits the requests to the cloud.
+    /// Rate limit of requests to the cloud.
     pub cloud_bucket: Mutex<TokenBucket>,
-    /// The cloud's machine types, once they are known.
+    /// Machine types that the cloud offers; `None` until they have been read.
     pub catalog: Mutex<Option<Arc<Vec<MachineType>>>>,
-    /// Open connections of users and workers.
+    /// Number of open connections from users and workers.
     pub open_connections: Arc<AtomicUsize>,
-    /// Neither the store nor any peer answers this controller.
+    /// True while neither the store nor any peer answers this controller.
     pub isolated: AtomicBool,
-    /// The feature level as last read; use [`Controller::feature_level`].
+    /// Feature level as last read or written; use [`Controller::feature_level`].
     pub feature_level: Mutex<FeatureLevel>,
-    /// What is known of the links, if they are watched.
+    /// Health of this controller's links; `None` if they are not monitored.
     pub link_health: Option<Arc<LinkHealth>>,
 }
 
 impl Controller {
-    /// A controller of which no thread runs yet.
+    /// Creates a controller without starting its threads.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if settings and flags don't fit together.
+    /// [`SettingsError`] if settings and flags contradict each other.
     pub fn new(
         settings: Settings,
         options: ServeOptions,
@@ -160,13 +159,14 @@
         let controllers = settings.members.len() as f64 + 1.0;
         let limits = settings.settings.state.strictest();
         let peers = peer_clients(&settings, &os, observations.as_ref());
-        // The leader reads and writes most; the shares still stay below the limit together.
+        // Equal shares, although the leader sends most requests: all shares together must not exceed the limit.
         let store = Store::new(
             settings.endpoints.state,
             limits.rps / controllers,
             os.clone(),
         );
-        // What the leader's write budget leaves is for submissions, shared among the controllers.
+        // The part of the write rate outside the leader's write budget is for submissions, in equal shares for all
+        // controllers.
         let unbudgeted = limits.write_rps * (1.0 - options.write_budget as f64 / 100.0);
         let submission_rate = unbudgeted / controllers;
         let submission_burst = submission_rate.max(MIN_SUBMISSION_BURST);
@@ -200,17 +200,17 @@
         })
     }
 
-    /// Locks the state.
+    /// Locks the state and returns the guard. A poisoned lock is used as it is.
     pub fn state(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The time of the monotonic clock.
+    /// Current time of the monotonic clock.
     pub fn now(&self) -> Moment {
         self.os.now()
     }
 
-    /// The cloud's machine types, once they are known.
+    /// Machine types that the cloud offers; `None` until they have been read.
     pub fn catalog(&self) -> Option<Arc<Vec<MachineType>>> {
         self.catalog
             .lock()
@@ -218,24 +218,24 @@
             .clone()
     }
 
-    /// Sleeps for a random time between these bounds in milliseconds.
+    /// Sleeps for a random time between `low_ms` and `high_ms` milliseconds.
     pub(crate) fn pause(&self, low_ms: u64, high_ms: u64) {
         random_pause(&*self.os, low_ms, high_ms);
     }
 
-    /// The pause after a request that failed, before it is repeated.
+    /// Sleeps for a random time before a failed request is retried.
     pub(crate) fn pause_before_retry(&self) {
         self.pause(200, 500);
     }
 
-    /// Releases the lock and waits until the state has changed, for `timeout` at the longest.
+    /// Releases the lock and waits for a change of state, up to `timeout`.
     pub fn wait_for_change(&self, state: MutexGuard<'_, ControllerState>, timeout: Duration) {
         let observed = self.state_changed.prepare_wait();
         drop(state);
         self.state_changed.wait(observed, timeout);
     }
 
-    /// The settings and flags that the scheduler state needs.
+    /// Scheduler configuration from settings and flags.
     pub fn scheduler_config(&self) -> SchedulerConfig {
         let site = &self.settings.settings;
         SchedulerConfig {
@@ -258,7 +258,7 @@
     }
 }
 
-/// Clients of all other controllers, by name.
+/// Creates a client for each of the other controllers, by controller name.
 fn peer_clients(
     settings: &Settings,
     os: &Arc<dyn Os>,
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -1,11 +1,11 @@
-//! Which handler a request of another controller belongs to.
+//! Dispatch of requests from other controllers to their handlers.
 
 use super::Controller;
 use crate::jobs::LocalStatus;
 use crate::peer::{PeerReply, PeerRequest};
 
 impl Controller {
-    /// Answers a request of another controller. Some handlers wait for the store.
+    /// Handles a request from another controller. Some handlers block on requests to the store.
     pub fn answer_peer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Status { id } => self.status_for_peer(&id),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The status of a job as this controller has it in memory.
+    /// Status of a job from this controller's memory, without a request to the store.
     fn status_for_peer(&self, id: &str) -> PeerReply {
         let mut state = self.state();
         let now = self.now();
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -1,4 +1,4 @@
-//! The process: its threads and its servers.
+//! The threads and servers of a controller process.
 
 use super::Controller;
 use crate::http::server::{ServerLimits, serve};
@@ -10,43 +10,43 @@
 use std::thread;
 use thiserror::Error;
 
-/// The stack of a thread, in bytes.
+/// Stack size of each thread, in bytes.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
 
-/// Why a controller can't run.
+/// Reason why a controller can't start or serve requests.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Binding a listener to an address failed.
     #[error("cannot listen on {addr}: {source}")]
     Listen {
-        /// The address.
+        /// Address of the listener.
         addr: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A thread can't be started.
+    /// Starting a thread failed.
     #[error("cannot start thread {name}: {source}")]
     Thread {
-        /// The thread's name.
+        /// Name of the thread.
         name: &'static str,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The HTTP server can't be started.
-    #[error("cannot serve: {0}")]
+    /// Starting the HTTP server failed.
+    #[error("cannot start HTTP server: {0}")]
     Serve(#[source] io::Error),
 }
 
-/// A thread of a controller that has not been started yet.
+/// A thread of a controller that hasn't been started yet.
 pub struct ControllerThread {
-    /// The thread's name.
+    /// Name of the thread.
     pub name: &'static str,
-    /// What it runs. Nearly all run for as long as the process lives.
+    /// Function that the thread runs. Nearly all of them run until the process ends.
     pub body: Box<dyn FnOnce() + Send>,
 }
 
 impl ControllerThread {
-    /// Starts the thread. It isn't joined: it ends with the process.
+    /// Starts the thread. It is never joined, since it ends with the process.
     fn start(self) -> Result<(), StartError> {
         let name = self.name;
         thread::Builder::new()
@@ -59,8 +59,8 @@
 }
 
 impl Controller {
-    /// The threads of a controller, except for those that serve connections. Their order is the order in which they are
-    /// started; the simulation seeds each by its place in it.
+    /// All threads of a controller except those that serve connections, in the order in which they are started. The
+    /// simulation derives the seed of each thread from its position in this list.
     pub fn threads(self: &Arc<Self>) -> Vec<ControllerThread> {
         let thread = |name: &'static str, run: fn(&Controller)| {
             let controller = self.clone();
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`StartError`] if an address can't be listened on, or a thread can't be started.
+    /// [`StartError`] if a listener, a thread or the HTTP server can't be started.
     pub fn run(self: Arc<Self>, system: Arc<System>) -> Result<(), StartError> {
         let public_listener = listen(self.settings.public_addr)?;
         let peer_listener = listen(self.settings.peer_listen)?;
@@ -117,7 +117,7 @@
         serve(public_listener, self, system, limits, open_connections).map_err(StartError::Serve)
     }
 
-    /// The thread that accepts connections of peers.
+    /// Thread that accepts connections from peers.
     fn peer_server(self: &Arc<Self>, listener: TcpListener) -> ControllerThread {
         let max_connections = self.settings.settings.quota.peer_connections();
         let controller = self.clone();
--- a/src/controller/routes.rs
+++ b/src/controller/routes.rs
@@ -1,29 +1,32 @@
-//! Which handler a request of a user, a worker or a health check belongs to.
+//! HTTP routes: dispatch of requests from users, workers and health checks to their handlers.
 
 use super::Controller;
 use crate::http::server::{Handler, Request, RequestPriority, Response};
 
-/// Workers' heartbeats, and the health check.
+/// Path of heartbeats from workers.
 const HEARTBEAT_PATH: &str = "/checkin";
+/// Path of the health check.
 const HEALTH_PATH: &str = "/up";
-/// Submissions. Below it are the jobs: `/work/<id>`, and `/work/<id>/withdraw` to cancel one.
+/// Path of submissions.
 const JOBS_PATH: &str = "/work";
+/// Prefix of the path of one job: `/work/<id>` for its status, `/work/<id>/withdraw` to cancel it.
 const JOB_PATH_PREFIX: &str = "/work/";
+/// Last segment of the path of a cancellation.
 const CANCEL_ACTION: &str = "withdraw";
 
 const STATUS_NOT_FOUND: u16 = 404;
 const STATUS_METHOD_NOT_ALLOWED: u16 = 405;
 
-/// What a request asks for.
+/// Operation that a request asks for.
 enum Route<'a> {
     Heartbeat,
     Health,
     Submit,
-    /// The status of the job with this id.
+    /// Status of the job with this id.
     Status(&'a str),
-    /// The cancellation of the job with this id.
+    /// Cancellation of the job with this id.
     Cancel(&'a str),
-    /// Nothing that there is: the response has this status.
+    /// Unknown path or wrong method, answered with this HTTP status.
     Refused(u16),
 }
 
@@ -50,8 +53,8 @@
 }
 
 impl Handler for Controller {
-    /// Heartbeats and health checks never wait for requests of users. A status that this controller has in memory is
-    /// returned at once as well.
+    /// Handles heartbeats and health checks, which must never wait behind requests from users, and status requests
+    /// that this controller can answer from memory.
     fn handle_without_blocking(&self, request: Request) -> Result<Response, Request> {
         let response = match route(&request) {
             Route::Heartbeat => Some(self.heartbeat(&request.body)),
@@ -63,7 +66,8 @@
         response.ok_or(request)
     }
 
-    /// Heartbeats of hundreds of workers arrive whatever users do, and must not crowd out their requests.
+    /// Heartbeats have low priority: those of hundreds of workers arrive regardless of what users do, and must not
+    /// displace requests from users.
     fn priority(&self, request: &Request) -> RequestPriority {
         match route(request) {
             Route::Heartbeat => RequestPriority::Low,
--- a/src/controller/term_access.rs
+++ b/src/controller/term_access.rs
@@ -1,14 +1,14 @@
-//! Access to the leader's state on behalf of one term.
+//! Access to the leader's state, limited to one term.
 //!
-//! While a request is under way its term may end and another one begin, whose state gives the same numbers to other
-//! jobs. What comes of the request counts only for the term in which it was sent.
+//! While a request is in flight, its term may end and a new one may begin, whose state assigns the same numbers to
+//! other jobs. The result of a request is therefore applied only in the term in which the request was sent.
 
 use super::{Controller, ControllerState};
 use crate::scheduler::SchedulerState;
 
 impl Controller {
-    /// Runs `work` on the controller's state if it leads in that term and has read the stored state; else does
-    /// nothing.
+    /// Runs `work` on the controller's state if this controller is the leader in `term` and has read the stored
+    /// state; otherwise does nothing.
     pub(crate) fn with_state_in_term(&self, term: u64, work: impl FnOnce(&mut ControllerState)) {
         let mut state = self.state();
         if state.scheduler.as_ref().is_some_and(|s| s.term == term) {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Runs `work` on the scheduler state of that term, as [`Controller::with_state_in_term`] does.
+    /// Runs `work` on the scheduler state under the conditions of [`Controller::with_state_in_term`].
     pub(crate) fn with_scheduler(&self, term: u64, work: impl FnOnce(&mut SchedulerState)) {
         self.with_state_in_term(term, |state| {
             if let Some(scheduler) = &mut state.scheduler {
@@ -25,7 +25,7 @@
         });
     }
 
-    /// Steps down: the precondition that this controller leads in that term has failed.
+    /// Requests a step-down after a transaction failed its precondition that this controller is the leader in `term`.
     pub(crate) fn lose_leadership(&self, term: u64) {
         self.with_state_in_term(term, |state| {
             log::info!(term, reason = "another_leads"; "stepping down");
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -1,20 +1,20 @@
-//! The cache of terminal states.
+//! Cache of the terminal states of jobs.
 
 use crate::jobs::JobView;
 use std::collections::{HashMap, VecDeque};
 
-/// A cache of the terminal states of jobs. A recorded terminal state never changes, so every controller may answer from
-/// its cache. Beyond the capacity the oldest entries go; these are read from the store.
+/// Cache of the terminal states of jobs. A recorded terminal state never changes, so every controller may answer from
+/// its cache. Beyond the capacity the oldest entries are evicted and have to be read from the store again.
 #[derive(Debug, Default)]
 pub struct TerminalStates {
     capacity: usize,
     views: HashMap<String, JobView>,
-    /// The ids in the order in which they were added.
+    /// Job ids in the order of insertion.
     oldest_first: VecDeque<String>,
 }
 
 impl TerminalStates {
-    /// An empty cache of at most `capacity` jobs.
+    /// Creates an empty cache for at most `capacity` jobs.
     pub fn new(capacity: usize) -> TerminalStates {
         TerminalStates {
             capacity,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// The terminal state of a job, if it is in the cache.
+    /// Cached terminal state of a job.
     pub fn get(&self, id: &str) -> Option<JobView> {
         self.views.get(id).copied()
     }
 
-    /// Adds what was recorded of a job. A view that isn't terminal is ignored.
+    /// Adds the recorded state of a job. A state that isn't terminal is ignored.
     pub fn insert(&mut self, id: &str, view: JobView) {
         if !view.is_final() || self.views.insert(id.to_string(), view).is_some() {
             return;
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -1,19 +1,19 @@
-//! The thread for what time alone changes.
+//! The timer thread, which applies changes of state that depend only on the passage of time.
 
 use super::{Controller, ControllerState};
 use crate::scheduler::SchedulerState;
 use crate::time::{Micros, Moment};
 
 const TIMER_INTERVAL: Micros = Micros::from_millis(250);
-/// A timer that fires this late shows that the process has used up its share of the processor. A limit that the
-/// system enforces from outside can't be measured otherwise everywhere.
-const LATE: Micros = Micros::from_millis(25);
-/// How often a process that is short of processor time most of the time logs it.
-const LAG_LOG_INTERVAL: Micros = Micros::from_secs(60);
-/// How often a leader logs a summary of its state.
+/// Delay beyond which a timer counts as late, which shows that the process has used up its CPU quota. A quota that
+/// the system enforces from outside can't be measured in any other way on every platform.
+const LATE_THRESHOLD: Micros = Micros::from_millis(25);
+/// Interval over which late timers are counted; a warning is logged at its end if most timers were late.
+const LATE_TIMER_LOG_INTERVAL: Micros = Micros::from_secs(60);
+/// Minimum time between two log lines in which a leader summarizes its state.
 const SUMMARY_INTERVAL: Micros = Micros::from_secs(10);
 
-/// How many timers have fired late.
+/// Number of timers that fired late in the current interval.
 struct TimerStatistics {
     since: Moment,
     fired: u32,
@@ -29,31 +29,31 @@
         }
     }
 
-    /// Counts a timer, and logs at the end of each interval if most were late.
+    /// Counts one timer, and logs a warning at the end of each interval in which most timers were late.
     fn count(&mut self, is_late: bool, now: Moment) {
         self.fired += 1;
         self.late += u32::from(is_late);
-        if now - self.since > LAG_LOG_INTERVAL {
+        if now - self.since > LATE_TIMER_LOG_INTERVAL {
             if self.late * 2 > self.fired {
-                log::warn!(timers = self.fired, late = self.late; "short of processor time");
+                log::warn!(timers = self.fired, late = self.late; "insufficient CPU time: most timers fired late");
             }
             *self = TimerStatistics::new(now);
         }
     }
 }
 
-/// What the timer keeps from one time to the next.
+/// State that the timer thread keeps between two runs.
 struct TimerState {
     statistics: TimerStatistics,
-    /// Since when this controller acts as the leader without interruption: machines count as silent only from then
-    /// on, since it refused their heartbeats before.
+    /// Time since which this controller has acted as the leader without interruption. Machines count as silent only
+    /// from then on, since their heartbeats were refused before.
     acting_since: Option<Moment>,
-    /// When a summary was last logged.
+    /// Time at which a summary was last logged.
     summary_logged_at: Moment,
 }
 
 impl Controller {
-    /// Runs what depends on time four times a second. Never returns.
+    /// Applies time-dependent changes once per [`TIMER_INTERVAL`]. Never returns.
     pub(crate) fn timer_loop(&self) {
         let mut timer = TimerState {
             statistics: TimerStatistics::new(self.now()),
@@ -64,7 +64,7 @@
             let due_at = self.now() + TIMER_INTERVAL;
             self.os.sleep(TIMER_INTERVAL.duration());
             let now = self.now();
-            let is_late = now - due_at > LATE;
+            let is_late = now - due_at > LATE_THRESHOLD;
             timer.statistics.count(is_late, now);
             self.on_timer(&mut timer, is_late);
         }
@@ -88,7 +88,8 @@
         }
     }
 
-    /// A leader that receives heartbeats of too few workers steps down, once in a candidacy pause.
+    /// Requests a step-down of a leader that receives heartbeats from too few workers, at most once per candidacy
+    /// pause.
     fn step_down_unless_paused(&self, state: &mut ControllerState, now: Moment) {
         if self.steps_down_without_successor() && state.candidacy_paused_until <= now {
             log::info!(reason = "most_workers_silent"; "stepping down");
@@ -96,8 +97,8 @@
         }
     }
 
-    /// False if a handover can find a better-placed peer: then the leader steps down for that peer only. The views
-    /// of all peers are needed for it.
+    /// Returns false if a handover can find a better-placed peer, in which case the leader steps down only in favor
+    /// of that peer. This requires link views from all peers.
     fn steps_down_without_successor(&self) -> bool {
         let link_health = self.link_health.as_ref();
         link_health.is_none_or(|health| health.any_peer_without_views())
