--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -154,7 +154,7 @@
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
         self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
-        self.unanswered.add(f64::from(end.unanswered_questions));
+        self.unanswered.add(f64::from(end.unanswered_requests));
         self.turnaround.extend(end.turnaround_s.iter().copied());
         let late = end.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
--- a/crates/simulation/src/observations.rs
+++ b/crates/simulation/src/observations.rs
@@ -67,11 +67,11 @@
 
 /// What a user asks a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum RequestKind {
     /// The submission of the job, perhaps once more.
     Submit,
     /// A body with the job's name that can't be accepted by itself.
-    BadSubmit,
+    MalformedSubmit,
     /// How far the job is.
     Status,
     /// To cancel the job.
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// What was asked.
-    pub question: Question,
+    pub kind: RequestKind,
     /// The controller that was asked.
     pub node: usize,
     /// When the question was sent.
--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -2,7 +2,7 @@
 //!
 //! The checker of the simulation watches the rules from what users are told and what workers do.
 
-use crate::checker::{Answer, Checker, Question};
+use crate::checker::{Answer, Checker, RequestKind};
 use crate::directions::{Direction, Endpoint};
 use crate::stand_ins::cloud_server::CloudServer;
 use crate::stand_ins::deployment::{CANCEL_S, Deployment};
@@ -172,11 +172,11 @@
     }
 
     /// Asks one node as a user would, and tells the checker what came.
-    pub fn ask(&self, id: &str, question: Question, node: usize, body: &[u8]) {
+    pub fn ask(&self, id: &str, question: RequestKind, node: usize, body: &[u8]) {
         let (method, path) = match question {
-            Question::Submit | Question::BadSubmit => ("POST", "/work".to_string()),
-            Question::Status => ("GET", format!("/work/{id}")),
-            Question::Cancel => ("POST", format!("/work/{id}/withdraw")),
+            RequestKind::Submit | RequestKind::MalformedSubmit => ("POST", "/work".to_string()),
+            RequestKind::Status => ("GET", format!("/work/{id}")),
+            RequestKind::Cancel => ("POST", format!("/work/{id}/withdraw")),
         };
         let sent = self.now();
         let (status, answer) = self.nodes.call(node, method, &path, body);
@@ -186,7 +186,7 @@
                     .filter(|_| matches!(status, 200 | 201))
                     .map(|a| a.status);
                 let answer = Answer {
-                    question,
+                    kind: question,
                     node,
                     sent,
                     got,
--- a/crates/simulation/src/user_job.rs
+++ b/crates/simulation/src/user_job.rs
@@ -34,6 +34,6 @@
 }
 
 /// A body with the job's name that lacks a field.
-pub(crate) fn bad_body_of(p: &JobPlan) -> Vec<u8> {
+pub(crate) fn malformed_body_of(p: &JobPlan) -> Vec<u8> {
     encode(&cbor!({"ref" => &p.id, "crew" => &p.team, "pieces" => "many"}).unwrap())
 }
