--- a/crates/report/src/fleet_size.rs
+++ b/crates/report/src/fleet_size.rs
@@ -9,7 +9,7 @@
 use aspenreel::workers::wire::{Heartbeat, ReportedTask, TaskStatus};
 use aspenreel::workers::{AgentEpoch, FencingToken};
 use aspenreel_simulation::checker::JobPlan;
-use aspenreel_simulation::user_job::body_of;
+use aspenreel_simulation::user_job::submission_body;
 use ciborium::cbor;
 use std::time::{Duration, Instant};
 
@@ -153,7 +153,7 @@
 
 fn add_job(scheduler: &mut SchedulerState, id: u32, tasks: u32, seconds: u64) {
     let plan = JobPlan::new(id, tasks, CPUS_A_TASK, 60.0);
-    let submission = Submission::decode(&body_of(&plan));
+    let submission = Submission::decode(&submission_body(&plan));
     let submission = submission.expect("it is a submission");
     scheduler.add_job(&submission, 100 + u64::from(id), at(seconds), WallTime(0));
 }
--- a/crates/simulation/src/cloud_state.rs
+++ b/crates/simulation/src/cloud_state.rs
@@ -7,7 +7,7 @@
 const MAX_LISTED: usize = 500;
 
 /// Where a page of the machine list begins, and how many it may hold.
-pub fn page_of(path: &str) -> (String, usize) {
+pub fn parse_page_query(path: &str) -> (String, usize) {
     let query = path.split_once('?').map_or("", |(_, query)| query);
     let value = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -23,11 +23,11 @@
 /// What the simulated cloud remembers.
 #[derive(Default)]
 pub struct CloudState {
-    pub(crate) made: u32,
+    pub(crate) machines_created: u32,
     /// The machines that each provisioning request got, by the request's name.
     pub(crate) provisioning_requests: BTreeMap<String, Vec<String>>,
     /// Requests that count against the limit, and when that was worked out.
-    pub(crate) requests: f64,
+    pub(crate) recent_requests: f64,
     pub(crate) counted_at: Time,
     /// It answers nothing but errors until then.
     pub down_until: Time,
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -51,7 +51,7 @@
             self.zone_of_node(n),
             teams.join(", "),
             self.setup.write_rps,
-            self.setup.next,
+            self.setup.next_store_limits,
         ))
         .unwrap()
     }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -16,7 +16,7 @@
     pub(crate) status: TaskStatus,
     pub(crate) exit_reason: Option<ExitReason>,
     /// When what it does now ends, and a count that tells its timers apart.
-    pub(crate) ends: Time,
+    pub(crate) phase_ends_at: Time,
     pub(crate) timer: u64,
 }
 
@@ -39,15 +39,15 @@
     pub(crate) sequence: u64,
     pub(crate) fencing_token: FencingToken,
     /// When the last answered report was sent, or the agent epoch began.
-    pub(crate) lease_from: Time,
+    pub(crate) lease_started_at: Time,
     pub(crate) tasks: BTreeMap<(String, u64), SimulatedTask>,
     pub(crate) images: BTreeSet<String>,
     /// The node that it reports to.
     pub(crate) node: usize,
     pub(crate) in_flight: Option<u64>,
-    pub(crate) sent: Time,
-    pub(crate) reports: u64,
-    pub(crate) next_heartbeat: u64,
+    pub(crate) last_sent_at: Time,
+    pub(crate) sent_heartbeats: u64,
+    pub(crate) heartbeat_timer: u64,
     pub(crate) timers: u64,
     /// The machine stands still until then.
     pub frozen_until: Time,
@@ -55,7 +55,7 @@
     /// Its network is cut in both directions until then.
     pub cut_until: Time,
     /// Whether what a cut stops is held back and delivered in the end.
-    pub(crate) holds: bool,
+    pub(crate) delivers_after_cut: bool,
     /// What it sends is lost until then.
     pub outbound_dropped_until: Time,
     /// What is sent to it is lost until then.
@@ -73,13 +73,13 @@
         self.alive() && self.up_at <= now
     }
 
-    pub(crate) fn free(&self, plans: impl Fn(&str) -> f64) -> f64 {
+    pub(crate) fn free_cpus(&self, plans: impl Fn(&str) -> f64) -> f64 {
         let held = self.tasks.iter();
         let held = held.filter(|(_, task)| task.status != TaskStatus::Exited);
         self.cpus - held.map(|((task_id, _), _)| plans(task_id)).sum::<f64>()
     }
 
-    pub(crate) fn report(&mut self, now: Time) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self, now: Time) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -116,8 +116,9 @@
     }
 
     /// True if the job could start one more task here: the worker serves and has room.
-    pub fn could_take(&self, plan: &JobPlan) -> bool {
-        let serves = self.alive() && self.lease_from > 0 && self.fencing_token > FencingToken::NONE;
+    pub fn has_room_for(&self, plan: &JobPlan) -> bool {
+        let serves =
+            self.alive() && self.lease_started_at > 0 && self.fencing_token > FencingToken::NONE;
         // Whatever runs here takes as much at least: good enough for a bound on waits.
         let held = self.tasks.values();
         let held = held
@@ -131,6 +132,6 @@
 }
 
 /// It has its image and has not ended.
-pub(crate) fn on_machine(task: &SimulatedTask) -> bool {
+pub(crate) fn is_active(task: &SimulatedTask) -> bool {
     matches!(task.status, TaskStatus::Running | TaskStatus::Flushing)
 }
--- a/crates/simulation/src/machine_faults.rs
+++ b/crates/simulation/src/machine_faults.rs
@@ -1,6 +1,6 @@
 //! What happens to machines: they freeze, lose their network, are taken back or die.
 
-use crate::machine::{LISTED_AFTER_DEATH_S, Machine, on_machine};
+use crate::machine::{LISTED_AFTER_DEATH_S, Machine, is_active};
 use crate::scheduler::{Time, secs};
 use crate::simulation::Simulation;
 use crate::state::SimulationState;
@@ -18,7 +18,7 @@
     }
 
     /// Machines that hold a task of the job.
-    pub fn machines_of(&self, id: &str) -> Vec<String> {
+    pub fn machines_with_tasks_of(&self, id: &str) -> Vec<String> {
         let state = self.state();
         let holds = |m: &&Machine| {
             let mut held = m.tasks.iter();
@@ -57,10 +57,10 @@
     }
 
     /// The machines' network is cut; `holds`: what it stops is delivered in the end.
-    pub fn cut_machines(&self, names: &[String], span: f64, holds: bool) {
+    pub fn cut_machines(&self, names: &[String], span: f64, delivers_after_cut: bool) {
         self.change_machines(names, span, |m, until| {
             m.cut_until = until;
-            m.holds = holds;
+            m.delivers_after_cut = delivers_after_cut;
         });
     }
 
@@ -105,7 +105,7 @@
         };
         change(m, now);
         for ((task_id, _), task) in std::mem::take(&mut m.tasks) {
-            if on_machine(&task) {
+            if is_active(&task) {
                 let (id, n) = split_task_id(&task_id);
                 checker.task_stopped(id, n, name, false);
             }
--- a/crates/simulation/src/setup.rs
+++ b/crates/simulation/src/setup.rs
@@ -32,7 +32,7 @@
     /// The leader's lease, in milliseconds.
     pub leader_lease_ms: u64,
     /// Limits of the key-value store to come, as the settings tell them.
-    pub next: &'static str,
+    pub next_store_limits: &'static str,
     /// Further flags of the controllers with these numbers.
     pub flags: fn(usize) -> &'static [&'static str],
 }
@@ -48,7 +48,7 @@
             fetch_s: 1.5,
             write_rps: 60.0,
             leader_lease_ms: 8000,
-            next: "value_kb = 2.0, txn_ops = 4",
+            next_store_limits: "value_kb = 2.0, txn_ops = 4",
             flags: |_| &[],
         }
     }
--- a/crates/simulation/src/sim_http.rs
+++ b/crates/simulation/src/sim_http.rs
@@ -37,7 +37,7 @@
         let answer = match self.addr.port() {
             2379 if path.starts_with("/changes") => {
                 self.simulation
-                    .watch(self.node, Watch::of(path), timeout.as_micros() as Time)
+                    .watch(self.node, Watch::parse(path), timeout.as_micros() as Time)
             }
             2379 => {
                 let slot = Slot::new(&self.simulation);
@@ -52,7 +52,7 @@
                 let there = 20 * self.simulation.latency();
                 let to = slot.clone();
                 self.simulation.after(there, move |sim| {
-                    let answer = sim.cloud_asked(&request);
+                    let answer = sim.cloud_receives(&request);
                     sim.note_call(Channel::Cloud, &request, &answer);
                     to.arrive(sim, 20 * sim.latency(), answer);
                 });
@@ -82,7 +82,7 @@
         body: &[u8],
         timeout: Duration,
     ) -> Result<ClientResponse, CallError> {
-        let reached = self.simulation.reaches_worker(self.node, self.addr);
+        let reached = self.simulation.can_connect_to_worker(self.node, self.addr);
         if !reached && !self.connected.load(Ordering::Relaxed) {
             let until = self.simulation.now() + timeout.as_micros() as Time;
             self.simulation.scheduler.sleep_until(until);
@@ -111,7 +111,7 @@
 
 impl Simulation {
     /// A request reaches a node: its answer, if any, comes back through `then`.
-    pub fn ask_node(
+    pub fn call_node(
         self: &Arc<Self>,
         n: usize,
         request: Request,
--- a/crates/simulation/src/sim_peer.rs
+++ b/crates/simulation/src/sim_peer.rs
@@ -18,11 +18,11 @@
 
 impl SimPeer {
     /// Requests don't get through now. Replies may be lost on their way all the same.
-    fn is_cut(&self) -> bool {
+    fn is_request_cut(&self) -> bool {
         let simulation = &self.simulation;
         let now = simulation.now();
         let zones = [self.from, self.to].map(|n| simulation.zone_of_node(n));
-        let joined = simulation.joined(zones[0], zones[1]);
+        let joined = simulation.zones_connected(zones[0], zones[1]);
         let state = simulation.state();
         let cut = |n: usize| state.nodes[n].peers_cut_until > now;
         let (from, to) = (Endpoint::Node(self.from), Endpoint::Node(self.to));
@@ -33,7 +33,7 @@
 impl PeerTransport for SimPeer {
     fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerReply> {
         let simulation = &self.simulation;
-        if self.is_cut() {
+        if self.is_request_cut() {
             let until = simulation.now() + timeout.as_micros() as Time;
             simulation.scheduler.sleep_until(until);
             return Err(ErrorKind::TimedOut.into());
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -1,6 +1,6 @@
 //! The cloud for real processes, written from the published protocol, as small as the tests allow.
 
-use crate::cloud_state::page_of;
+use crate::cloud_state::parse_page_query;
 use crate::stand_ins::http_listener::listen;
 use crate::stand_ins::worker::{Worker, WorkerEnvironment, WorkerRoutes};
 use aspenreel::http::cbor::{decode, encode};
@@ -75,7 +75,7 @@
 
     /// One page of the list.
     fn listed(&self, path: &str) -> Result<Value, ciborium::value::Error> {
-        let (since, most) = page_of(path);
+        let (since, most) = parse_page_query(path);
         let mut names: Vec<String> = self.machines.lock().unwrap().keys().cloned().collect();
         let others = self.extra_listed.load(Ordering::Relaxed);
         names.extend((0..others).map(|n| format!("o-{n:06}")));
--- a/crates/simulation/src/stand_ins/store_server.rs
+++ b/crates/simulation/src/stand_ins/store_server.rs
@@ -112,7 +112,7 @@
             return Response::new(503, Vec::new());
         }
         let (status, body) = if r.path.starts_with("/changes") {
-            self.changes(&Watch::of(&r.path))
+            self.changes(&Watch::parse(&r.path))
         } else {
             let mut keys = self.store.lock().unwrap();
             let answer = keys.call(&r.method, &r.path, &r.body, self.since.elapsed());
--- a/crates/simulation/src/user_job.rs
+++ b/crates/simulation/src/user_job.rs
@@ -10,7 +10,7 @@
 pub struct UserJob {
     /// The job.
     pub plan: JobPlan,
-    pub(crate) first_try: Time,
+    pub(crate) first_submitted_at: Time,
     pub(crate) polls: bool,
     /// Asks at all nodes at once whenever something becomes known.
     pub queries_all_nodes: bool,
@@ -20,7 +20,7 @@
 }
 
 /// The submission as it stands on the wire.
-pub fn body_of(p: &JobPlan) -> Vec<u8> {
+pub fn submission_body(p: &JobPlan) -> Vec<u8> {
     let wire = cbor!({
         "ref" => &p.id, "lane" => "train", "crew" => &p.team,
         "shape" => if p.standing { "standing" } else { "array" },
@@ -34,6 +34,6 @@
 }
 
 /// A body with the job's name that lacks a field.
-pub(crate) fn malformed_body_of(p: &JobPlan) -> Vec<u8> {
+pub(crate) fn malformed_submission_body(p: &JobPlan) -> Vec<u8> {
     encode(&cbor!({"ref" => &p.id, "crew" => &p.team, "pieces" => "many"}).unwrap())
 }
--- a/crates/simulation/src/workloads.rs
+++ b/crates/simulation/src/workloads.rs
@@ -33,7 +33,7 @@
 }
 
 /// The users of these jobs ask at all nodes at once whenever something becomes known.
-pub fn query_all_nodes_on_news(sim: &Arc<Simulation>, ids: &[String]) {
+pub fn query_all_nodes_on_updates(sim: &Arc<Simulation>, ids: &[String]) {
     for id in ids {
         let id = id.clone();
         // Their submissions create them; until then there is nobody to change.
