--- a/tests/model/links.rs
+++ b/tests/model/links.rs
@@ -290,8 +290,8 @@
                 summary.leaders, 2,
                 "from workers {from_workers}: {summary:?}"
             );
-            // Missing heartbeats are noticed at once. If only the answers are lost, the leader sees nothing before the
-            // workers' leases expire.
+            // Missing heartbeats are noticed at once. If only the answers are lost, the leader sees nothing before
+            // the workers' leases expire.
             let elected_at = second_term_start(&summary).unwrap();
             let latest = if from_workers {
                 30.0 + 13.0
--- a/tests/model/standing_jobs.rs
+++ b/tests/model/standing_jobs.rs
@@ -102,9 +102,10 @@
     })
 }
 
-/// Machines with replicas get preemption notices, freeze, are partitioned or fail, and the leader changes, while array
-/// jobs use the remaining capacity. Each standing job is cancelled in one of these states and queried again later. A
-/// machine may start a replica after the confirmation of the cancellation only if no command reaches the machine.
+/// Machines with replicas get preemption notices, freeze, are partitioned or fail, and the leader changes, while
+/// array jobs use the remaining capacity. Each standing job is cancelled in one of these states and queried again
+/// later. A machine may start a replica after the confirmation of the cancellation only if no command reaches the
+/// machine.
 #[test]
 fn standing_jobs_of_every_kind_are_cancelled_during_machine_faults() {
     let summaries = run(2 * SEEDS, &setup(), |sim, rng| {
