--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -1,6 +1,6 @@
 //! The controllers' processes: killed, paused and started again, none left behind.
 
-use aspenreel_simulation::stand_ins::processes::spawn_with;
+use aspenreel_simulation::stand_ins::processes::spawn_controller;
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
 use std::io::Read;
@@ -25,7 +25,7 @@
     let log = log_of(config);
     let file = OpenOptions::new().create(true).append(true).open(log);
     let stderr = file.map_or(Stdio::inherit(), Stdio::from);
-    spawn_with(&launch.program, config, launch.flags, "error", stderr)
+    spawn_controller(&launch.program, config, launch.flags, "error", stderr)
 }
 
 /// The file that takes the log of the process with this settings file.
