--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -236,7 +236,7 @@
                     .lock()
                     .unwrap_or_else(|e| e.into_inner()) = true;
                 self.last(lasts);
-                self.cluster.state.recovers();
+                self.cluster.state.end_outage();
             }
             Fault::LeadersInSeries { count, every } => {
                 for _ in 0..count {
