--- a/crates/simulation/src/stand_ins/deployment.rs
+++ b/crates/simulation/src/stand_ins/deployment.rs
@@ -1,17 +1,18 @@
-//! What the platform hands over to controllers: the values of their settings that tests depend on.
+//! Settings of real controllers whose values tests depend on.
 
-/// The workers' lease in the settings of all processes.
+/// Worker lease in seconds (`lease_s`), the same in the settings of all controllers.
 pub const LEASE_S: f64 = 4.0;
 
-/// The time for a cancellation in the settings of all processes.
+/// Time within which a cancellation must take effect, in seconds (`cancel_s`), the same in the settings of all
+/// controllers.
 pub const CANCEL_S: f64 = 8.0;
 
-/// What differs between tests in what the platform hands over.
+/// Settings that differ between tests.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The limit of the only team; half of it is guaranteed.
+    /// CPU limit of the only team; half of it is guaranteed.
     pub team_cpus: f64,
-    /// Sockets that a controller may have open.
+    /// Number of sockets that a controller may have open.
     pub sockets: u32,
 }
 
--- a/crates/simulation/src/stand_ins/http_listener.rs
+++ b/crates/simulation/src/stand_ins/http_listener.rs
@@ -1,10 +1,10 @@
-//! Servers of the stand-ins.
+//! The HTTP server that the stand-ins share.
 
 use aspenreel::http::server::{Handler, ServerLimits, serve};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// Serves on a free port of loopback, until the process ends.
+/// Serves requests on a free loopback port until the process ends, and returns the address.
 pub fn listen(handler: Arc<dyn Handler>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
--- a/crates/simulation/src/stand_ins/mod.rs
+++ b/crates/simulation/src/stand_ins/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for real processes: what real controllers on loopback talk to, and the processes themselves.
+//! Real controller processes on loopback, and stand-ins for the store, the cloud, the workers and the users that
+//! they talk to.
 
 pub mod cloud_server;
 pub mod deployment;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -89,7 +89,7 @@
     let mut report = RunReport {
         is_partial: stop.load(Ordering::Relaxed),
         seconds: began.elapsed().as_secs(),
-        machines: cluster.cloud.made(),
+        machines: cluster.cloud.machines_created(),
         ..RunReport::default()
     };
     collect_results(&cluster, &controllers, &mut report);
@@ -137,7 +137,10 @@
         .max_machines_per_request
         .store(u64::from(workers.max(3)), Ordering::Relaxed);
     if workers > MANY_WORKERS {
-        cloud.environment.report_ms.store(400, Ordering::Relaxed);
+        cloud
+            .environment
+            .heartbeat_interval_ms
+            .store(400, Ordering::Relaxed);
         cloud.start_machines(workers);
     }
 }
