--- a/crates/simulation/src/stand_ins/processes.rs
+++ b/crates/simulation/src/stand_ins/processes.rs
@@ -115,7 +115,7 @@
     }
 
     /// Polls a job until it has this status; panics after 120 s.
-    pub fn until_status(&self, node: usize, id: &str, status: &str) {
+    pub fn wait_for_status(&self, node: usize, id: &str, status: &str) {
         self.poll_until(node, "GET", &format!("/work/{id}"), &[], |_, a| {
             a.as_ref().is_some_and(|a| a.status == status)
         });
