--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -8,7 +8,7 @@
 use aspenreel_simulation::setup::Setup;
 use aspenreel_simulation::simulation::Simulation;
 use aspenreel_simulation::summary::Summary;
-use aspenreel_simulation::workloads::{cancel_soon, every_other, jobs};
+use aspenreel_simulation::workloads::{cancel_after_acceptance, every_nth, jobs};
 use std::sync::Arc;
 
 /// Time of a run at which the fault begins, in seconds.
@@ -125,7 +125,7 @@
         let ids = jobs(sim, 4.0, 110.0, JOBS, |number, plan| {
             plan.run_s = 4.0 + f64::from(number % 5) * 4.0
         });
-        cancel_soon(sim, &every_other(&ids, 6), 15.0, rng);
+        cancel_after_acceptance(sim, &every_nth(&ids, 6), 15.0, rng);
         sim.at(BEGINS_S, move |sim| fault.begin(sim));
     });
     let mut measurements = Measurements::default();
@@ -164,11 +164,11 @@
             .filter(|(at, _, _)| during(seconds(*at)))
             .count();
         self.leaders_per_minute.add(leaders as f64 * 60.0 / LASTS_S);
-        self.unanswered.add(f64::from(summary.unanswered_questions));
+        self.unanswered.add(f64::from(summary.unanswered_requests));
         self.turnaround.extend(summary.turnaround_s.iter().copied());
         let late = summary.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
-        self.broken.extend(summary.broken.iter().cloned());
+        self.broken.extend(summary.violations.iter().cloned());
     }
 }
 
--- a/crates/simulation/src/stand_ins/cloud_server.rs
+++ b/crates/simulation/src/stand_ins/cloud_server.rs
@@ -1,6 +1,6 @@
 //! The cloud API for real controllers, written from the published protocol and reduced to what the tests need.
 
-use crate::cloud_state::page_of;
+use crate::cloud_state::parse_page_query;
 use crate::stand_ins::http_listener::listen;
 use crate::stand_ins::worker::{Worker, WorkerEnvironment, WorkerRoutes};
 use aspenreel::http::cbor::{decode, encode};
@@ -76,7 +76,7 @@
 
     /// Returns one page of the machine list.
     fn list_page(&self, path: &str) -> Result<Value, ciborium::value::Error> {
-        let (since, page_size) = page_of(path);
+        let (since, page_size) = parse_page_query(path);
         let mut names: Vec<String> = self.machines.lock().unwrap().keys().cloned().collect();
         let others = self.extra_listed.load(Ordering::Relaxed);
         names.extend((0..others).map(|n| format!("o-{n:06}")));
--- a/crates/simulation/src/stand_ins/loopback_cluster.rs
+++ b/crates/simulation/src/stand_ins/loopback_cluster.rs
@@ -2,7 +2,7 @@
 //!
 //! The checker of the simulation checks the service rules against the responses to users and the tasks on workers.
 
-use crate::checker::{Answer, Checker, Question};
+use crate::checker::{Answer, Checker, RequestKind};
 use crate::directions::{Direction, Endpoint};
 use crate::stand_ins::cloud_server::CloudServer;
 use crate::stand_ins::deployment::{CANCEL_S, Deployment};
@@ -184,11 +184,11 @@
     }
 
     /// Sends a user's request to one controller, and passes the response or its absence to the checker.
-    pub fn ask(&self, id: &str, question: Question, node: usize, body: &[u8]) {
+    pub fn ask(&self, id: &str, question: RequestKind, node: usize, body: &[u8]) {
         let (method, path) = match question {
-            Question::Submit | Question::BadSubmit => ("POST", "/work".to_string()),
-            Question::Status => ("GET", format!("/work/{id}")),
-            Question::Cancel => ("POST", format!("/work/{id}/withdraw")),
+            RequestKind::Submit | RequestKind::MalformedSubmit => ("POST", "/work".to_string()),
+            RequestKind::Status => ("GET", format!("/work/{id}")),
+            RequestKind::Cancel => ("POST", format!("/work/{id}/withdraw")),
         };
         let sent = self.now();
         let (status, answer) = self.nodes.call(node, method, &path, body);
@@ -198,7 +198,7 @@
                     .filter(|_| matches!(status, 200 | 201))
                     .map(|a| a.status);
                 let answer = Answer {
-                    question,
+                    kind: question,
                     node,
                     sent,
                     got,
--- a/crates/simulation/src/stand_ins/store_server.rs
+++ b/crates/simulation/src/stand_ins/store_server.rs
@@ -42,20 +42,27 @@
     /// Writes a value, as a controller would.
     pub fn write(&self, key: &str, data: Value) {
         let body = cbor!({"guards" => [], "apply" => [{"write" => key, "data" => data}]});
-        let (status, _) = self.store.lock().unwrap().multi(&encode(&body.unwrap()));
+        let (status, _) = self
+            .store
+            .lock()
+            .unwrap()
+            .transaction(&encode(&body.unwrap()));
         assert_eq!(status, 200);
         self.changed.notify_all();
     }
 
     /// Ends an outage. Every lease gets its full lifetime again.
     pub fn end_outage(&self) {
-        self.store.lock().unwrap().refresh(self.started.elapsed());
+        self.store
+            .lock()
+            .unwrap()
+            .renew_all_leases(self.started.elapsed());
         *self.down.lock().unwrap() = false;
     }
 
     /// Answers a watch as soon as there are changes, or when its hold time is over.
     fn changes(&self, watch: &Watch) -> StoreResponse {
-        let deadline = Instant::now() + watch.hold;
+        let deadline = Instant::now() + watch.max_wait;
         let mut store = self.store.lock().unwrap();
         loop {
             store.expire(self.started.elapsed());
@@ -64,10 +71,10 @@
             }
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return store.no_changes();
+                return store.empty_changes();
             }
-            let next_end = store.next_end().unwrap_or(Duration::MAX);
-            let wait = left.min(next_end.saturating_sub(self.started.elapsed()));
+            let next_lease_end = store.next_lease_end().unwrap_or(Duration::MAX);
+            let wait = left.min(next_lease_end.saturating_sub(self.started.elapsed()));
             store = self.changed.wait_timeout(store, wait).unwrap().0;
         }
     }
@@ -108,7 +115,7 @@
             return Response::new(503, Vec::new());
         }
         let (status, body) = if request.path.starts_with("/changes") {
-            self.changes(&Watch::of(&request.path))
+            self.changes(&Watch::parse(&request.path))
         } else {
             let mut store = self.store.lock().unwrap();
             let answer = store.call(
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -120,8 +120,8 @@
             .map(|node| format!("controller {node} exited by itself")),
     );
     cluster.with_checker(|checker, now| {
-        checker.look(now);
-        report.failures.extend(checker.broken.iter().cloned());
+        checker.check_time_limits(now);
+        report.failures.extend(checker.violations.iter().cloned());
         report.starts = checker.starts;
         report.done = checker.answered_done;
         report.cancelled = checker.answered_cancelled;
