--- a/crates/report/src/half_cut_links.rs
+++ b/crates/report/src/half_cut_links.rs
@@ -75,8 +75,8 @@
     pub turnaround: Distribution,
     /// Number of jobs that took longer than `LATE_S`, in each run.
     pub late: Distribution,
-    /// Broken service rules, of all runs.
-    pub broken: Vec<String>,
+    /// Violations of service rules, of all runs.
+    pub violations: Vec<String>,
 }
 
 impl Fault {
@@ -168,7 +168,7 @@
         self.turnaround.extend(summary.turnaround_s.iter().copied());
         let late = summary.turnaround_s.iter().filter(|t| **t > LATE_S).count();
         self.late.add(late as f64);
-        self.broken.extend(summary.violations.iter().cloned());
+        self.violations.extend(summary.violations.iter().cloned());
     }
 }
 
@@ -271,13 +271,13 @@
         blocks.push(Block::Heading(title.into()));
         blocks.push(Block::Plot(bars.to_svg()?));
     }
-    let broken: Vec<&String> = comparisons
+    let violations: Vec<&String> = comparisons
         .iter()
-        .flat_map(|c| c.without.broken.iter().chain(&c.with.broken))
+        .flat_map(|c| c.without.violations.iter().chain(&c.with.violations))
         .collect();
-    let rules = match broken.len() {
-        0 => "No rule was broken in any run.".to_string(),
-        count => format!("{count} broken rules: {broken:?}"),
+    let rules = match violations.len() {
+        0 => "No service rule was violated in any run.".to_string(),
+        count => format!("{count} violations of service rules: {violations:?}"),
     };
     blocks.push(Block::Paragraph(rules));
     Ok(Page {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -43,7 +43,7 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    /// Broken service rules, violated invariants, panics, and controllers that exited by themselves.
+    /// Violations of service rules, violated invariants, panics, and controllers that exited by themselves.
     pub failures: Vec<String>,
     /// Number of machines that the cloud has created.
     pub machines: u64,
