--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -18,7 +18,7 @@
 /// Mean time between two status requests of a user.
 const POLL_INTERVAL: Time = 5_000_000;
 
-/// Delay before a submission or cancellation is repeated that got no answer, or one that decides nothing.
+/// Delay before a submission or cancellation without an answer, or with an inconclusive one, is repeated.
 const RETRY_DELAY: Time = 1_000_000;
 
 /// Time after which a user gives up repeating a submission or cancellation, in seconds.
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Sends a status request to a random node, and schedules the next one unless the job has ended or is unknown.
+    /// Sends a status request to a random node, and schedules the next one unless the job has ended, or is unknown and
+    /// was never accepted.
     pub(crate) fn poll(self: &Arc<Self>, id: &str) {
         let (id, node) = (id.to_string(), self.random_running_node());
         self.send_request(
@@ -271,7 +272,8 @@
         }
     }
 
-    /// Schedules the requests that a user sends at the end of the job, after one of its tasks ended successfully.
+    /// Schedules the requests that a user sends at the end of the job. Called after each success of one of its tasks;
+    /// does nothing until all of them are done.
     pub fn after_task_done(self: &Arc<Self>, id: &str) {
         let (queries, cancels, is_last) = {
             let state = self.state();
--- a/crates/simulation/src/worker_commands.rs
+++ b/crates/simulation/src/worker_commands.rs
@@ -10,11 +10,11 @@
 
 /// Arrival of a message at a worker.
 enum Arrival {
-    /// It arrives now.
+    /// The message arrives now.
     Now,
-    /// It is held back until this time, and arrives after it.
+    /// The message is held back until this time, and arrives after it.
     After(Time),
-    /// It is lost.
+    /// The message is lost.
     Never,
 }
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -37,7 +37,7 @@
 use std::time::Duration;
 
 /// Time for which a leader that has stepped down, because it received heartbeats from too few workers or in favor of
-/// a better-placed peer, lets other controllers be elected first. If none is elected, it becomes leader again, and
+/// a better-connected peer, lets other controllers be elected first. If none is elected, it becomes leader again, and
 /// doesn't step down for the same reason until the pause is over.
 const CANDIDACY_PAUSE: Micros = Micros::from_secs(40);
 
--- a/src/controller/timer_loop.rs
+++ b/src/controller/timer_loop.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns false if a handover can find a better-placed peer, in which case the leader steps down only in favor
+    /// Returns false if a handover can find a better-connected peer, in which case the leader steps down only in favor
     /// of that peer. This requires link views from all peers.
     fn steps_down_without_successor(&self) -> bool {
         let link_health = self.link_health.as_ref();
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -88,7 +88,7 @@
     error.map_or(Ok(None), Err)
 }
 
-/// Revision of the leader record if the stored record is `record`. After a transaction without an answer, reading the
+/// Revision of the leader record if the stored record is `record`. After a transaction of unknown outcome, reading the
 /// key back shows whether the transaction was executed.
 fn revision_if_elected(store: &Store, record: &LeaderRecord) -> Option<u64> {
     let stored = store.get(LEADER_KEY, StorePriority::Leadership).ok()??;
--- a/src/leadership/election_loop.rs
+++ b/src/leadership/election_loop.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Waits so that controllers which workers can reach campaign first. Returns false if this controller may not
-    /// campaign now.
+    /// Waits so that controllers which workers can reach campaign first. Returns false if this controller must not
+    /// campaign now: its candidacy was paused, and after the wait there is a leader or the store can't be read.
     fn wait_for_candidacy(&self) -> bool {
         let now = self.now();
         let (refused_heartbeats, is_paused) = {
--- a/src/leadership/failover.rs
+++ b/src/leadership/failover.rs
@@ -61,7 +61,7 @@
         scheduler: &mut SchedulerState,
         renewal: &mut LeaseRenewal,
     ) -> Option<u64> {
-        // Twice the allowed skew, since each of the two clocks may be off by as much.
+        // Maximum difference of two clocks, each of which may deviate from true time by the allowed skew.
         let wall_skew = Micros::from_secs_f64(self.settings.settings.skew_ms / 500.0);
         let mut first_revision = None;
         let mut after: Option<String> = None;
--- a/src/link_health/handover.rs
+++ b/src/link_health/handover.rs
@@ -63,7 +63,7 @@
     /// Gives up leadership in favor of the preferred peer. This controller must have stopped acting as the leader.
     ///
     /// One transaction records the handover and deletes the leader's record, with the precondition that this
-    /// controller still leads. A transaction without an answer does no harm: the caller ends the lease next, and if
+    /// controller still leads. A transaction of unknown outcome does no harm: the caller ends the lease next, and if
     /// the transaction is applied after another controller has become the leader, its precondition fails.
     pub fn hand_over(
         &self,
--- a/src/provisioning/machine_list.rs
+++ b/src/provisioning/machine_list.rs
@@ -88,9 +88,9 @@
 
     /// Drops machines that the list should contain and doesn't: they are gone, with everything on them.
     ///
-    /// Once listed, a machine stays listed until it is gone, and a list is never older than twice its lag. So a
-    /// machine that existed that long (and a margin) before the list was requested, and is not in it, no longer
-    /// exists. Two lists in a row must agree.
+    /// Once listed, a machine stays listed until it is gone, and the contents of a list are never older than twice the
+    /// configured lag. So a machine that existed that long (and a margin) before the list was requested, and is not in
+    /// it, no longer exists. Two lists in a row must agree.
     fn note_unlisted(&mut self, list: &[ListedMachine], requested_at: Moment) {
         let listed: HashSet<&str> = list.iter().map(|l| l.name.as_str()).collect();
         let mut gone = Vec::new();
@@ -133,7 +133,8 @@
             .collect()
     }
 
-    /// Drops machines whose lease has expired and which lists stopped naming long ago: they are gone.
+    /// Drops machines that are unreachable or never sent a heartbeat, haven't been in a list for a long time, and whose
+    /// leases have expired: they are gone.
     fn drop_long_unlisted(&mut self, now: Moment) {
         let max_unlisted = self.config.list_lag.scaled(3.0) + Micros::from_secs(10);
         let gone: Vec<String> = self
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -50,7 +50,7 @@
 pub struct Site {
     /// Names of the cloud's zones.
     pub zones: Vec<String>,
-    /// Maximum difference between two clocks, in milliseconds.
+    /// Maximum deviation of a clock from true time, in milliseconds. Two clocks may differ by twice as much.
     pub skew_ms: f64,
     /// Teams and their quotas.
     pub teams: Vec<TeamSettings>,
@@ -123,7 +123,7 @@
 /// Limits that the cloud sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudSettings {
-    /// Maximum number of calls a second.
+    /// Maximum number of calls per second.
     pub rps: f64,
     /// Time by which a machine list may be out of date, in seconds.
     pub list_lag_s: f64,
--- a/src/store/paged_map.rs
+++ b/src/store/paged_map.rs
@@ -3,8 +3,8 @@
 //! The store accepts a few dozen changes per second, regardless of their size. Entries that are small and change
 //! often (which machines may run tasks, up to which task of a job starts may have been made) therefore share values:
 //! a page holds up to [`PAGE_ENTRIES`] entries and is always written as a whole. Each write has the revision of the
-//! page as a precondition, so that an earlier write without an answer can't overwrite it when the store executes it
-//! late.
+//! page as a precondition, so that an earlier write of unknown outcome can't overwrite it if the store executes that
+//! write late.
 //!
 //! A page that exceeds the size limit of a value, for example because the limit was lowered, is still read but no
 //! longer written. When an entry of such a page changes, it moves to a page whose key sorts later, and the larger of
@@ -18,7 +18,7 @@
 pub const PAGE_ENTRIES: usize = 64;
 
 /// Upper bound of the size of an entry's value and punctuation as JSON, in bytes. The largest stored numbers are
-/// microseconds since 1970.
+/// microseconds since the Unix epoch.
 const ENTRY_OVERHEAD_BYTES: usize = 22;
 /// Size of the brackets around a page as JSON, in bytes.
 const PAGE_OVERHEAD_BYTES: usize = 2;
--- a/tests/service/side_by_side.rs
+++ b/tests/service/side_by_side.rs
@@ -282,7 +282,7 @@
         for _ in 0..40 {
             let (status, _) = mixed.nodes.call(n, "GET", "/work/run-9", &[]);
             assert!(matches!(status, 200 | 503), "{status}");
-            // It can't be cancelled, and no answer says that it has ended or is unknown.
+            // The job can't be cancelled, and no answer says that it has ended or is unknown.
             let (status, _) = mixed.nodes.call(n, "POST", "/work/run-9/withdraw", &[]);
             assert_eq!(status, 503);
             let (status, state) = submit_standing(mixed, n, "run-9");
--- a/tests/traces/heartbeats.rs
+++ b/tests/traces/heartbeats.rs
@@ -63,7 +63,8 @@
     trace.at(1.0).job(submission("run-1", |s| s.tasks = 2));
     trace.on_timer(1.0);
     trace.direct(|_| DirectResult::OutcomeUnknown).bound();
-    // Its leases expire without a renewal, so its agent epochs end, but each one looks healthy in its reports.
+    // The leases of the worker expire without a renewal, so its agent epochs end, but each one looks healthy in its
+    // reports.
     trace.at(3.0).heartbeat("big-east-1", &[]);
     let next = trace.report("big-east-1", 2, 2, &[]);
     trace.at(21.0).send(&next).bound();
@@ -133,7 +134,7 @@
 }
 
 /// A machine whose heartbeats don't arrive still answers direct calls, while its agent epochs end one after another.
-/// Its answers don't count as heartbeats, so it gets no starts. Stops are sent to it nevertheless.
+/// These answers don't count as heartbeats, so the machine gets no starts, but stops are still sent to it.
 #[test]
 fn machine_without_heartbeats_gets_stops_but_no_starts() {
     let mut trace = LeaderTrace::new(2, one_team());
--- a/tests/traces/replicas.rs
+++ b/tests/traces/replicas.rs
@@ -124,7 +124,7 @@
         "the replica runs on another machine"
     );
 
-    // Half of the machines are silent at once: it is more likely that this controller is cut off.
+    // More than a third of the machines are silent at once: it is more likely that this controller is cut off.
     let again_on = machines_with(&trace, "run-1");
     let known = |name: &&&str| trace.scheduler.machines.contains_key(**name);
     let mut others = MACHINES.iter().filter(known).filter(|n| **n != again_on[0]);
@@ -143,7 +143,7 @@
 }
 
 /// Replicas that exit soon after their start on one machine after another are restarted with an increasing backoff.
-/// One that lasts ends the backoff.
+/// A replica that runs long enough ends the backoff, which this test doesn't cover.
 #[test]
 fn replicas_that_fail_everywhere_back_off() {
     let mut trace = LeaderTrace::new(2, one_team());
--- a/tests/traces/waiting.rs
+++ b/tests/traces/waiting.rs
@@ -51,7 +51,7 @@
         let at = begun.get(id).copied().unwrap_or(f64::INFINITY);
         assert!((90.0..150.0).contains(&at), "{id} began at {at} s");
     }
-    // The urgent jobs ask for half as much again as the machine has, and most of them start nevertheless.
+    // The urgent jobs ask for 1.5 times the machine's capacity, and most of them start nevertheless.
     let urgent = begun.keys().filter(|id| id.len() > 5).count();
     assert!(urgent > 80, "{urgent} of 159 began");
 }
@@ -64,7 +64,7 @@
     let mut worker = ExecutingWorker::new("big-east-1");
     let mut begun = BTreeMap::new();
     trace.serve(&mut worker, 0.0, &|_| 3.0, &mut begun);
-    // Accepted 85 s ago by wall-clock time.
+    // The job was accepted 85 s ago by wall-clock time.
     let old = submission("run-1", |s| s.tasks = 5000);
     let wall = aspenreel::time::WallTime(old.accepted_us + 85_000_000);
     trace.scheduler.add_job(&old, 50, at(0.0), wall);
--- a/tests/unit.rs
+++ b/tests/unit.rs
@@ -123,7 +123,7 @@
     let event_count = System::default().event_count();
     let observed = event_count.prepare_wait();
     event_count.notify_all();
-    // Would take an hour if the notification were lost.
+    // This wait would take an hour if the notification were lost.
     event_count.wait(observed, Duration::from_secs(3600));
     let waiter = event_count.clone();
     let observed = event_count.prepare_wait();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -232,7 +232,7 @@
     // The leader that was elected at revision 80 incremented it, and no other one.
     assert!(raised.was_raised_by_leader(90, 80) && !raised.was_raised_by_leader(90, 85));
     assert!(taken.was_raised_by_leader(80, 80) && !taken.was_raised_by_leader(90, 80));
-    // Its form may change in between, and the next leader continues from this number.
+    // The form of the counter may change in between, and the next leader continues from this number.
     assert!(raised.with_fenced(true).was_raised_by_leader(95, 80));
     let next = raised.next();
     assert_eq!((next.term, next.raised_by), (9, None));
